--- a/callserver/callers.go
+++ b/callserver/callers.go
@@ -15,68 +15,68 @@
 )
 
 // caller is one connection from callers. Any stranger may have opened it.
-type caller struct {
-	id     ConnID
-	from   string
-	in     sip.Framer
-	open   int           // set-ups on it without a final answer
-	born   time.Duration // of the connection
-	used   time.Duration // when it last carried a call; 0: never
-	proven bool          // a call stood on it
-	asked  time.Duration // since when a message is unfinished; 0: none is
-	byes   unheard
-	heard  time.Duration // when the last bytes came
+type callerConn struct {
+	id                 ConnID
+	remoteAddr         string
+	framer             sip.Framer
+	openCalls          int           // set-ups on it without a final answer
+	acceptedAt         time.Duration // of the connection
+	lastUsed           time.Duration // when it last carried a call; 0: never
+	carriedEstablished bool          // a call stood on it
+	unfinishedSince    time.Duration // since when a message is unfinished; 0: none is
+	unconfirmedByes    unconfirmedReleases
+	lastActivity       time.Duration // when the last bytes came
 }
 
 // Limits on callers' connections; they are about syntax and sockets, not about calls.
 const (
-	sayWithin    = 2 * time.Second       // to say something whole at first, and to finish what was begun
-	recheckAfter = 50 * time.Millisecond // a connection on which a message is not finished, and set-ups are open
-	firstWord    = 100 * time.Millisecond
-	mostHops     = 1 << 16 // numbers of exchanges and widths are below
+	callerMessageTimeout = 2 * time.Second       // to say something whole at first, and to finish what was begun
+	callerRecheckDelay   = 50 * time.Millisecond // a connection on which a message is not finished, and set-ups are open
+	firstMessageGrace    = 100 * time.Millisecond
+	maxLegValue          = 1 << 16 // numbers of exchanges and widths are below
 )
 
 // accepted takes a new connection; where there are too many, the one that is longest without a call gives way.
-func (s *Server) accepted(id ConnID, from string) {
-	c := &caller{id: id, from: from, born: s.now}
-	s.callers[id] = c
-	s.arm(sayWithin, timer{kind: timerCaller, id: uint64(id)})
-	if len(s.callers) > s.cfg.Callers {
-		idle := s.idlest(c)
-		if idle == nil {
-			idle = c
+func (s *Server) callerAccepted(id ConnID, from string) {
+	caller := &callerConn{id: id, remoteAddr: from, acceptedAt: s.now}
+	s.callerConns[id] = caller
+	s.armTimer(callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(id)})
+	if len(s.callerConns) > s.cfg.Callers {
+		evicted := s.evictionCandidate(caller)
+		if evicted == nil {
+			evicted = caller
 		}
-		s.closeCaller(idle, "too many connections")
+		s.closeCaller(evicted, "too many connections")
 	}
 }
 
 // idlest is the connection that gives way to a new one: that of the least worth, and of these the one that is longest
 // without a call. The new one itself has had no time to speak.
-func (s *Server) idlest(newest *caller) *caller {
-	var best *caller
-	for _, c := range s.callers {
-		if c.open > 0 || c == newest {
+func (s *Server) evictionCandidate(newest *callerConn) *callerConn {
+	var candidate *callerConn
+	for _, caller := range s.callerConns {
+		if caller.openCalls > 0 || caller == newest {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(s.worth(c), s.worth(best)),
-			cmp.Compare(max(c.used, c.born), max(best.used, best.born)), cmp.Compare(c.id, best.id)) < 0 {
-			best = c
+		if candidate == nil || cmp.Or(cmp.Compare(s.evictionRank(caller), s.evictionRank(candidate)),
+			cmp.Compare(max(caller.lastUsed, caller.acceptedAt), max(candidate.lastUsed, candidate.acceptedAt)), cmp.Compare(caller.id, candidate.id)) < 0 {
+			candidate = caller
 		}
 	}
-	return best
+	return candidate
 }
 
 // worth ranks connections without a set-up. The danger: strangers that only test, again and again on new connections, push
 // out those on which calls stood, and a release finds no connection from callers to go out on.
-func (s *Server) worth(c *caller) int {
+func (s *Server) evictionRank(caller *callerConn) int {
 	switch {
-	case c.proven:
+	case caller.carriedEstablished:
 		return 4
-	case c.used > 1: // it has carried a call
+	case caller.lastUsed > 1: // it has carried a call
 		return 3
-	case c.used == 0 && s.now-c.born < firstWord:
+	case caller.lastUsed == 0 && s.now-caller.acceptedAt < firstMessageGrace:
 		return 2
-	case c.used > 0: // it has only tested
+	case caller.lastUsed > 0: // it has only tested
 		return 1
 	}
 	return 0
@@ -84,214 +84,214 @@
 
 // checkCaller closes a connection that says nothing, or does not finish what it began.
 func (s *Server) checkCaller(id ConnID) {
-	c := s.callers[id]
-	if c == nil {
+	caller := s.callerConns[id]
+	if caller == nil {
 		return
 	}
 	switch {
-	case c.used == 0 && c.asked == 0:
-		s.closeCaller(c, "said nothing")
-	case c.asked > 0 && s.now-c.asked >= sayWithin && c.open > 0: // others' set-ups are on it: they are answered first
-		s.arm(recheckAfter, timer{kind: timerCaller, id: uint64(id)})
-	case c.asked > 0 && s.now-c.asked >= sayWithin:
-		s.closeCaller(c, "did not finish a message")
-	case c.asked > 0:
-		s.timers.Arm(c.asked+sayWithin, timer{kind: timerCaller, id: uint64(id)})
+	case caller.lastUsed == 0 && caller.unfinishedSince == 0:
+		s.closeCaller(caller, "said nothing")
+	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout && caller.openCalls > 0: // others' set-ups are on it: they are answered first
+		s.armTimer(callerRecheckDelay, timer{kind: timerCheckCaller, id: uint64(id)})
+	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout:
+		s.closeCaller(caller, "did not finish a message")
+	case caller.unfinishedSince > 0:
+		s.timers.Arm(caller.unfinishedSince+callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(id)})
 	}
 }
 
 // closeCaller closes a connection; what was asked on it is given up.
-func (s *Server) closeCaller(c *caller, why string) {
-	s.log(slog.LevelDebug, "caller's connection closed", slog.String("from", c.from), slog.String("why", why))
-	s.emit(Close{Conn: c.id})
-	s.callerGone(c)
+func (s *Server) closeCaller(caller *callerConn, why string) {
+	s.log(slog.LevelDebug, "caller's connection closed", slog.String("from", caller.remoteAddr), slog.String("why", why))
+	s.emit(Close{Conn: caller.id})
+	s.callerConnEnded(caller)
 }
 
 // callerGone gives up the set-ups of a connection that has ended. Calls that stand belong to no connection.
-func (s *Server) callerGone(c *caller) {
-	delete(s.callers, c.id)
-	for _, r := range c.byes.lost(s.now) {
-		s.releaseCaller(r.call, r.cause)
+func (s *Server) callerConnEnded(caller *callerConn) {
+	delete(s.callerConns, caller.id)
+	for _, r := range caller.unconfirmedByes.takeLost(s.now) {
+		s.releaseToCaller(r.call, r.cause)
 	}
-	if c.open == 0 {
+	if caller.openCalls == 0 {
 		return
 	}
-	for _, k := range s.inOrder() {
-		if k.from == c && k.state == settingUp {
-			s.hangUp(k)
+	for _, call := range s.callsInOrder() {
+		if call.caller == caller && call.state == callSettingUp {
+			s.callerHungUp(call)
 		}
 	}
 }
 
 // fromCaller takes bytes of a caller.
-func (s *Server) fromCaller(c *caller, b []byte) {
-	c.heard = s.now
-	c.in.Write(b)
-	for s.callers[c.id] == c {
-		m, err := c.in.Next()
+func (s *Server) receiveFromCaller(caller *callerConn, data []byte) {
+	caller.lastActivity = s.now
+	caller.framer.Write(data)
+	for s.callerConns[caller.id] == caller {
+		msg, err := caller.framer.Next()
 		if err != nil {
-			s.fault(c, err)
+			s.rejectMalformed(caller, err)
 			return
 		}
-		if m == nil {
+		if msg == nil {
 			break
 		}
-		c.asked = 0
-		s.message(c, m)
+		caller.unfinishedSince = 0
+		s.handleCallerMessage(caller, msg)
 	}
-	if s.callers[c.id] == c && c.in.Waiting() > 0 && c.asked == 0 {
-		c.asked = s.now
-		s.arm(sayWithin, timer{kind: timerCaller, id: uint64(c.id)})
+	if s.callerConns[caller.id] == caller && caller.framer.Waiting() > 0 && caller.unfinishedSince == 0 {
+		caller.unfinishedSince = s.now
+		s.armTimer(callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(caller.id)})
 	}
 }
 
 // fault answers what cannot be read, and closes the connection: nothing after it can be trusted.
-func (s *Server) fault(c *caller, err error) {
-	s.totals.Faults++
-	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", c.from), slog.String("err", err.Error()))
-	var f *sip.Fault
-	if errors.As(err, &f) && (f.Head == nil || f.Head.Status == 0) {
-		s.respond(c, sip.HeadOf(f.Head), f.Status, 0, nil)
+func (s *Server) rejectMalformed(caller *callerConn, err error) {
+	s.totals.Malformed++
+	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", caller.remoteAddr), slog.String("err", err.Error()))
+	var fault *sip.Fault
+	if errors.As(err, &fault) && (fault.Head == nil || fault.Head.Status == 0) {
+		s.respond(caller, sip.HeadOf(fault.Head), fault.Status, 0, nil)
 	}
-	s.log(slog.LevelDebug, "caller's connection closed", slog.String("from", c.from))
-	s.emit(Close{Conn: c.id, Linger: true})
-	s.callerGone(c)
+	s.log(slog.LevelDebug, "caller's connection closed", slog.String("from", caller.remoteAddr))
+	s.emit(Close{Conn: caller.id, Linger: true})
+	s.callerConnEnded(caller)
 }
 
-func (s *Server) respond(c *caller, h sip.Head, status, wait int, body []byte) {
-	s.trace("to caller", "", c.from, c.id, h.CallID, status)
-	s.emit(Write{Conn: c.id, Bytes: sip.Response(nil, h, status, wait, body)})
+func (s *Server) respond(caller *callerConn, head sip.Head, status, wait int, body []byte) {
+	s.trace("to caller", "", caller.remoteAddr, caller.id, head.CallID, status)
+	s.emit(Write{Conn: caller.id, Bytes: sip.Response(nil, head, status, wait, body)})
 }
 
 // message takes one message of a caller.
-func (s *Server) message(c *caller, m *sip.Message) {
-	c.used = max(c.used, 1) // it speaks; only calls count as use
-	s.trace("from caller", m.Method, c.from, c.id, m.CallID, m.Status)
-	if m.Status > 0 { // to our BYE; free
-		if id, err := callID(m.CallID); err == nil {
-			c.byes.heard(id)
-			s.byesHeard = true
+func (s *Server) handleCallerMessage(caller *callerConn, msg *sip.Message) {
+	caller.lastUsed = max(caller.lastUsed, 1) // it speaks; only calls count as use
+	s.trace("from caller", msg.Method, caller.remoteAddr, caller.id, msg.CallID, msg.Status)
+	if msg.Status > 0 { // to our BYE; free
+		if id, err := parseCallID(msg.CallID); err == nil {
+			caller.unconfirmedByes.confirm(id)
+			s.byesConfirmed = true
 		}
 		return
 	}
-	switch m.Method {
+	switch msg.Method {
 	case "INVITE":
-		c.used = s.now
-		s.sendPendingReleases() // a connection that only opens, or tests, may not be a caller's
-		s.invite(c, m)
+		caller.lastUsed = s.now
+		s.flushCallerReleases() // a connection that only opens, or tests, may not be a caller's
+		s.handleInvite(caller, msg)
 	case "ACK", "NOTIFY": // neither wants an answer
 	case "CANCEL":
-		s.cancelled(c, m)
+		s.handleCancel(caller, msg)
 	case "BYE":
-		s.bye(c, m)
+		s.handleBye(caller, msg)
 	case "OPTIONS":
-		s.respond(c, sip.HeadOf(m), s.health(), 0, nil)
+		s.respond(caller, sip.HeadOf(msg), s.optionsStatus(), 0, nil)
 	default:
-		s.respond(c, sip.HeadOf(m), 405, 0, nil)
+		s.respond(caller, sip.HeadOf(msg), 405, 0, nil)
 	}
 }
 
 // health is the response to a test: calls can be taken as soon as some office is known.
-func (s *Server) health() int {
+func (s *Server) optionsStatus() int {
 	if len(s.offices) == 0 {
 		return 503
 	}
 	if !s.ready {
 		s.ready = true
-		s.log(slog.LevelInfo, "ready", slog.Duration("after", s.now-s.born), slog.Int("offices", len(s.offices)))
+		s.log(slog.LevelInfo, "ready", slog.Duration("after", s.now-s.startedAt), slog.Int("offices", len(s.offices)))
 	}
 	return 200
 }
 
 // invite takes a set-up, or one that names a call that stands already.
-func (s *Server) invite(c *caller, m *sip.Message) {
-	in, err := s.readInvite(m)
+func (s *Server) handleInvite(caller *callerConn, msg *sip.Message) {
+	invite, err := s.parseInvite(msg)
 	if err != nil {
-		s.refuseMessage(c, m, 400, err.Error())
+		s.refuseMessage(caller, msg, 400, err.Error())
 		return
 	}
-	if in.at != "" {
-		s.adopt(c, in)
+	if invite.officeID != "" {
+		s.adoptCall(caller, invite)
 		return
 	}
-	if old := s.byID[in.wire]; old != nil {
-		s.twice(c, old, in)
+	if existing := s.callsByWireID[invite.wireID]; existing != nil {
+		s.handleDuplicateInvite(caller, existing, invite)
 		return
 	}
-	s.offer(c, in)
+	s.offerCall(caller, invite)
 }
 
 // twice takes a set-up whose id is that of a call that is held. The first call is untouched where the second comes
 // from elsewhere. On one connection nobody could tell whose answer is whose: a copy is passed over (RFC 3261 section
 // 17.2.1), and two different set-ups are both refused by one answer.
-func (s *Server) twice(c *caller, old *call, in invitation) {
-	if old.from != c || old.state != settingUp {
-		s.refuseMessage(c, in.head, 482, "id of a call that is held already")
+func (s *Server) handleDuplicateInvite(caller *callerConn, existing *activeCall, invite invitation) {
+	if existing.caller != caller || existing.state != callSettingUp {
+		s.refuseMessage(caller, invite.msg, 482, "id of a call that is held already")
 		return
 	}
-	if old.number == in.number && bytes.Equal(old.description, in.body) {
+	if existing.calledNumber == invite.calledNumber && bytes.Equal(existing.description, invite.description) {
 		return
 	}
-	s.hangUp(old)
-	s.refuseMessage(c, in.head, 482, "two set-ups under one id")
+	s.callerHungUp(existing)
+	s.refuseMessage(caller, invite.msg, 482, "two set-ups under one id")
 }
 
 // refuseMessage answers a message that is whole but makes no sense. Others' calls may be on the connection: it stays
 // while one is, or once one has stood on it.
-func (s *Server) refuseMessage(c *caller, m *sip.Message, status int, why string) {
-	if c.open == 0 && !c.proven {
-		s.fault(c, &sip.Fault{Status: status, Text: why, Head: m})
+func (s *Server) refuseMessage(caller *callerConn, msg *sip.Message, status int, why string) {
+	if caller.openCalls == 0 && !caller.carriedEstablished {
+		s.rejectMalformed(caller, &sip.Fault{Status: status, Text: why, Head: msg})
 		return
 	}
-	s.totals.Faults++
-	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", c.from), slog.String("err", why))
-	s.respond(c, sip.HeadOf(m), status, 0, nil)
+	s.totals.Malformed++
+	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", caller.remoteAddr), slog.String("err", why))
+	s.respond(caller, sip.HeadOf(msg), status, 0, nil)
 }
 
 // held is the call that a message of a caller names, or nil.
-func (s *Server) held(m *sip.Message) *call {
-	id, err := callID(m.CallID)
+func (s *Server) callNamedIn(msg *sip.Message) *activeCall {
+	id, err := parseCallID(msg.CallID)
 	if err != nil {
 		return nil
 	}
-	return s.byID[id]
+	return s.callsByWireID[id]
 }
 
 // cancelled takes the word that a caller has stopped waiting. Only the connection of the set-up may say so.
-func (s *Server) cancelled(c *caller, m *sip.Message) {
-	k := s.held(m)
-	if k == nil || k.from != c {
-		s.respond(c, sip.HeadOf(m), 481, 0, nil)
+func (s *Server) handleCancel(caller *callerConn, msg *sip.Message) {
+	call := s.callNamedIn(msg)
+	if call == nil || call.caller != caller {
+		s.respond(caller, sip.HeadOf(msg), 481, 0, nil)
 		return
 	}
-	s.respond(c, sip.HeadOf(m), 200, 0, nil)
-	if k.state == settingUp {
-		s.hangUp(k)
+	s.respond(caller, sip.HeadOf(msg), 200, 0, nil)
+	if call.state == callSettingUp {
+		s.callerHungUp(call)
 		return
 	}
-	s.releaseOffice(k, office.CauseNormal) // our answer crossed it
-	s.endStanding(k, logic.Cancelled, office.CauseNormal, nil, "its caller gave it up as it stood")
+	s.releaseAtOffice(call, office.CauseNormal) // our answer crossed it
+	s.endEstablished(call, logic.Cancelled, office.CauseNormal, nil, "its caller gave it up as it stood")
 }
 
 // bye takes the release of a call that stands, on whatever connection it comes.
-func (s *Server) bye(c *caller, m *sip.Message) {
-	k := s.held(m)
-	if k == nil || k.state == settingUp {
-		s.respond(c, sip.HeadOf(m), 481, 0, nil)
+func (s *Server) handleBye(caller *callerConn, msg *sip.Message) {
+	call := s.callNamedIn(msg)
+	if call == nil || call.state == callSettingUp {
+		s.respond(caller, sip.HeadOf(msg), 481, 0, nil)
 		return
 	}
-	s.respond(c, sip.HeadOf(m), 200, 0, nil)
-	s.releaseOffice(k, causeOf(m.Get("Reason")))
-	s.finish(k, logic.Outcome{Status: logic.Cancelled})
+	s.respond(caller, sip.HeadOf(msg), 200, 0, nil)
+	s.releaseAtOffice(call, parseCause(msg.Get("Reason")))
+	s.removeEstablished(call, logic.Outcome{Status: logic.Cancelled})
 }
 
 // causeOf reads the cause of a release; without one that can be read it is the normal one.
-func causeOf(reason string) byte {
+func parseCause(reason string) byte {
 	_, text, _ := strings.Cut(reason, "cause=")
 	text, _, _ = strings.Cut(text, ";")
-	v, err := strconv.ParseUint(strings.TrimSpace(text), 10, 7)
-	if err != nil || v == 0 {
+	cause, err := strconv.ParseUint(strings.TrimSpace(text), 10, 7)
+	if err != nil || cause == 0 {
 		return office.CauseNormal
 	}
-	return byte(v)
+	return byte(cause)
 }
--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -336,18 +336,18 @@
 	b.say(d, invite(11, "dest:9;width:1"))
 	b.heard(c)
 	b.heard(d)
-	a := b.s.byID[7].on
+	a := b.s.callsByWireID[7].conn
 	b.office(a.id, ends(7, office.CauseNormal, ""))
 	b.pass(1100 * time.Millisecond)
-	b.office(b.s.byID[8].on.id, ends(8, office.CauseNormal, ""))
-	b.office(b.s.byID[9].on.id, ends(9, office.CauseNormal, ""))
+	b.office(b.s.callsByWireID[8].conn.id, ends(8, office.CauseNormal, ""))
+	b.office(b.s.callsByWireID[9].conn.id, ends(9, office.CauseNormal, ""))
 	b.say(c, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000009\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n")
 	same(t, "the first connection", b.heard(c), "BYE", "BYE", "BYE")
 	b.apply(Input{Kind: InClosed, Conn: c})
 	if got := string(b.wrote[d]); strings.Count(got, "BYE sip") != 1 || !strings.Contains(got, "Call-ID: 0000000000000008") {
 		t.Fatalf("the other connection hears %q", got)
 	}
-	on := b.s.byID[10].on
+	on := b.s.callsByWireID[10].conn
 	b.sent(on.id)
 	b.say(d, request("BYE", 10))
 	if got := b.sent(on.id); len(got) != 1 {
@@ -388,7 +388,7 @@
 			b.heard(c)
 			given := b.sent(on)
 			b.up("10.0.0.1:5080")
-			all := b.s.offices["s-1"].officeConns
+			all := b.s.offices["s-1"].conns
 			b.office(all[len(all)-1].id, ends(7, office.CauseNormal, ""))
 			same(t, "the caller", b.heard(c), "500")
 			if given = append(given, b.sent(on)...); len(given) != 1 || given[0].Type != office.Release {
@@ -396,7 +396,7 @@
 			}
 			b.pass(2 * time.Second)
 			same(t, "the caller later", b.heard(c))
-			if b.s.calls[1] != nil || b.s.byID[7] != nil {
+			if b.s.calls[1] != nil || b.s.callsByWireID[7] != nil {
 				t.Error("the call is kept")
 			}
 		})
@@ -416,7 +416,7 @@
 	b.pass(700 * time.Millisecond)
 	b.office(on, ends(7, office.CauseNormal, ""))
 	same(t, "the caller", b.heard(c), "500")
-	if len(b.s.calls) != 0 || len(b.s.byID) != 0 || len(b.s.officeConns[on].open) != 0 {
+	if len(b.s.calls) != 0 || len(b.s.callsByWireID) != 0 || len(b.s.officeConns[on].outstanding) != 0 {
 		t.Error("the call is kept")
 	}
 	b.office(on, answer(7)) // late
@@ -444,7 +444,7 @@
 			b.up("10.0.0.1:5080")
 			b.office(on, answer(7))
 			same(t, "the call", b.heard(c), "200")
-			idle := len(b.s.offices["s-1"].officeConns)
+			idle := len(b.s.offices["s-1"].conns)
 			lose(b, c, on)
 			for i := range 2 { // the release may be written a moment after the first fresh one
 				late := b.now + 700*time.Millisecond
@@ -455,17 +455,17 @@
 					b.pass(20 * time.Millisecond)
 				}
 			}
-			last := b.s.offices["s-1"].officeConns
+			last := b.s.offices["s-1"].conns
 			b.office(last[len(last)-1].id, ends(7, office.CauseNormal, ""))
 			same(t, "the release that is said again", b.heard(c), "BYE")
 			for range 50 { // idle ones end all the time
-				a := b.s.offices["s-1"].officeConns
+				a := b.s.offices["s-1"].conns
 				b.apply(Input{Kind: InClosed, Conn: a[0].id})
 				b.up("10.0.0.1:5080")
 				b.pass(time.Second)
 				b.up("10.0.0.1:5080")
 			}
-			if n := len(b.s.offices["s-1"].officeConns); n > idle+idleConnsKept {
+			if n := len(b.s.offices["s-1"].conns); n > idle+maxIdleConns {
 				t.Errorf("%d connections", n)
 			}
 		})
@@ -494,7 +494,7 @@
 		t.Helper()
 		had := len(b.shut)
 		for range 50 {
-			b.s.ended(x)
+			b.s.connLost(x)
 			b.take()
 			if len(b.shut) > had {
 				return
@@ -512,25 +512,25 @@
 	same(t, "the release that crossed", b.heard(c), "BYE")
 	b.say(c, request("BYE", 8)) // its release cannot go out where the set-up did
 	b.apply(Input{Kind: InClosed, Conn: on})
-	if b.s.officeConns[on] != nil || b.s.shuts != 0 {
-		t.Errorf("%d connections are shut after their office has closed them", b.s.shuts)
+	if b.s.officeConns[on] != nil || b.s.halfClosedConns != 0 {
+		t.Errorf("%d connections are shut after their office has closed them", b.s.halfClosedConns)
 	}
 	b.say(c, invite(9, "dest:1;width:1"))
 	third, _ := b.setUp(9)
 	b.office(third, answer(9)) // there is a release to be fetched
-	most := b.s.cfg.Offices / shutPart
+	most := b.s.cfg.Offices / halfClosedDivisor
 	for range 4 * most {
 		b.up("10.0.0.1:5080")
-		b.s.ended(x)
+		b.s.connLost(x)
 		b.take()
 	}
-	if b.s.shuts != most {
-		t.Errorf("%d connections are shut, of at most %d", b.s.shuts, most)
+	if b.s.halfClosedConns != most {
+		t.Errorf("%d connections are shut, of at most %d", b.s.halfClosedConns, most)
 	}
 	last := b.shut[len(b.shut)-1]
-	b.pass(2 * signLag)
+	b.pass(2 * activityLag)
 	b.office(third, &office.Message{Type: office.GroupState, Load: "spare:29;total:30"}) // it is there
-	b.pass(shutWithin + checkInterval)
+	b.pass(halfClosedTimeout + connCheckInterval)
 	if _, ok := b.closed[last]; !ok || b.s.officeConns[last] != nil {
 		t.Error("a connection whose office does not close it is kept")
 	}
@@ -740,7 +740,7 @@
 				}
 				b.pass(700 * time.Millisecond)
 				b.up("10.0.0.1:5080")
-				b.s.giveUp(b.s.byID[7], logic.TimedOut)
+				b.s.releaseAttempt(b.s.callsByWireID[7], logic.TimedOut)
 				b.take()
 			}
 			b.up("10.0.0.1:5080")
@@ -780,7 +780,7 @@
 				t.Fatal("the connection stays open")
 			}
 			same(t, "the caller", b.heard(c))
-			if k := b.s.byID[7]; k == nil || k.trying {
+			if k := b.s.callsByWireID[7]; k == nil || k.attemptActive {
 				t.Fatal("the attempt was not ended")
 			}
 		})
@@ -818,7 +818,7 @@
 	}
 	b.up("10.0.0.1:5080")
 	b.say(c, invite(8, "dest:1;width:1"))
-	if at, _ := b.setUp(8); b.s.officeConns[at].to.id != "s-9" {
+	if at, _ := b.setUp(8); b.s.officeConns[at].remote.id != "s-9" {
 		t.Fatal("the new office does not get the call")
 	}
 	b.apply(Input{Kind: InJournal, Events: []feed.Event{list(4, false, member("s-9", 1, feed.Draining))}})
@@ -895,12 +895,12 @@
 		"waits for a connection": {come: func(*bench) {}, next: func(b *bench) { b.up("10.0.0.1:5080") }},
 		"waits for the release time": {come: func(b *bench) {
 			b.up("10.0.0.1:5080")
-			b.office(b.s.byID[7].on.id, ends(7, office.CauseTemporary, ""))
+			b.office(b.s.callsByWireID[7].conn.id, ends(7, office.CauseTemporary, ""))
 		}, next: func(b *bench) { b.pass(300 * time.Millisecond) }},
-		"is out": {come: func(b *bench) { b.up("10.0.0.1:5080") }, next: func(b *bench) { b.office(b.s.byID[7].on.id, answer(7)) }, out: true},
+		"is out": {come: func(b *bench) { b.up("10.0.0.1:5080") }, next: func(b *bench) { b.office(b.s.callsByWireID[7].conn.id, answer(7)) }, out: true},
 		"has no room": {come: func(b *bench) {
 			b.up("10.0.0.1:5080")
-			b.office(b.s.byID[7].on.id, ends(7, office.CauseNoCircuit, "blocked"))
+			b.office(b.s.callsByWireID[7].conn.id, ends(7, office.CauseNoCircuit, "blocked"))
 		}, next: func(b *bench) { b.pass(time.Second) }},
 	}
 	sent := func(b *bench, kind office.Type) (n int) {
@@ -925,7 +925,7 @@
 				if got := sent(b, office.Release); (got > 0) != st.out {
 					t.Errorf("%d releases", got)
 				}
-				if b.s.byID[7] != nil {
+				if b.s.callsByWireID[7] != nil {
 					t.Fatal("the call is kept")
 				}
 				b.up("10.0.0.1:5080")
@@ -944,7 +944,7 @@
 				b.up("10.0.0.1:5080")
 				sent(b, office.SetUp)
 				f(b, c)
-				if k := b.s.byID[7]; k != nil && (way == "CANCEL" || k.state != standing) {
+				if k := b.s.callsByWireID[7]; k != nil && (way == "CANCEL" || k.state != callEstablished) {
 					t.Fatal("the call is kept")
 				}
 				b.pass(5 * time.Second)
@@ -975,8 +975,8 @@
 		"caller's end": {do: func(b *bench, _, c ConnID) { b.apply(Input{Kind: InClosed, Conn: c}) }, gone: true},
 	}
 	timeOut := func(b *bench) {
-		b.s.fire(timer{kind: timerAttempt, id: 1, n: 0})
-		b.s.run()
+		b.s.fireTimer(timer{kind: timerAttemptTimeout, id: 1, arg: 0})
+		b.s.runDeferred()
 		b.take()
 	}
 	for name, e := range ends {
@@ -998,11 +998,11 @@
 				b.unwritten = false
 				written := b.now
 				b.apply(Input{Kind: InWritten})
-				n := b.s.offices["s-1"].count
-				if got := n.stood + n.full + n.faulted + n.timedOut + n.reset + n.noConnect + n.notSent + n.cancelled; got != 1 {
+				n := b.s.offices["s-1"].counts
+				if got := n.established + n.full + n.faulted + n.timedOut + n.reset + n.noConnect + n.notSent + n.cancelled; got != 1 {
 					t.Errorf("%d ends of one attempt: %+v", got, n)
 				}
-				if (n.stood == 1) != (first && e.stood) {
+				if (n.established == 1) != (first && e.stood) {
 					t.Errorf("stood: %+v", n)
 				}
 				for range 20 {
@@ -1056,7 +1056,7 @@
 			b := newBench(t, nil)
 			b.apply(Input{Kind: InJournal, Events: c.events})
 			var known []string
-			for _, x := range b.s.ordered() {
+			for _, x := range b.s.sortedOffices() {
 				known = append(known, fmt.Sprintf("%s %d", x.id, x.state))
 			}
 			if got := strings.Join(known, " "); got != c.known || len(b.asked) != c.asked || b.s.Pos() != c.pos {
@@ -1145,7 +1145,7 @@
 				in.Kind, in.Bytes = InClosed, nil
 			}
 			b.apply(in)
-			if len(b.sends) != 2 || b.s.totals.HungUp != 1 || b.s.totals.Departed != c.want {
+			if len(b.sends) != 2 || b.s.totals.HungUp != 1 || b.s.totals.SentAfterHangUp != c.want {
 				t.Errorf("%d attempts, %+v", len(b.sends), b.s.totals)
 			}
 		})
@@ -1232,7 +1232,7 @@
 	if open, _ := b.s.Held(); open != 0 {
 		t.Fatalf("%d calls are open longer than their class allows", open)
 	}
-	if x := b.s.offices["s-1"]; x.anyUp() {
+	if x := b.s.offices["s-1"]; x.anyConnUp() {
 		t.Fatal("connections that fell silent together are still in use")
 	}
 	c := b.caller()
@@ -1286,8 +1286,8 @@
 	if n := len(b.s.offices); n > 4 {
 		t.Errorf("%d offices kept", n)
 	}
-	if len(b.s.calls)+len(b.s.byID)+len(b.s.callers)+len(b.s.pendingReleases) != 0 || len(b.s.officeConns) > 10 {
-		t.Errorf("kept: %d calls, %d ids, %d callers, %d releases, %d connections", len(b.s.calls), len(b.s.byID), len(b.s.callers),
+	if len(b.s.calls)+len(b.s.callsByWireID)+len(b.s.callerConns)+len(b.s.pendingReleases) != 0 || len(b.s.officeConns) > 10 {
+		t.Errorf("kept: %d calls, %d ids, %d callers, %d releases, %d connections", len(b.s.calls), len(b.s.callsByWireID), len(b.s.callerConns),
 			len(b.s.pendingReleases), len(b.s.officeConns))
 	}
 }
@@ -1339,7 +1339,7 @@
 		s.Apply(Input{At: now, Kind: InAdvance})
 		settle()
 	}
-	if s.totals.Stood < id-1 {
-		b.Fatalf("%d of %d calls stood", s.totals.Stood, id)
+	if s.totals.Established < id-1 {
+		b.Fatalf("%d of %d calls stood", s.totals.Established, id)
 	}
 }
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -12,115 +12,115 @@
 
 // officeConn is one connection to an office.
 type officeConn struct {
-	id       ConnID
-	to       *exchange
-	in       office.Framer
-	up       bool
-	stuck    bool // bytes wait that TCP does not take
-	shut     bool // from our side: only what was on its way still comes
-	shutAt   time.Duration
-	lingers  bool // shut, and read on for as long as its office is out of reach
-	suspect  bool // an answer is missing on it: it gets nothing new, and is closed when nothing is open on it
-	open     []*call
-	born     time.Duration
-	heard    time.Duration // when the last bytes came
-	messages int
-	told     bool // its office has told the state of its group on it,
-	used     int  // first with so many circuits in use
-	releases unheard
+	id            ConnID
+	remote        *remoteOffice
+	framer        office.Framer
+	up            bool
+	writeBlocked  bool // bytes wait that TCP does not take
+	halfClosed    bool // from our side: only what was on its way still comes
+	halfClosedAt  time.Duration
+	lingering     bool // shut, and read on for as long as its office is out of reach
+	suspect       bool // an answer is missing on it: it gets nothing new, and is closed when nothing is open on it
+	outstanding   []*activeCall
+	openedAt      time.Duration
+	lastActivity  time.Duration // when the last bytes came
+	messageCount  int
+	stateReported bool // its office has told the state of its group on it,
+	circuitsInUse int  // first with so many circuits in use
+	unconfirmed   unconfirmedReleases
 }
 
 // best is the connection for something new: the one with the least open on it.
-func (x *exchange) best(not ...ConnID) *officeConn {
+func (r *remoteOffice) leastLoadedConn(excluded ...ConnID) *officeConn {
 	var best *officeConn
-	for _, a := range x.officeConns {
-		if a.up && !a.stuck && !a.suspect && !a.shut && !slices.Contains(not, a.id) && (best == nil || len(a.open) < len(best.open)) {
-			best = a
+	for _, conn := range r.conns {
+		if conn.up && !conn.writeBlocked && !conn.suspect && !conn.halfClosed && !slices.Contains(excluded, conn.id) && (best == nil || len(conn.outstanding) < len(best.outstanding)) {
+			best = conn
 		}
 	}
 	return best
 }
 
 // connections counts those to an office that can still carry something new.
-type connections struct {
-	kept, dialling, idle int
-	oldest               *officeConn // idle one
+type connCounts struct {
+	usable, dialling, idle int
+	oldestIdle             *officeConn // idle one
 }
 
-func (x *exchange) connections() (n connections) {
-	for _, a := range x.officeConns {
-		if a.shut {
+func (r *remoteOffice) countConns() (counts connCounts) {
+	for _, conn := range r.conns {
+		if conn.halfClosed {
 			continue
 		}
-		n.kept++
+		counts.usable++
 		switch {
-		case !a.up:
-			n.dialling++
-		case len(a.open) == 0 && !a.suspect && !a.stuck:
-			if n.idle++; n.oldest == nil {
-				n.oldest = a
+		case !conn.up:
+			counts.dialling++
+		case len(conn.outstanding) == 0 && !conn.suspect && !conn.writeBlocked:
+			if counts.idle++; counts.oldestIdle == nil {
+				counts.oldestIdle = conn
 			}
 		}
 	}
-	return n
+	return counts
 }
 
 // ensureIdle sees to it that an office has a connection for the next attempt.
-func (s *Server) ensureIdle(x *exchange) {
-	if x.state == logic.Gone || x.cell == s.cfg.Settings.Home && !s.cfg.Settings.Pools {
+func (s *Server) ensureIdleConn(remote *remoteOffice) {
+	if remote.state == logic.Gone || remote.exchange == s.cfg.Settings.Home && !s.cfg.Settings.Pools {
 		return
 	}
-	n := x.connections()
-	if n.dialling > 0 || n.idle > 0 && len(x.waiting) == 0 || n.kept >= s.share()+len(x.waiting) || s.now < x.redialAt {
+	counts := remote.countConns()
+	if counts.dialling > 0 || counts.idle > 0 && len(remote.waitingCalls) == 0 || counts.usable >= s.maxConnsToOffice()+len(remote.waitingCalls) || s.now < remote.redialAt {
 		return
 	}
-	s.dial(x)
+	s.dialOffice(remote)
 }
 
-func (s *Server) dial(x *exchange) {
-	s.makeRoom()
-	s.lastConn++
-	a := &officeConn{id: s.lastConn, to: x, born: s.now}
-	x.officeConns, s.officeConns[a.id] = append(x.officeConns, a), a
-	x.health.Dialled(s.now)
-	s.trace("dial", "", x.id, a.id, "", 0)
-	s.emit(Dial{Conn: a.id, Addr: x.addr, Within: s.cfg.ConnectTimeout})
+func (s *Server) dialOffice(remote *remoteOffice) {
+	s.evictLingeringConn()
+	s.lastConnID++
+	conn := &officeConn{id: s.lastConnID, remote: remote, openedAt: s.now}
+	remote.conns, s.officeConns[conn.id] = append(remote.conns, conn), conn
+	remote.detector.Dialled(s.now)
+	s.trace("dial", "", remote.id, conn.id, "", 0)
+	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Within: s.cfg.ConnectTimeout})
 }
 
 // armCheck looks at an office's connections from now on while there is something to see.
-func (s *Server) armCheck(x *exchange) {
-	if !x.checkArmed {
-		x.checkArmed = true
-		s.arm(checkInterval, timer{kind: timerCheckConns, at: x.id})
+func (s *Server) armConnCheck(remote *remoteOffice) {
+	if !remote.connCheckArmed {
+		remote.connCheckArmed = true
+		s.armTimer(connCheckInterval, timer{kind: timerCheckConns, officeID: remote.id})
 	}
 }
 
 // ended takes the news that a connection is no more, or in doubt. What its office wrote on it last may be lost.
-func (s *Server) ended(x *exchange) {
-	x.lost = s.now
-	s.openFresh(x, false)
-	s.armCheck(x)
+func (s *Server) connLost(remote *remoteOffice) {
+	remote.connLostAt = s.now
+	s.openAdditionalConn(remote, false)
+	s.armConnCheck(remote)
 }
 
 // checkConns opens a fresh connection where a release may have been lost since the last look, or may be lost now.
 func (s *Server) checkConns(id string) {
-	x := s.offices[id]
-	if x == nil {
+	remote := s.offices[id]
+	if remote == nil {
 		return
 	}
-	x.checkArmed = false
-	open, slow := false, false
-	for _, a := range x.officeConns {
-		for _, k := range a.open {
-			open, slow = true, slow || s.now-k.sent >= slowAnswer
+	remote.connCheckArmed = false
+	outstanding, slow := false, false
+	for _, conn := range remote.conns {
+		for _, call := range conn.outstanding {
+			outstanding, slow = true, slow || s.now-call.sentAt >= slowAnswerThreshold
 		}
 	}
-	lost := x.lost > 0 && s.now-x.lost <= 2*checkInterval
-	if lost || slow {
-		s.openFresh(x, false)
+	recentLoss := remote.connLostAt > 0 && s.now-remote.connLostAt <= 2*connCheckInterval
+	if recentLoss || slow {
+		s.openAdditionalConn(remote, false)
 	}
-	if lost || open {
-		s.armCheck(x)
+	if recentLoss || outstanding {
+		s.armConnCheck(remote)
 	}
 }
 
@@ -129,209 +129,209 @@
 // opened while idle ones are at hand, so that the caller of a call that is over is not told in time.
 //
 // With must one is opened in any case, since nothing was heard from the office: an idle one makes room.
-func (s *Server) openFresh(x *exchange, must bool) {
-	if x.standing == 0 || x.state == logic.Gone || s.now < x.redialAt {
+func (s *Server) openAdditionalConn(remote *remoteOffice, force bool) {
+	if remote.establishedCalls == 0 || remote.state == logic.Gone || s.now < remote.redialAt {
 		return
 	}
-	n := x.connections()
-	if n.dialling > 0 && !must || n.dialling >= mostDialling {
+	counts := remote.countConns()
+	if counts.dialling > 0 && !force || counts.dialling >= maxDialling {
 		return
 	}
-	if n.kept >= s.share() && n.idle < idleConnsKept && !must {
+	if counts.usable >= s.maxConnsToOffice() && counts.idle < maxIdleConns && !force {
 		return
 	}
-	s.dialBeside(x)
+	s.dialAdditional(remote)
 }
 
 // dialBeside opens a connection to an office beside those that it has. Its oldest idle one makes room where it has as many as it
 // may, or enough; where many offices are out of reach at once the descriptors set the bound.
-func (s *Server) dialBeside(x *exchange) {
-	n := x.connections()
-	full := len(s.officeConns) >= s.cfg.Offices+s.cfg.Offices/shutPart
+func (s *Server) dialAdditional(remote *remoteOffice) {
+	counts := remote.countConns()
+	full := len(s.officeConns) >= s.cfg.Offices+s.cfg.Offices/halfClosedDivisor
 	switch {
-	case full && n.idle == 0:
+	case full && counts.idle == 0:
 		return
 	case full:
-		s.end(n.oldest, "makes room for a fresh one, and no descriptor is left to read it on")
-	case n.idle >= idleConnsKept || n.idle > 0 && n.kept >= s.share():
-		s.shut(n.oldest, "makes room for a fresh one")
+		s.closeConn(counts.oldestIdle, "makes room for a fresh one, and no descriptor is left to read it on")
+	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.usable >= s.maxConnsToOffice():
+		s.halfClose(counts.oldestIdle, "makes room for a fresh one")
 	}
-	s.dial(x)
+	s.dialOffice(remote)
 }
 
 // logConn tells what becomes of a connection to an office, and why.
-func (s *Server) logConn(text string, a *officeConn, why string) {
+func (s *Server) logConn(text string, conn *officeConn, why string) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
-		s.log(slog.LevelDebug, text, slog.String("office", a.to.id), slog.Uint64("conn", uint64(a.id)), slog.String("why", why),
-			slog.Int("open", len(a.open)), slog.Duration("silent", s.now-max(a.heard, a.born)))
+		s.log(slog.LevelDebug, text, slog.String("office", conn.remote.id), slog.Uint64("conn", uint64(conn.id)), slog.String("why", why),
+			slog.Int("open", len(conn.outstanding)), slog.Duration("silent", s.now-max(conn.lastActivity, conn.openedAt)))
 	}
 }
 
 // end closes a connection.
-func (s *Server) end(a *officeConn, why string) {
-	s.logConn("office's connection closed", a, why)
-	s.emit(Close{Conn: a.id})
-	s.remove(a)
+func (s *Server) closeConn(conn *officeConn, why string) {
+	s.logConn("office's connection closed", conn, why)
+	s.emit(Close{Conn: conn.id})
+	s.removeConn(conn)
 }
 
 // redial tries again to reach an office.
 func (s *Server) redial(id string) {
-	if x := s.offices[id]; x != nil && s.now >= x.redialAt {
-		s.ensureIdle(x)
+	if remote := s.offices[id]; remote != nil && s.now >= remote.redialAt {
+		s.ensureIdleConn(remote)
 	}
 }
 
 // connected takes the news that a connection to an office is up: what waits goes out on it.
-func (s *Server) connected(id ConnID) {
-	a := s.officeConns[id]
-	if a == nil {
+func (s *Server) officeConnected(id ConnID) {
+	conn := s.officeConns[id]
+	if conn == nil {
 		s.emit(Close{Conn: id})
 		return
 	}
-	a.up, a.born = true, s.now
-	s.trace("connected", "", a.to.id, id, "", 0)
-	x := a.to
-	x.failures = 0
-	s.reached(x, a)
-	if x.doubtBefore > 0 {
-		s.arm(liveness.AskStateWithin, timer{kind: timerVerify, at: x.id})
+	conn.up, conn.openedAt = true, s.now
+	s.trace("connected", "", conn.remote.id, id, "", 0)
+	remote := conn.remote
+	remote.dialFailures = 0
+	s.noteConnected(remote, conn)
+	if remote.unverifiedBefore > 0 {
+		s.armTimer(liveness.AskStateWithin, timer{kind: timerVerifyCalls, officeID: remote.id})
 	}
-	s.sendOfficeReleases(x)
-	waiting := x.waiting
-	x.waiting = nil
-	for _, k := range waiting {
-		s.assign(k)
+	s.flushOfficeReleases(remote)
+	waiting := remote.waitingCalls
+	remote.waitingCalls = nil
+	for _, call := range waiting {
+		s.assignConn(call)
 	}
-	s.ensureIdle(x)
+	s.ensureIdleConn(remote)
 }
 
 // failed takes the news that a connection did not come up: nothing that waited for it ran.
-func (s *Server) failed(id ConnID, refused bool) {
-	a := s.officeConns[id]
-	if a == nil {
+func (s *Server) dialFailed(id ConnID, refused bool) {
+	conn := s.officeConns[id]
+	if conn == nil {
 		return
 	}
-	x := a.to
-	s.log(slog.LevelInfo, "office not reached", slog.String("office", x.id), slog.Bool("refused", refused))
-	s.remove(a)
+	remote := conn.remote
+	s.log(slog.LevelInfo, "office not reached", slog.String("office", remote.id), slog.Bool("refused", refused))
+	s.removeConn(conn)
 	if !refused {
-		x.health.Missed()
+		remote.detector.Missed()
 	}
-	longest := lastRedial
-	if x.supervised && x.health.State() == liveness.Suspected {
-		longest = suspectRedial
+	maxDelay := maxRedialDelay
+	if remote.supervised && remote.detector.State() == liveness.Suspected {
+		maxDelay = maxSuspectRedialDelay
 	}
-	s.pauseRedial(x, x.failures, longest)
-	x.failures++
-	waiting := x.waiting
-	x.waiting = nil
-	for _, k := range waiting {
-		if b := x.best(k.previous...); b != nil {
-			s.setUp(b, k)
+	s.scheduleRedial(remote, remote.dialFailures, maxDelay)
+	remote.dialFailures++
+	waiting := remote.waitingCalls
+	remote.waitingCalls = nil
+	for _, call := range waiting {
+		if alternative := remote.leastLoadedConn(call.previousConns...); alternative != nil {
+			s.sendSetUp(alternative, call)
 			continue
 		}
-		s.over(k, logic.Outcome{Status: logic.NoConnect})
+		s.attemptEnded(call, logic.Outcome{Status: logic.NoConnect})
 	}
-	if refused && !x.anyUp() { // the process has ended, and with it what stood there
-		x.replacedAt = s.now
-		s.cutStanding(x, s.now, "its office refuses connections")
+	if refused && !remote.anyConnUp() { // the process has ended, and with it what stood there
+		remote.replacedAt = s.now
+		s.dropEstablishedCalls(remote, s.now, "its office refuses connections")
 	}
-	s.tidy(x)
+	s.cleanUpGoneOffice(remote)
 }
 
 // remove forgets a connection, and its office if that is gone.
-func (s *Server) remove(a *officeConn) {
-	s.drop(a)
-	s.tidy(a.to)
+func (s *Server) removeConn(conn *officeConn) {
+	s.deleteConn(conn)
+	s.cleanUpGoneOffice(conn.remote)
 }
 
-func (s *Server) drop(a *officeConn) {
-	delete(s.officeConns, a.id)
-	if a.shut && !a.lingers {
-		s.shuts--
+func (s *Server) deleteConn(conn *officeConn) {
+	delete(s.officeConns, conn.id)
+	if conn.halfClosed && !conn.lingering {
+		s.halfClosedConns--
 	}
-	a.to.officeConns = slices.DeleteFunc(a.to.officeConns, func(o *officeConn) bool { return o == a })
+	conn.remote.conns = slices.DeleteFunc(conn.remote.conns, func(other *officeConn) bool { return other == conn })
 }
 
 // officeConnEnded ends what was open on a connection that has ended. Calls that stand belong to no connection. One that was
 // shut and ends whole was read by its office to its end; where it is reset, what was written on it may be lost.
-func (s *Server) officeConnEnded(a *officeConn, reset bool, why string) {
-	x := a.to
-	s.logConn("office's connection ended", a, why)
-	s.remove(a)
-	if a.shut {
+func (s *Server) officeConnEnded(conn *officeConn, reset bool, why string) {
+	remote := conn.remote
+	s.logConn("office's connection ended", conn, why)
+	s.removeConn(conn)
+	if conn.halfClosed {
 		if reset {
-			s.releaseAgain(a)
+			s.resendLostReleases(conn)
 		}
 		return
 	}
-	s.pauseAfterEarlyEnd(a)
-	s.releaseAgain(a)
-	s.noteLoss(x)
-	open := a.open
-	a.open = nil
-	for _, k := range open {
-		s.over(k, logic.Outcome{Status: logic.Reset})
+	s.backOffAfterEarlyClose(conn)
+	s.resendLostReleases(conn)
+	s.noteConnLoss(remote)
+	outstanding := conn.outstanding
+	conn.outstanding = nil
+	for _, call := range outstanding {
+		s.attemptEnded(call, logic.Outcome{Status: logic.Reset})
 	}
-	s.ended(x)
-	s.ensureIdle(x)
+	s.connLost(remote)
+	s.ensureIdleConn(remote)
 }
 
 // pauseAfterEarlyEnd has an office that takes connections and ends them before it says anything be called again only after a pause:
 // nothing would bound how often. An attempt is not held up by it.
-func (s *Server) pauseAfterEarlyEnd(a *officeConn) {
-	x := a.to
-	if a.heard > 0 {
+func (s *Server) backOffAfterEarlyClose(conn *officeConn) {
+	remote := conn.remote
+	if conn.lastActivity > 0 {
 		return
 	}
-	s.pauseRedial(x, x.earlyEnds, suspectRedial)
-	x.earlyEnds++
+	s.scheduleRedial(remote, remote.earlyCloses, maxSuspectRedialDelay)
+	remote.earlyCloses++
 }
 
 // pauseRedial has an office be called again after a pause that doubles with each vain call before this one.
-func (s *Server) pauseRedial(x *exchange, before int, longest time.Duration) {
-	pause := min(firstRedial<<min(before, 8), longest)
-	x.redialAt = s.now + pause
-	s.arm(pause, timer{kind: timerRedial, at: x.id})
+func (s *Server) scheduleRedial(remote *remoteOffice, failures int, maxDelay time.Duration) {
+	delay := min(initialRedialDelay<<min(failures, 8), maxDelay)
+	remote.redialAt = s.now + delay
+	s.armTimer(delay, timer{kind: timerRedial, officeID: remote.id})
 }
 
 // spoilt closes a connection that cannot be followed any further.
-func (s *Server) spoilt(a *officeConn, why string) {
-	s.log(slog.LevelInfo, "office's connection closed", slog.String("office", a.to.id), slog.String("why", why),
-		slog.Int("open", len(a.open)))
-	s.emit(Close{Conn: a.id, Now: true})
-	s.officeConnEnded(a, true, why)
+func (s *Server) abortConn(conn *officeConn, why string) {
+	s.log(slog.LevelInfo, "office's connection closed", slog.String("office", conn.remote.id), slog.String("why", why),
+		slog.Int("open", len(conn.outstanding)))
+	s.emit(Close{Conn: conn.id, Now: true})
+	s.officeConnEnded(conn, true, why)
 }
 
 // suspectSince takes a connection out of use on which an attempt sent at a time got no answer, and with it all others
 // to an office of which nothing at all was heard since: connections of a machine that vanished stay open, and each
 // would cost a trial. What the machine's return brings comes on new ones.
-func (s *Server) suspectSince(a *officeConn, sent time.Duration) {
-	x := a.to
-	heard := slices.ContainsFunc(x.officeConns, func(o *officeConn) bool { return o.heard > sent })
-	for _, o := range slices.Clone(x.officeConns) {
-		if o == a || !heard && o.up && o.born <= sent {
-			o.suspect = true
-			s.retire(o)
+func (s *Server) suspectConnsSince(conn *officeConn, sentAt time.Duration) {
+	remote := conn.remote
+	active := slices.ContainsFunc(remote.conns, func(other *officeConn) bool { return other.lastActivity > sentAt })
+	for _, other := range slices.Clone(remote.conns) {
+		if other == conn || !active && other.up && other.openedAt <= sentAt {
+			other.suspect = true
+			s.retireConn(other)
 		}
 	}
-	s.ensureIdle(x)
+	s.ensureIdleConn(remote)
 }
 
 // retire closes a connection that gets nothing new, once nothing is open on it.
-func (s *Server) retire(a *officeConn) {
-	if a.suspect && !a.shut && len(a.open) == 0 && s.officeConns[a.id] == a {
-		s.shut(a, "suspect, and nothing is open on it")
-		s.ended(a.to)
+func (s *Server) retireConn(conn *officeConn) {
+	if conn.suspect && !conn.halfClosed && len(conn.outstanding) == 0 && s.officeConns[conn.id] == conn {
+		s.halfClose(conn, "suspect, and nothing is open on it")
+		s.connLost(conn.remote)
 	}
 }
 
 // stuck takes the news that TCP takes no more bytes of a connection, or does again.
-func (s *Server) stuck(id ConnID, on bool) {
-	if a := s.officeConns[id]; a != nil {
-		a.stuck = on
-		if on {
-			s.ensureIdle(a.to)
+func (s *Server) setWriteBlocked(id ConnID, blocked bool) {
+	if conn := s.officeConns[id]; conn != nil {
+		conn.writeBlocked = blocked
+		if blocked {
+			s.ensureIdleConn(conn.remote)
 		}
 	}
 }
--- /dev/null
+++ b/callserver/discovery.go
@@ -0,0 +1,217 @@
+package callserver
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"finchlatch/feed"
+	"finchlatch/logic"
+	"finchlatch/office"
+)
+
+// begin takes the list as the configuration has it.
+func (s *Server) loadSnapshot(snapshot feed.Known) {
+	s.position = snapshot.Pos
+	var offices []logic.Office
+	for i := range snapshot.Entries {
+		for _, o := range s.applyMembers(&snapshot.Entries[i].Hosts) {
+			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == o.ID })
+			offices = append(offices, o)
+		}
+	}
+	s.controller.List(s.now, logic.ListRestored, offices)
+	s.connectToOffices()
+}
+
+// journal takes a numbered change of the list: the next one, a copy of an old one, or one after a gap.
+func (s *Server) applyDiscoveryEvent(event *feed.Event) {
+	if event.Pos <= s.position {
+		return
+	}
+	if event.Pos > s.position+1 && !event.Hosts.Complete {
+		s.log(slog.LevelWarn, "journal has a gap", slog.Uint64("from", s.position), slog.Uint64("to", event.Pos))
+		s.position = 0
+		s.emit(AskJournal{})
+		return
+	}
+	s.position, s.discoveryChangedAt = event.Pos, s.now
+	kind := logic.ListUpdate
+	if event.Hosts.Complete {
+		kind = logic.ListReplace
+		s.removeUnlisted(event.Hosts.Members)
+	}
+	s.controller.List(s.now, kind, s.applyMembers(&event.Hosts))
+	s.connectToOffices()
+}
+
+// dropUnnamed takes offices that a whole list leaves out for gone.
+func (s *Server) removeUnlisted(members []feed.Member) {
+	for _, remote := range s.sortedOffices() {
+		if remote.state != logic.Gone && !slices.ContainsFunc(members, func(m feed.Member) bool { return m.ID == remote.id }) {
+			s.officeLeaving(remote, logic.Gone)
+		}
+	}
+}
+
+// ordered gives the offices in the order of their ids.
+func (s *Server) sortedOffices() []*remoteOffice {
+	all := make([]*remoteOffice, 0, len(s.offices))
+	for _, remote := range s.offices {
+		all = append(all, remote)
+	}
+	slices.SortFunc(all, func(a, b *remoteOffice) int {
+		if a.id < b.id {
+			return -1
+		}
+		return 1
+	})
+	return all
+}
+
+var stateByPhase = map[feed.Phase]logic.OfficeState{feed.Serving: logic.Ready, feed.Draining: logic.Draining,
+	feed.Deleted: logic.Gone}
+
+// enlist takes entries of the list, in its form for the Controller.
+func (s *Server) applyMembers(hosts *feed.Hosts) []logic.Office {
+	offices := make([]logic.Office, 0, len(hosts.Members))
+	var added []*remoteOffice
+	for _, member := range hosts.Members {
+		started := time.Duration(member.UpSince) * time.Millisecond
+		state := stateByPhase[member.Phase]
+		offices = append(offices, logic.Office{ID: member.ID, Exchange: member.Cell, State: state, Started: started})
+		remote := s.offices[member.ID]
+		if remote == nil {
+			if state == logic.Gone {
+				continue
+			}
+			remote = &remoteOffice{id: member.ID, addr: member.Addr, startedAt: started, exchange: member.Cell}
+			s.offices[member.ID] = remote
+			added = append(added, remote)
+		}
+		s.log(slog.LevelInfo, "office", slog.String("office", member.ID), slog.String("state", string(member.Phase)),
+			slog.Int("cell", member.Cell), slog.Int64("up_since_ms", member.UpSince))
+		remote.exchange = member.Cell
+		if member.Addr != "" && state != logic.Gone {
+			remote.addr = member.Addr
+		}
+		if remote.startedAt != started {
+			remote.startedAt = started
+			s.officeRestarted(remote)
+		}
+		if state == logic.Ready {
+			remote.state = logic.Ready
+		} else if remote.state != state {
+			s.officeLeaving(remote, state)
+		}
+	}
+	for _, remote := range added {
+		s.takeOverCalls(remote)
+	}
+	return offices
+}
+
+// restarted forgets what was known of an earlier process of an office; what has begun since is the new one's.
+func (s *Server) officeRestarted(remote *remoteOffice) {
+	s.dropEstablishedCalls(remote, remote.startedAt, "its office has started anew")
+	for _, conn := range slices.Clone(remote.conns) {
+		if conn.up && conn.openedAt < remote.startedAt {
+			s.abortConn(conn, "the office has started anew")
+		}
+	}
+	remote.dialFailures, remote.redialAt = 0, 0
+}
+
+// leave takes the news that an office drains or is gone: what has not gone out to it within the grace never does.
+func (s *Server) officeLeaving(remote *remoteOffice, state logic.OfficeState) {
+	if remote.state == logic.Ready {
+		s.armTimer(s.cfg.Settings.DrainGrace/2, timer{kind: timerDrainGrace, officeID: remote.id})
+	}
+	remote.state = state
+	if state == logic.Gone {
+		s.dropEstablishedCalls(remote, s.latestProcessEnd(remote), "the list says that its office is gone")
+		s.handOverCalls(remote)
+		s.cleanUpGoneOffice(remote)
+	}
+}
+
+// graceOver ends the attempts that still wait for a connection to an office that leaves.
+func (s *Server) drainGraceExpired(id string) {
+	remote := s.offices[id]
+	if remote == nil || remote.state == logic.Ready {
+		return
+	}
+	waiting := remote.waitingCalls
+	remote.waitingCalls = nil
+	for _, call := range waiting {
+		s.attemptEnded(call, logic.Outcome{Status: logic.NotSent})
+	}
+	for _, conn := range slices.Clone(remote.conns) {
+		if conn.writeBlocked {
+			s.abortConn(conn, "set-ups wait for an office that leaves")
+		}
+	}
+}
+
+// cutStanding ends the calls that stood at an office before its process ended.
+func (s *Server) dropEstablishedCalls(remote *remoteOffice, ended time.Duration, why string) {
+	if remote.establishedCalls == 0 {
+		return
+	}
+	s.log(slog.LevelInfo, "calls cut with their office", slog.String("office", remote.id), slog.Int("calls", remote.establishedCalls), slog.String("why", why))
+	for _, call := range s.callsInOrder() {
+		if call.state == callEstablished && call.remote == remote && call.answeredAt <= ended {
+			s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, why)
+		}
+	}
+}
+
+// tidy forgets an office that is gone once nothing is open to it.
+func (s *Server) cleanUpGoneOffice(remote *remoteOffice) {
+	if remote.state != logic.Gone || s.offices[remote.id] != remote {
+		return
+	}
+	for _, conn := range slices.Clone(remote.conns) {
+		if len(conn.outstanding) == 0 {
+			s.logConn("office's connection closed", conn, "its office is gone")
+			s.emit(Close{Conn: conn.id})
+			s.deleteConn(conn)
+		}
+	}
+	if len(remote.conns) == 0 && len(remote.waitingCalls) == 0 && remote.establishedCalls == 0 {
+		s.logCounts(remote)
+		delete(s.offices, remote.id)
+	}
+}
+
+// connect opens a connection to each office: the state of its group comes on it.
+func (s *Server) connectToOffices() {
+	for _, remote := range s.sortedOffices() {
+		s.ensureIdleConn(remote)
+	}
+}
+
+// logCounts tells what passed between us and an office.
+func (s *Server) logCounts(remote *remoteOffice) {
+	counts := remote.counts
+	s.log(slog.LevelInfo, "office's counts", slog.String("office", remote.id), slog.Uint64("sent", counts.sent), slog.Uint64("sent_cold", counts.sentCold),
+		slog.Uint64("stood", counts.established),
+		slog.Uint64("full", counts.full), slog.Uint64("faulted", counts.faulted), slog.Uint64("timed_out", counts.timedOut),
+		slog.Uint64("reset", counts.reset), slog.Uint64("no_connect", counts.noConnect), slog.Uint64("not_sent", counts.notSent),
+		slog.Uint64("cancelled", counts.cancelled), slog.Int("standing", remote.establishedCalls),
+		slog.Int("pending_releases", len(remote.pendingReleases)), slog.Int("connections", len(remote.conns)))
+}
+
+// LogTotals tells what was answered, and what passed to and from each office.
+func (s *Server) LogTotals() {
+	totals := s.totals
+	open, established := s.Held()
+	s.log(slog.LevelInfo, "totals", slog.Uint64("offered", totals.Offered), slog.Uint64("stood", totals.Established), slog.Uint64("refused", totals.Refused),
+		slog.Uint64("failed", totals.Failed), slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
+		slog.Duration("list_age", s.now-s.discoveryChangedAt),
+		slog.Uint64("unreadable", totals.Malformed), slog.Int("open", open),
+		slog.Int("standing", established), slog.Int("pending_releases", len(s.pendingReleases)), slog.Int("callers", len(s.callerConns)), slog.Int("offices", len(s.officeConns)))
+	for _, remote := range s.sortedOffices() {
+		s.logCounts(remote)
+	}
+}
--- a/callserver/host.go
+++ b/callserver/host.go
@@ -12,114 +12,114 @@
 type host struct{ s *Server }
 
 // Send starts an attempt. What stands in its way is an outcome, told after the Controller has finished.
-func (h host) Send(id uint64, to string, timeout time.Duration) {
+func (h host) Send(callID uint64, officeID string, timeout time.Duration) {
 	s := h.s
-	k, x := s.calls[id], s.offices[to]
-	if k == nil || k.trying || x == nil {
-		s.log(slog.LevelError, "attempt that cannot be made", slog.Uint64("call", id), slog.String("office", to))
+	call, remote := s.calls[callID], s.offices[officeID]
+	if call == nil || call.attemptActive || remote == nil {
+		s.log(slog.LevelError, "attempt that cannot be made", slog.Uint64("call", callID), slog.String("office", officeID))
 		return
 	}
-	s.emit(Decision{At: s.now, Call: id, Act: logic.ActSend, Office: to, Within: timeout})
-	s.logDecision("attempt", k, slog.Int("number", k.attempts), slog.String("office", to), slog.Duration("within", timeout))
-	k.attempts++
-	k.at, k.sent, k.deadline, k.trying = x, s.now, s.now+timeout, true
-	x.count.sent++
-	if x.started > 0 && s.now-x.started < s.cfg.Settings.ColdFor {
-		x.count.cold++
+	s.emit(Decision{At: s.now, Call: callID, Act: logic.ActSend, Office: officeID, Within: timeout})
+	s.logDecision("attempt", call, slog.Int("number", call.attempts), slog.String("office", officeID), slog.Duration("within", timeout))
+	call.attempts++
+	call.remote, call.sentAt, call.attemptDeadline, call.attemptActive = remote, s.now, s.now+timeout, true
+	remote.counts.sent++
+	if remote.startedAt > 0 && s.now-remote.startedAt < s.cfg.Settings.ColdFor {
+		remote.counts.sentCold++
 	}
-	n := k.attempts - 1
-	s.arm(timeout, timer{kind: timerAttempt, id: id, n: n})
-	if x.state != logic.Ready || s.byID[k.wire] != k {
-		s.endLater(k, n, logic.NotSent)
+	attempt := call.attempts - 1
+	s.armTimer(timeout, timer{kind: timerAttemptTimeout, id: callID, arg: attempt})
+	if remote.state != logic.Ready || s.callsByWireID[call.wireID] != call {
+		s.deferAttemptEnd(call, attempt, logic.NotSent)
 		return
 	}
-	s.assign(k)
+	s.assignConn(call)
 }
 
 // endLater ends an attempt after the Controller has finished what it is doing.
-func (s *Server) endLater(k *call, attempt int, status logic.Status) {
-	s.later(func() {
-		if k.out() && k.attempts-1 == attempt {
-			s.over(k, logic.Outcome{Status: status})
+func (s *Server) deferAttemptEnd(call *activeCall, attempt int, status logic.Status) {
+	s.deferWork(func() {
+		if call.outstanding() && call.attempts-1 == attempt {
+			s.attemptEnded(call, logic.Outcome{Status: status})
 		}
 	})
 }
 
 // logDecision tells of a decision about a call, with what came before it: attempts made and how the last one ended.
-func (s *Server) logDecision(text string, k *call, attrs ...slog.Attr) {
+func (s *Server) logDecision(text string, call *activeCall, attrs ...slog.Attr) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
-		attrs = append(attrs, slog.String("call", k.callID), slog.Int("attempts", k.attempts), slog.String("last", string(k.lastStatus)),
-			slog.Int("last_note", k.lastNote), slog.Duration("age", s.now-k.offered))
+		attrs = append(attrs, slog.String("call", call.callID), slog.Int("attempts", call.attempts), slog.String("last", string(call.lastStatus)),
+			slog.Int("last_note", call.lastNote), slog.Duration("age", s.now-call.offeredAt))
 		s.log(slog.LevelDebug, text, attrs...)
 	}
 }
 
 // Refuse is a final answer: trying again is harmless.
-func (h host) Refuse(id uint64, wait time.Duration) {
-	if k := h.s.calls[id]; k != nil {
-		h.s.emit(Decision{At: h.s.now, Call: id, Act: logic.ActRefuse})
-		h.s.logDecision("call refused", k, slog.Duration("come_back", wait))
+func (h host) Refuse(callID uint64, retryAfter time.Duration) {
+	if call := h.s.calls[callID]; call != nil {
+		h.s.emit(Decision{At: h.s.now, Call: callID, Act: logic.ActRefuse})
+		h.s.logDecision("call refused", call, slog.Duration("come_back", retryAfter))
 		h.s.totals.Refused++
 		seconds := 0
 		if h.s.cfg.Settings.TellsWait {
-			seconds = int((wait + time.Second - 1) / time.Second)
+			seconds = int((retryAfter + time.Second - 1) / time.Second)
 		}
-		h.s.refuse(k, 503, seconds)
+		h.s.refuseCall(call, 503, seconds)
 	}
 }
 
 // Fail is a final answer.
-func (h host) Fail(id uint64) {
-	if k := h.s.calls[id]; k != nil {
-		h.s.emit(Decision{At: h.s.now, Call: id, Act: logic.ActFail})
-		h.s.logDecision("call failed", k)
+func (h host) Fail(callID uint64) {
+	if call := h.s.calls[callID]; call != nil {
+		h.s.emit(Decision{At: h.s.now, Call: callID, Act: logic.ActFail})
+		h.s.logDecision("call failed", call)
 		h.s.totals.Failed++
-		h.s.refuse(k, 500, 0)
+		h.s.refuseCall(call, 500, 0)
 	}
 }
 
 // Cancel releases an attempt that has no answer yet.
-func (h host) Cancel(id uint64, attempt int) {
+func (h host) Cancel(callID uint64, attempt int) {
 	s := h.s
-	k := s.calls[id]
-	if k == nil || !k.out() || k.attempts-1 != attempt {
+	call := s.calls[callID]
+	if call == nil || !call.outstanding() || call.attempts-1 != attempt {
 		return
 	}
-	s.emit(Decision{At: s.now, Call: id, Act: logic.ActCancel, Office: k.at.id})
-	s.giveUp(k, logic.Cancelled)
+	s.emit(Decision{At: s.now, Call: callID, Act: logic.ActCancel, Office: call.remote.id})
+	s.releaseAttempt(call, logic.Cancelled)
 }
 
 // probe is a test of an office that is out.
 type probe struct {
-	office string
-	sent   time.Duration
+	officeID string
+	sentAt   time.Duration
 }
 
 // Probe tests an office.
-func (h host) Probe(to string) {
+func (h host) Probe(officeID string) {
 	s := h.s
-	x := s.offices[to]
-	if x == nil {
+	remote := s.offices[officeID]
+	if remote == nil {
 		return
 	}
-	s.lastCall++
-	id := s.lastCall
-	s.probes[id] = &probe{office: to, sent: s.now}
-	s.arm(s.cfg.ConnectTimeout, timer{kind: timerProbe, id: id})
-	if a := x.best(); a != nil {
-		s.send(a, &office.Message{Type: office.Test, Call: id, HasCause: true})
+	s.lastCallID++
+	id := s.lastCallID
+	s.probes[id] = &probe{officeID: officeID, sentAt: s.now}
+	s.armTimer(s.cfg.ConnectTimeout, timer{kind: timerProbeTimeout, id: id})
+	if conn := remote.leastLoadedConn(); conn != nil {
+		s.sendToOffice(conn, &office.Message{Type: office.Test, Call: id, HasCause: true})
 	}
 }
 
 // probeOver reports the end of a test; without an answer it has failed.
-func (s *Server) probeOver(id uint64, r logic.Report) {
+func (s *Server) finishProbe(id uint64, report logic.Report) {
 	p := s.probes[id]
 	if p == nil {
 		return
 	}
 	delete(s.probes, id)
-	r.Office, r.Took = p.office, s.now-p.sent
-	s.ctl.Report(s.now, r)
+	report.Office, report.Took = p.officeID, s.now-p.sentAt
+	s.controller.Report(s.now, report)
 }
 
 // Tell is not allowed by the platform: call servers share nothing.
@@ -127,7 +127,7 @@
 
 // Timer arms a timer of the Controller.
 func (h host) Timer(wait time.Duration, mark string) {
-	h.s.arm(wait, timer{kind: timerMark, mark: mark})
+	h.s.armTimer(wait, timer{kind: timerController, controllerMark: mark})
 }
 
 // Watch is not needed: the list comes by itself.
--- a/callserver/officeinput.go
+++ b/callserver/officeinput.go
@@ -7,144 +7,144 @@
 	"finchlatch/office"
 )
 
-func (s *Server) send(a *officeConn, m *office.Message) {
-	b, err := office.Append(nil, m)
+func (s *Server) sendToOffice(conn *officeConn, msg *office.Message) {
+	b, err := office.Append(nil, msg)
 	if err != nil {
 		s.log(slog.LevelError, "message that cannot be written", slog.String("err", err.Error()))
 		return
 	}
-	s.traceOffice("to office", a, m)
-	s.emit(Write{Conn: a.id, Bytes: b})
+	s.traceOffice("to office", conn, msg)
+	s.emit(Write{Conn: conn.id, Bytes: b})
 }
 
 // fromOffice takes bytes of an office.
-func (s *Server) fromOffice(a *officeConn, b []byte) {
-	a.heard = s.now
-	a.to.earlyEnds = 0
-	s.heardBytes(a.to)
-	a.in.Write(b)
-	for s.officeConns[a.id] == a {
-		m, err := a.in.Next()
+func (s *Server) receiveFromOffice(conn *officeConn, data []byte) {
+	conn.lastActivity = s.now
+	conn.remote.earlyCloses = 0
+	s.noteActivity(conn.remote)
+	conn.framer.Write(data)
+	for s.officeConns[conn.id] == conn {
+		msg, err := conn.framer.Next()
 		if err != nil {
-			s.spoilt(a, err.Error())
+			s.abortConn(conn, err.Error())
 			return
 		}
-		if m == nil {
+		if msg == nil {
 			break
 		}
-		a.messages++
-		s.officeMessage(a, m)
+		conn.messageCount++
+		s.handleOfficeMessage(conn, msg)
 	}
-	if s.officeConns[a.id] == a && a.in.Waiting() > 0 {
-		s.arm(endWithin, timer{kind: timerUnfinished, id: uint64(a.id), n: a.messages})
+	if s.officeConns[conn.id] == conn && conn.framer.Waiting() > 0 {
+		s.armTimer(unfinishedMessageTimeout, timer{kind: timerUnfinishedMessage, id: uint64(conn.id), arg: conn.messageCount})
 	}
 }
 
 // checkUnfinished closes a connection whose message has not ended.
-func (s *Server) checkUnfinished(id ConnID, messages int) {
-	if a := s.officeConns[id]; a != nil && a.in.Waiting() > 0 && a.messages == messages {
-		s.spoilt(a, "a message without an end")
+func (s *Server) checkUnfinishedMessage(id ConnID, messageCount int) {
+	if conn := s.officeConns[id]; conn != nil && conn.framer.Waiting() > 0 && conn.messageCount == messageCount {
+		s.abortConn(conn, "a message without an end")
 	}
 }
 
 // officeMessage takes one message of an office.
-func (s *Server) officeMessage(a *officeConn, m *office.Message) {
-	s.traceOffice("from office", a, m)
-	switch m.Type {
+func (s *Server) handleOfficeMessage(conn *officeConn, msg *office.Message) {
+	s.traceOffice("from office", conn, msg)
+	switch msg.Type {
 	case office.Answer:
-		s.answer(a, m)
+		s.handleAnswer(conn, msg)
 	case office.Release:
-		s.released(a, m)
+		s.handleRelease(conn, msg)
 	case office.Heard:
-		a.releases.heard(m.Call)
+		conn.unconfirmed.confirm(msg.Call)
 	case office.GroupState:
-		load, err := m.Values(s.cfg.Settings.ReportFields)
+		load, err := msg.Values(s.cfg.Settings.ReportFields)
 		if err != nil {
-			s.spoilt(a, err.Error())
+			s.abortConn(conn, err.Error())
 			return
 		}
-		a.takeState(s.cfg.Settings.ReportFields, load)
+		conn.recordGroupState(s.cfg.Settings.ReportFields, load)
 		// A change is told on each connection. A copy that comes after a set-up of ours would bring back the circuit
 		// that it has just taken.
-		if x := a.to; m.Load == x.load && x.lastReporter != a && s.officeConns[x.lastReporter.id] == x.lastReporter {
+		if remote := conn.remote; msg.Load == remote.groupState && remote.lastReporter != conn && s.officeConns[remote.lastReporter.id] == remote.lastReporter {
 			return
 		}
-		a.to.load, a.to.lastReporter = m.Load, a
-		s.ctl.Report(s.now, logic.Report{Office: a.to.id, OK: !m.HasCause || m.Cause == 1, Load: load})
+		conn.remote.groupState, conn.remote.lastReporter = msg.Load, conn
+		s.controller.Report(s.now, logic.Report{Office: conn.remote.id, OK: !msg.HasCause || msg.Cause == 1, Load: load})
 	case office.TestReport:
-		load, err := m.Values(s.cfg.Settings.ReportFields)
-		s.probeOver(m.Call, logic.Report{OK: err == nil && m.HasCause && m.Cause == 1, Load: load})
+		load, err := msg.Values(s.cfg.Settings.ReportFields)
+		s.finishProbe(msg.Call, logic.Report{OK: err == nil && msg.HasCause && msg.Cause == 1, Load: load})
 	}
 }
 
 // answer takes an answer: the call stands, if its caller still waits.
-func (s *Server) answer(a *officeConn, m *office.Message) {
-	k := a.find(m.Call)
+func (s *Server) handleAnswer(conn *officeConn, msg *office.Message) {
+	call := conn.findAttempt(msg.Call)
 	switch {
-	case k == nil:
-	case !office.GoodDescription(m.Description):
-		s.send(a, &office.Message{Type: office.Release, Call: m.Call, Cause: office.CauseNormal, HasCause: true})
-		s.spoilt(a, "a description that cannot be read")
-	case s.byID[k.wire] != k:
+	case call == nil:
+	case !office.GoodDescription(msg.Description):
+		s.sendToOffice(conn, &office.Message{Type: office.Release, Call: msg.Call, Cause: office.CauseNormal, HasCause: true})
+		s.abortConn(conn, "a description that cannot be read")
+	case s.callsByWireID[call.wireID] != call:
 		// Where attempts can't be cancelled, one goes on after its caller has been answered or has gone.
-		s.send(a, &office.Message{Type: office.Release, Call: m.Call, Cause: office.CauseNormal, HasCause: true})
-		s.over(k, logic.Outcome{Status: logic.Cancelled})
-		s.retire(a)
+		s.sendToOffice(conn, &office.Message{Type: office.Release, Call: msg.Call, Cause: office.CauseNormal, HasCause: true})
+		s.attemptEnded(call, logic.Outcome{Status: logic.Cancelled})
+		s.retireConn(conn)
 	default:
-		s.stands(k, m)
-		s.retire(a)
+		s.establishCall(call, msg)
+		s.retireConn(conn)
 	}
 }
 
 // find is the call whose attempt is out on a connection.
-func (a *officeConn) find(wire uint64) *call {
-	for _, k := range a.open {
-		if k.wire == wire {
-			return k
+func (c *officeConn) findAttempt(wireID uint64) *activeCall {
+	for _, call := range c.outstanding {
+		if call.wireID == wireID {
+			return call
 		}
 	}
 	return nil
 }
 
 // released takes a release: the end of an attempt, or of a call that stands.
-func (s *Server) released(a *officeConn, m *office.Message) {
-	load, err := m.Values(s.cfg.Settings.ReportFields)
+func (s *Server) handleRelease(conn *officeConn, msg *office.Message) {
+	load, err := msg.Values(s.cfg.Settings.ReportFields)
 	if err != nil {
-		s.spoilt(a, err.Error())
+		s.abortConn(conn, err.Error())
 		return
 	}
-	k := s.byID[m.Call]
-	if k != nil && k.at == a.to && k.state == settingUp && m.HasCause && m.Cause == office.CauseNormal {
-		s.overBeforeAnswer(k, a, load) // so ends only what has stood
+	call := s.callsByWireID[msg.Call]
+	if call != nil && call.remote == conn.remote && call.state == callSettingUp && msg.HasCause && msg.Cause == office.CauseNormal {
+		s.endedBeforeAnswer(call, conn, load) // so ends only what has stood
 		return
 	}
-	if k := a.find(m.Call); k != nil {
-		o := logic.Outcome{Status: logic.Reset, Note: notes[m.Note], Load: load}
-		if status, ok := statuses[m.Cause]; ok && m.HasCause {
-			o.Status = status
+	if call := conn.findAttempt(msg.Call); call != nil {
+		outcome := logic.Outcome{Status: logic.Reset, Note: noteCodes[msg.Note], Load: load}
+		if status, ok := statusByCause[msg.Cause]; ok && msg.HasCause {
+			outcome.Status = status
 		}
-		if o.Status == logic.Reset && m.Cause == office.CauseTemporary {
-			s.broken(k, a, o)
+		if outcome.Status == logic.Reset && msg.Cause == office.CauseTemporary {
+			s.setUpFailed(call, conn, outcome)
 			return
 		}
-		s.over(k, o)
-		s.retire(a)
+		s.attemptEnded(call, outcome)
+		s.retireConn(conn)
 		return
 	}
-	if k == nil {
-		s.strays.add(m.Call, max(1, m.Cause))
+	if call == nil {
+		s.unclaimed.add(msg.Call, max(1, msg.Cause))
 		return
 	}
-	if !k.at.sharesAddress(a.to) || k.state == settingUp {
+	if !call.remote.sharesAddress(conn.remote) || call.state == callSettingUp {
 		return // of a call that is over already, or of an attempt that is
 	}
-	if s.ofEarlier(k, a, m.Cause) {
+	if s.belongsToEarlierAttempt(call, conn, msg.Cause) {
 		return
 	}
-	if m.HasCause && m.Cause == office.CauseNormal {
-		s.endStanding(k, logic.Ended, m.Cause, load, "ended by its office")
+	if msg.HasCause && msg.Cause == office.CauseNormal {
+		s.endEstablished(call, logic.Ended, msg.Cause, load, "ended by its office")
 		return
 	}
-	s.endStanding(k, logic.Reset, max(1, m.Cause), load, "cut by its office")
-	s.cut()
+	s.endEstablished(call, logic.Reset, max(1, msg.Cause), load, "cut by its office")
+	s.callDropped()
 }
--- a/callserver/shutting_test.go
+++ b/callserver/shutting_test.go
@@ -27,7 +27,7 @@
 func TestASilenceThatBeginsAsAConnectionIsShut(t *testing.T) {
 	b, c := benchWithCalls(t, 7)
 	old := b.s.officeConns[b.conns()[0]]
-	b.s.shut(old, "as it makes room")
+	b.s.halfClose(old, "as it makes room")
 	b.pass(time.Millisecond)
 	b.up("10.0.0.1:5080")
 	b.vanishes(5 * time.Second)
@@ -52,7 +52,7 @@
 			t.Errorf("%s: closed while a release may be held back", name)
 		}
 		ends(b)
-		b.pass(shutWithin + time.Millisecond)
+		b.pass(halfClosedTimeout + time.Millisecond)
 		if b.s.officeConns[old[0]] != nil {
 			t.Errorf("%s: never closed", name)
 		}
@@ -61,7 +61,7 @@
 
 // Connections that are shut and read on make room for new ones where descriptors are short.
 func TestConnectionsThatLingerMakeRoom(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Offices = shutPart })
+	b := newBench(t, func(c *Config) { c.Offices = halfClosedDivisor })
 	b.up("10.0.0.1:5080")
 	c := b.caller()
 	b.stand(c, 7)
@@ -71,21 +71,21 @@
 		b.vanishes(100 * time.Millisecond)
 		most = max(most, len(b.s.officeConns))
 		for _, a := range b.s.officeConns {
-			lingered = lingered || a.lingers
+			lingered = lingered || a.lingering
 		}
 	}
-	if limit := b.s.cfg.Offices + mostDialling; most > limit || !lingered {
+	if limit := b.s.cfg.Offices + maxDialling; most > limit || !lingered {
 		t.Errorf("%d connections, at most %d may be; one lingered: %v", most, limit, lingered)
 	}
-	if b.s.shuts < 0 {
-		t.Errorf("%d connections are counted as shut", b.s.shuts)
+	if b.s.halfClosedConns < 0 {
+		t.Errorf("%d connections are counted as shut", b.s.halfClosedConns)
 	}
 }
 
 // A release that was written on a connection which had gone silent goes out again when that ends, however late.
 func TestAReleaseOnASilentConnectionGoesOutAgain(t *testing.T) {
 	b, c := benchWithCalls(t, 7, 8)
-	on := b.s.byID[7].on.id
+	on := b.s.callsByWireID[7].conn.id
 	b.say(c, request("BYE", 7))
 	b.heard(c)
 	if got := b.sent(on); len(got) != 1 || got[0].Type != office.Release {
@@ -103,9 +103,9 @@
 func TestAReleaseOnAConnectionThatIsResetAfterItWasShut(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		b, c := benchWithCalls(t, 7, 8)
-		on := b.s.byID[7].on
+		on := b.s.callsByWireID[7].conn
 		b.say(c, request("BYE", 7))
-		b.s.shut(on, "as it makes room")
+		b.s.halfClose(on, "as it makes room")
 		b.apply(Input{Kind: InClosed, Conn: on.id, Reset: reset})
 		if got := b.count(office.Release)[7]; got != map[bool]int{true: 1, false: 0}[reset] {
 			t.Errorf("reset %v: the office is told %d times on other connections", reset, got)
--- a/callserver/succession_test.go
+++ b/callserver/succession_test.go
@@ -30,7 +30,7 @@
 // standsAt checks where a call stands.
 func (b *bench) standsAt(id uint64, office string) {
 	b.t.Helper()
-	if k := b.s.byID[id]; k == nil || k.at.id != office {
+	if k := b.s.callsByWireID[id]; k == nil || k.remote.id != office {
 		b.t.Errorf("call %d does not stand at %s", id, office)
 	}
 }
@@ -90,7 +90,7 @@
 	b.apply(Input{Kind: InJournal, Events: []feed.Event{list(2, false, member("s-1", 1, feed.Deleted)),
 		list(3, false, successor("s-8", first)), list(4, false, gone), list(5, false, successor("s-9", b.now.Milliseconds()-100))}})
 	same(t, "the caller", b.heard(c))
-	if k := b.s.byID[8]; k == nil || k.at.id != "s-9" {
+	if k := b.s.callsByWireID[8]; k == nil || k.remote.id != "s-9" {
 		t.Error("the call does not stand at the office that has the address")
 	}
 }
@@ -112,7 +112,7 @@
 	b.s.offices["s-1"].replacedAt = start - 1
 	b.apply(Input{Kind: InJournal, Events: []feed.Event{list(2, false, member("s-1", 1, feed.Deleted))}})
 	same(t, "at once", b.heard(c))
-	b.pass(successorWithin)
+	b.pass(successorTimeout)
 	same(t, "later", b.heard(c), "BYE")
 	if b.s.offices["s-1"] != nil {
 		t.Error("the office is kept")
@@ -124,7 +124,7 @@
 	b, c := benchWithCalls(t, 7)
 	b.apply(Input{Kind: InJournal, Events: []feed.Event{list(2, false, successor("s-9", 0))}})
 	on := b.up("10.0.0.1:5080")
-	if b.s.officeConns[on].to.id != "s-9" {
+	if b.s.officeConns[on].remote.id != "s-9" {
 		t.Fatal("no connection to the new office")
 	}
 	b.office(on, ends(7, office.CauseNormal, ""))
@@ -150,7 +150,7 @@
 	gone := member("s-1", 1, feed.Deleted)
 	gone.Addr = "10.0.0.2:5080"
 	b.apply(Input{Kind: InJournal, Events: []feed.Event{list(2, false, gone, successor("s-9", 0))}})
-	if k := b.s.byID[7]; k == nil || k.at.id != "s-9" {
+	if k := b.s.callsByWireID[7]; k == nil || k.remote.id != "s-9" {
 		t.Error("the call does not stand at the office that has its address")
 	}
 }
--- a/callserver/supervision_test.go
+++ b/callserver/supervision_test.go
@@ -58,8 +58,8 @@
 
 // conns gives the connections to s-1 that are open, the oldest first.
 func (b *bench) conns() (all []ConnID) {
-	for _, a := range b.s.offices["s-1"].officeConns {
-		if a.up && !a.shut {
+	for _, a := range b.s.offices["s-1"].conns {
+		if a.up && !a.halfClosed {
 			all = append(all, a.id)
 		}
 	}
@@ -70,7 +70,7 @@
 func (b *bench) count(kind office.Type) map[uint64]int {
 	b.t.Helper()
 	out := map[uint64]int{}
-	for _, a := range b.s.offices["s-1"].officeConns {
+	for _, a := range b.s.offices["s-1"].conns {
 		for _, m := range b.sent(a.id) {
 			if m.Type == kind {
 				out[m.Call]++
@@ -238,7 +238,7 @@
 		caller := b.caller()
 		b.stand(caller, 7, 8, 9)
 		for range more {
-			b.s.dial(b.s.offices["s-1"])
+			b.s.dialOffice(b.s.offices["s-1"])
 			b.take()
 			b.up("10.0.0.1:5080")
 		}
@@ -254,7 +254,7 @@
 		for _, id := range slices.Backward(all) {
 			end(id)
 			for _, other := range all {
-				if a := b.s.officeConns[other]; a != nil && a.shut {
+				if a := b.s.officeConns[other]; a != nil && a.halfClosed {
 					end(other)
 				}
 			}
@@ -285,10 +285,10 @@
 	same(t, "the caller", b.heard(c), "BYE")
 	b.say(c, invite(8, "dest:1;width:1;at:s-1"))
 	same(t, "of a call that stands", b.heard(c))
-	for id := uint64(100); id < 100+2*mostStrays; id++ {
+	for id := uint64(100); id < 100+2*maxUnclaimedReleases; id++ {
 		b.office(on, ends(id, office.CauseNormal, ""))
 	}
-	if n := len(b.s.strays.of); n > mostStrays {
+	if n := len(b.s.unclaimed.causes); n > maxUnclaimedReleases {
 		t.Errorf("%d releases are kept", n)
 	}
 }
@@ -309,7 +309,7 @@
 			same(t, "at once", b.heard(c))
 			b.pass(liveness.NamedWithin)
 			same(t, "the caller", b.heard(c), want...)
-			if b.s.byID[9] == nil {
+			if b.s.callsByWireID[9] == nil {
 				t.Error("the new call was cut")
 			}
 		})
@@ -342,7 +342,7 @@
 	on := b.conns()[0]
 	b.office(on, ends(9, office.CauseNormal, ""))
 	same(t, "nobody has said that he heard one", b.heard(c), "BYE")
-	b.lives(byeHeardWithin, on)
+	b.lives(byeConfirmTimeout, on)
 	same(t, "so it is not said again", b.heard(d))
 	b.say(c, heard(9))
 	b.office(on, ends(8, office.CauseNormal, ""))
@@ -351,7 +351,7 @@
 	b.pass(100 * time.Millisecond)
 	b.say(d, request("OPTIONS", 1)) // the other one lives
 	b.heard(d)
-	b.lives(byeHeardWithin, on)
+	b.lives(byeConfirmTimeout, on)
 	same(t, "the other connection", b.heard(d), "BYE")
 	same(t, "the first one", b.heard(c), "BYE", "BYE")
 }
@@ -390,7 +390,7 @@
 			same(t, "the caller", b.heard(c), tt.want...)
 			b.pass(10 * time.Millisecond)
 			b.up("10.0.0.1:5080")
-			if n := len(b.s.byID); n != 2-len(tt.want) {
+			if n := len(b.s.callsByWireID); n != 2-len(tt.want) {
 				t.Errorf("%d calls are held", n)
 			}
 		})
@@ -425,13 +425,13 @@
 	b.say(c, invite(7, "dest:1;width:1"))
 	on, _ := b.setUp(7)
 	b.say(c, "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nCall-ID")
-	b.pass(sayWithin + 500*time.Millisecond)
+	b.pass(callerMessageTimeout + 500*time.Millisecond)
 	if _, gone := b.closed[c]; gone {
 		t.Fatal("the connection was closed under an open set-up")
 	}
 	b.office(on, answer(7))
 	same(t, "the caller", b.heard(c), "200")
-	b.pass(2 * recheckAfter)
+	b.pass(2 * callerRecheckDelay)
 	if _, gone := b.closed[c]; !gone {
 		t.Error("a message without an end is waited for")
 	}
@@ -451,11 +451,11 @@
 			same(t, "the answer", b.heard(c), "200")
 			if after != nil {
 				on = b.up("10.0.0.1:5080")
-				b.lives(successorWithin, on)
+				b.lives(successorTimeout, on)
 				same(t, "it stands", b.heard(c))
 				b.office(on, ends(7, office.CauseNormal, ""))
 			} else {
-				b.pass(successorWithin)
+				b.pass(successorTimeout)
 			}
 			same(t, "the end", b.heard(c), "BYE")
 		})
@@ -567,14 +567,14 @@
 	}
 	b.pass(100 * time.Millisecond)
 	i := slices.IndexFunc(b.dials, func(d Dial) bool { return d.Addr == "10.0.0.1:5080" })
-	if i < 0 || b.s.offices["s-1"].doubtBefore == 0 {
+	if i < 0 || b.s.offices["s-1"].unverifiedBefore == 0 {
 		t.Fatalf("no doubt, or no connection is opened: %v", b.dials)
 	}
 	first := b.dials[i].Conn
 	b.dials = slices.Delete(b.dials, i, i+1)
 	b.apply(Input{Kind: InConnected, Conn: first}) // and it says nothing
 	b.pass(liveness.AskStateWithin - 10*time.Millisecond)
-	b.s.dial(b.s.offices["s-1"])
+	b.s.dialOffice(b.s.offices["s-1"])
 	b.take()
 	on := b.upWith("10.0.0.1:5080", "spare:29;total:30")
 	b.pass(20 * time.Millisecond)
--- a/callserver/withdrawal_test.go
+++ b/callserver/withdrawal_test.go
@@ -12,7 +12,7 @@
 func (b *bench) setUps(id uint64) (n int) {
 	b.t.Helper()
 	for conn, wrote := range b.wrote {
-		if b.s.callers[conn] != nil {
+		if b.s.callerConns[conn] != nil {
 			continue
 		}
 		var in office.Framer
