--- a/callserver/callers.go
+++ b/callserver/callers.go
@@ -14,31 +14,34 @@
 	"finchlatch/sip"
 )
 
-// caller is one connection from callers. Any stranger may have opened it.
+// callerConn is one connection from callers. Unknown clients may open one, too.
 type callerConn struct {
 	id                 ConnID
 	remoteAddr         string
 	framer             sip.Framer
-	openCalls          int           // set-ups on it without a final answer
-	acceptedAt         time.Duration // of the connection
-	lastUsed           time.Duration // when it last carried a call; 0: never
-	carriedEstablished bool          // a call stood on it
-	unfinishedSince    time.Duration // since when a message is unfinished; 0: none is
+	openCalls          int // without a final answer
+	acceptedAt         time.Duration
+	lastUsed           time.Duration // when it last carried a call; 0: never; usedWithoutCall: only other messages
+	carriedEstablished bool          // it carried a call that was established
+	unfinishedSince    time.Duration // when the incomplete message at its end began; 0: none
 	unconfirmedByes    unconfirmedReleases
-	lastActivity       time.Duration // when the last bytes came
+	lastActivity       time.Duration // when bytes last came
 }
 
-// Limits on callers' connections; they are about syntax and sockets, not about calls.
+// Limits on connections from callers and the syntax of their messages; they do not limit calls.
 const (
-	callerMessageTimeout = 2 * time.Second       // to say something whole at first, and to finish what was begun
-	callerRecheckDelay   = 50 * time.Millisecond // a connection on which a message is not finished, and set-ups are open
-	firstMessageGrace    = 100 * time.Millisecond
-	maxLegValue          = 1 << 16 // numbers of exchanges and widths are below
+	callerMessageTimeout = 2 * time.Second        // for the first complete message, and for the rest of one that has begun
+	callerRecheckDelay   = 50 * time.Millisecond  // of a connection with an unfinished message and open calls
+	firstMessageGrace    = 100 * time.Millisecond // a new connection without a message ranks above one that carried no call
+	maxLegValue          = 1 << 16                // exclusive, for exchange numbers and widths
 )
 
-// accepted takes a new connection; where there are too many, the one that is longest without a call gives way.
-func (s *Server) callerAccepted(id ConnID, from string) {
-	caller := &callerConn{id: id, remoteAddr: from, acceptedAt: s.now}
+// usedWithoutCall is the value of callerConn.lastUsed on a connection that has carried messages but no call.
+const usedWithoutCall time.Duration = 1
+
+// callerAccepted registers a new connection. Above the limit, the one that ranks lowest is closed.
+func (s *Server) callerAccepted(id ConnID, remoteAddr string) {
+	caller := &callerConn{id: id, remoteAddr: remoteAddr, acceptedAt: s.now}
 	s.callerConns[id] = caller
 	s.armTimer(callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(id)})
 	if len(s.callerConns) > s.cfg.Callers {
@@ -50,8 +53,8 @@
 	}
 }
 
-// idlest is the connection that gives way to a new one: that of the least worth, and of these the one that is longest
-// without a call. The new one itself has had no time to speak.
+// evictionCandidate returns the connection to close in favour of a new one: the lowest rank, then the longest time without a
+// call. Connections with open calls and the new one, which has had no time to send anything, are not considered.
 func (s *Server) evictionCandidate(newest *callerConn) *callerConn {
 	var candidate *callerConn
 	for _, caller := range s.callerConns {
@@ -59,30 +62,32 @@
 			continue
 		}
 		if candidate == nil || cmp.Or(cmp.Compare(s.evictionRank(caller), s.evictionRank(candidate)),
-			cmp.Compare(max(caller.lastUsed, caller.acceptedAt), max(candidate.lastUsed, candidate.acceptedAt)), cmp.Compare(caller.id, candidate.id)) < 0 {
+			cmp.Compare(max(caller.lastUsed, caller.acceptedAt), max(candidate.lastUsed, candidate.acceptedAt)),
+			cmp.Compare(caller.id, candidate.id)) < 0 {
 			candidate = caller
 		}
 	}
 	return candidate
 }
 
-// worth ranks connections without a set-up. The danger: strangers that only test, again and again on new connections, push
-// out those on which calls stood, and a release finds no connection from callers to go out on.
+// evictionRank ranks connections without open calls; the lowest is closed first. Without it, unknown clients that send only
+// OPTIONS on ever new connections would push out connections that carried established calls, and a release would find no
+// caller connection to be sent on.
 func (s *Server) evictionRank(caller *callerConn) int {
 	switch {
 	case caller.carriedEstablished:
 		return 4
-	case caller.lastUsed > 1: // it has carried a call
+	case caller.lastUsed > usedWithoutCall: // it has carried a call
 		return 3
 	case caller.lastUsed == 0 && s.now-caller.acceptedAt < firstMessageGrace:
 		return 2
-	case caller.lastUsed > 0: // it has only tested
+	case caller.lastUsed > 0: // it has carried other messages only
 		return 1
 	}
 	return 0
 }
 
-// checkCaller closes a connection that says nothing, or does not finish what it began.
+// checkCaller closes a connection that has sent nothing or has not completed a message in time.
 func (s *Server) checkCaller(id ConnID) {
 	caller := s.callerConns[id]
 	if caller == nil {
@@ -90,24 +95,26 @@
 	}
 	switch {
 	case caller.lastUsed == 0 && caller.unfinishedSince == 0:
-		s.closeCaller(caller, "said nothing")
-	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout && caller.openCalls > 0: // others' set-ups are on it: they are answered first
+		s.closeCaller(caller, "no message received")
+	// The open calls may be of other callers; they are answered first.
+	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout && caller.openCalls > 0:
 		s.armTimer(callerRecheckDelay, timer{kind: timerCheckCaller, id: uint64(id)})
 	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout:
-		s.closeCaller(caller, "did not finish a message")
+		s.closeCaller(caller, "message not completed")
 	case caller.unfinishedSince > 0:
 		s.timers.Arm(caller.unfinishedSince+callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(id)})
 	}
 }
 
-// closeCaller closes a connection; what was asked on it is given up.
+// closeCaller closes a connection and ends its open calls.
 func (s *Server) closeCaller(caller *callerConn, why string) {
 	s.log(slog.LevelDebug, "caller's connection closed", slog.String("from", caller.remoteAddr), slog.String("why", why))
 	s.emit(Close{Conn: caller.id})
 	s.callerConnEnded(caller)
 }
 
-// callerGone gives up the set-ups of a connection that has ended. Calls that stand belong to no connection.
+// callerConnEnded ends the open calls of a connection. Established calls belong to no connection. Releases that may be lost
+// with it are sent again.
 func (s *Server) callerConnEnded(caller *callerConn) {
 	delete(s.callerConns, caller.id)
 	for _, r := range caller.unconfirmedByes.takeLost(s.now) {
@@ -123,7 +130,7 @@
 	}
 }
 
-// fromCaller takes bytes of a caller.
+// receiveFromCaller handles bytes of a caller.
 func (s *Server) receiveFromCaller(caller *callerConn, data []byte) {
 	caller.lastActivity = s.now
 	caller.framer.Write(data)
@@ -145,7 +152,8 @@
 	}
 }
 
-// fault answers what cannot be read, and closes the connection: nothing after it can be trusted.
+// rejectMalformed answers a message that cannot be parsed and closes the connection, as the bytes that follow it cannot be
+// framed reliably.
 func (s *Server) rejectMalformed(caller *callerConn, err error) {
 	s.totals.Malformed++
 	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", caller.remoteAddr), slog.String("err", err.Error()))
@@ -158,16 +166,16 @@
 	s.callerConnEnded(caller)
 }
 
-func (s *Server) respond(caller *callerConn, head sip.Head, status, wait int, body []byte) {
+func (s *Server) respond(caller *callerConn, head sip.Head, status, retryAfter int, body []byte) {
 	s.trace("to caller", "", caller.remoteAddr, caller.id, head.CallID, status)
-	s.emit(Write{Conn: caller.id, Bytes: sip.Response(nil, head, status, wait, body)})
+	s.emit(Write{Conn: caller.id, Bytes: sip.Response(nil, head, status, retryAfter, body)})
 }
 
-// message takes one message of a caller.
+// handleCallerMessage handles one message of a caller.
 func (s *Server) handleCallerMessage(caller *callerConn, msg *sip.Message) {
-	caller.lastUsed = max(caller.lastUsed, 1) // it speaks; only calls count as use
+	caller.lastUsed = max(caller.lastUsed, usedWithoutCall) // only set-ups count as use
 	s.trace("from caller", msg.Method, caller.remoteAddr, caller.id, msg.CallID, msg.Status)
-	if msg.Status > 0 { // to our BYE; free
+	if msg.Status > 0 { // the response to a BYE
 		if id, err := parseCallID(msg.CallID); err == nil {
 			caller.unconfirmedByes.confirm(id)
 			s.byesConfirmed = true
@@ -177,9 +185,9 @@
 	switch msg.Method {
 	case "INVITE":
 		caller.lastUsed = s.now
-		s.flushCallerReleases() // a connection that only opens, or tests, may not be a caller's
+		s.flushCallerReleases() // not on other messages: a client that only connects or sends OPTIONS may not be a caller
 		s.handleInvite(caller, msg)
-	case "ACK", "NOTIFY": // neither wants an answer
+	case "ACK", "NOTIFY": // not answered
 	case "CANCEL":
 		s.handleCancel(caller, msg)
 	case "BYE":
@@ -191,7 +199,7 @@
 	}
 }
 
-// health is the response to a test: calls can be taken as soon as some office is known.
+// optionsStatus returns the response to OPTIONS: calls can be taken as soon as an office is known.
 func (s *Server) optionsStatus() int {
 	if len(s.offices) == 0 {
 		return 503
@@ -203,7 +211,7 @@
 	return 200
 }
 
-// invite takes a set-up, or one that names a call that stands already.
+// handleInvite handles a set-up, or an INVITE that names a call established by an earlier process.
 func (s *Server) handleInvite(caller *callerConn, msg *sip.Message) {
 	invite, err := s.parseInvite(msg)
 	if err != nil {
@@ -221,23 +229,23 @@
 	s.offerCall(caller, invite)
 }
 
-// twice takes a set-up whose id is that of a call that is held. The first call is untouched where the second comes
-// from elsewhere. On one connection nobody could tell whose answer is whose: a copy is passed over (RFC 3261 section
-// 17.2.1), and two different set-ups are both refused by one answer.
+// handleDuplicateInvite handles a set-up whose Call-ID is in use. The first call is not affected if the second set-up comes on
+// another connection. On one connection the answers could not be told apart: a copy is ignored as a retransmission (RFC 3261
+// section 17.2.1), and two different set-ups are refused by one answer.
 func (s *Server) handleDuplicateInvite(caller *callerConn, existing *activeCall, invite invitation) {
 	if existing.caller != caller || existing.state != callSettingUp {
-		s.refuseMessage(caller, invite.msg, 482, "id of a call that is held already")
+		s.refuseMessage(caller, invite.msg, 482, "Call-ID is in use")
 		return
 	}
 	if existing.calledNumber == invite.calledNumber && bytes.Equal(existing.description, invite.description) {
 		return
 	}
 	s.callerHungUp(existing)
-	s.refuseMessage(caller, invite.msg, 482, "two set-ups under one id")
+	s.refuseMessage(caller, invite.msg, 482, "two set-ups with one Call-ID")
 }
 
-// refuseMessage answers a message that is whole but makes no sense. Others' calls may be on the connection: it stays
-// while one is, or once one has stood on it.
+// refuseMessage answers a well-formed message with invalid content. The connection stays open if it carries open calls or
+// has carried an established one, as those may be of other callers.
 func (s *Server) refuseMessage(caller *callerConn, msg *sip.Message, status int, why string) {
 	if caller.openCalls == 0 && !caller.carriedEstablished {
 		s.rejectMalformed(caller, &sip.Fault{Status: status, Text: why, Head: msg})
@@ -248,7 +256,7 @@
 	s.respond(caller, sip.HeadOf(msg), status, 0, nil)
 }
 
-// held is the call that a message of a caller names, or nil.
+// callNamedIn returns the call that a message of a caller names, or nil.
 func (s *Server) callNamedIn(msg *sip.Message) *activeCall {
 	id, err := parseCallID(msg.CallID)
 	if err != nil {
@@ -257,7 +265,7 @@
 	return s.callsByWireID[id]
 }
 
-// cancelled takes the word that a caller has stopped waiting. Only the connection of the set-up may say so.
+// handleCancel handles a CANCEL. It is accepted only on the connection of the set-up.
 func (s *Server) handleCancel(caller *callerConn, msg *sip.Message) {
 	call := s.callNamedIn(msg)
 	if call == nil || call.caller != caller {
@@ -269,11 +277,11 @@
 		s.callerHungUp(call)
 		return
 	}
-	s.releaseAtOffice(call, office.CauseNormal) // our answer crossed it
-	s.endEstablished(call, logic.Cancelled, office.CauseNormal, nil, "its caller gave it up as it stood")
+	s.releaseAtOffice(call, office.CauseNormal) // the answer and the CANCEL crossed
+	s.endEstablished(call, logic.Cancelled, office.CauseNormal, nil, "cancelled by its caller after the answer")
 }
 
-// bye takes the release of a call that stands, on whatever connection it comes.
+// handleBye handles the release of an established call, on any connection.
 func (s *Server) handleBye(caller *callerConn, msg *sip.Message) {
 	call := s.callNamedIn(msg)
 	if call == nil || call.state == callSettingUp {
@@ -285,7 +293,7 @@
 	s.removeEstablished(call, logic.Outcome{Status: logic.Cancelled})
 }
 
-// causeOf reads the cause of a release; without one that can be read it is the normal one.
+// parseCause returns the cause in a Reason header, or the normal one if there is none or it is invalid.
 func parseCause(reason string) byte {
 	_, text, _ := strings.Cut(reason, "cause=")
 	text, _, _ = strings.Cut(text, ";")
--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -11,7 +11,7 @@
 	"finchlatch/sip"
 )
 
-// state is how far a call has come. A call that is over is forgotten.
+// callState is the progress of a call. Calls that are over are not kept.
 type callState byte
 
 const (
@@ -19,41 +19,41 @@
 	callEstablished
 )
 
-// call is one call that is held.
+// activeCall is a call that is being set up or established.
 type activeCall struct {
-	id               uint64 // by which the Controller knows it; 0: it was taken up as it stood
-	wireID           uint64 // by which callers and offices know it
-	callID           string
-	inviteHead       sip.Head
-	caller           *callerConn
+	id               uint64      // the Controller's ID; 0: adopted, unknown to the Controller
+	wireID           uint64      // ID toward callers and offices
+	callID           string      // wireID as it is written in the Call-ID header
+	inviteHead       sip.Head    // of the INVITE, for the final answer
+	caller           *callerConn // connection that the call came on, or was last named on
 	state            callState
-	className        string // of its class
+	className        string
 	calledNumber     string
 	description      []byte
-	attempts         int
-	remote           *remoteOffice // of the attempt, or where it stands
-	conn             *officeConn   // of the attempt, once it has one
+	attempts         int           // number of attempts so far
+	remote           *remoteOffice // of the current attempt, or where the call is established
+	conn             *officeConn   // of the current attempt, once it has one
 	previousConns    []ConnID      // of earlier attempts
-	unconfirmedConns []ConnID      // of them, those on which the office has not said how the attempt ended
-	answeredAt       time.Duration // when the answer came
+	unconfirmedConns []ConnID      // those previousConns on which the office has not confirmed the end of the attempt
+	answeredAt       time.Duration
 	sentAt           time.Duration // when the Controller asked for the attempt
 	attemptDeadline  time.Duration
-	width            int           // circuits
-	setUpFailedAt    time.Duration // when an attempt was released as broken
-	attemptActive    bool          // an attempt is out or waits for its connection
-	setUpSent        bool          // its set-up has been handed to the connection
-	releaseSent      bool          // and so has its release, or is about to be
+	width            int           // number of circuits
+	setUpFailedAt    time.Duration // when an attempt failed with the temporary-failure cause
+	attemptActive    bool          // an attempt is outstanding or waits for a connection, or the call is established
+	setUpSent        bool          // the set-up of the attempt has been handed to the connection
+	releaseSent      bool          // the release of the attempt has been handed to the connection
 	offeredAt        time.Duration
 	lastStatus       logic.Status // of the latest attempt that has ended, for the log
-	lastNote         int
+	lastNote         int          // likewise
 }
 
-// out tells whether an attempt has no ending yet.
+// outstanding reports whether an attempt has neither been answered nor ended.
 func (c *activeCall) outstanding() bool {
 	return c.attemptActive && !c.releaseSent && c.state == callSettingUp
 }
 
-// inOrder gives the calls in the order in which they came.
+// callsInOrder returns the calls in the order in which they arrived.
 func (s *Server) callsInOrder() []*activeCall {
 	all := make([]*activeCall, 0, len(s.callsByWireID))
 	for _, call := range s.callsByWireID {
@@ -63,13 +63,14 @@
 	return all
 }
 
-// offer hands a set-up to the Controller. Time spent on the way through this process is the caller's.
+// offerCall passes a set-up to the Controller. The time that it spent in this process counts against its time left.
 func (s *Server) offerCall(caller *callerConn, invite invitation) {
 	s.totals.Offered++
-	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, inviteHead: sip.HeadOf(invite.msg), caller: caller, className: invite.className,
+	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, inviteHead: sip.HeadOf(invite.msg),
+		caller: caller, className: invite.className,
 		calledNumber: invite.calledNumber, description: invite.description}
-	// While this process ends, only calls in transit are still taken: they come for as long as it runs, and no other call
-	// server can take this exchange for a tandem without it.
+	// During shutdown only transit calls are accepted: they arrive for as long as this process runs, and no other call server
+	// can use this exchange as a tandem without it.
 	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpen > 0 && s.openCalls >= s.cfg.MaxOpen {
 		s.respond(caller, call.inviteHead, 503, 0, nil)
 		s.totals.Refused++
@@ -83,24 +84,26 @@
 	s.calls[call.id], s.callsByWireID[call.wireID] = call, call
 	caller.openCalls++
 	s.openCalls++
-	invite.offer.ID, invite.offer.Class, invite.offer.Number, invite.offer.TimeLeft = call.id, invite.classIndex, invite.calledNumber, invite.timeLeft-s.inputDelay
+	invite.offer.ID, invite.offer.Class, invite.offer.Number, invite.offer.TimeLeft =
+		call.id, invite.classIndex, invite.calledNumber, invite.timeLeft-s.inputDelay
 	if s.endsAt > 0 {
 		invite.offer.TimeLeft = min(invite.offer.TimeLeft, s.endsAt-s.now)
 	}
 	s.controller.Offered(s.now, invite.offer)
 }
 
-// hangUp takes the news that the caller has gone before an answer.
+// callerHungUp handles a caller that hung up before the answer.
 func (s *Server) callerHungUp(call *activeCall) {
 	s.totals.HungUp++
 	if hungUpAt := s.now - s.inputDelay; call.attemptActive && call.sentAt > hungUpAt {
 		s.totals.SentAfterHangUp++
-		s.log(slog.LevelWarn, "attempt began after its caller had gone", slog.String("call", call.callID), slog.Duration("after", call.sentAt-hungUpAt))
+		s.log(slog.LevelWarn, "attempt started after its caller hung up",
+			slog.String("call", call.callID), slog.Duration("after", call.sentAt-hungUpAt))
 	}
 	s.endUnanswered(call)
 }
 
-// withdraw ends a call without its answer from an office; an attempt that is out is called off.
+// endUnanswered ends a call that has no answer from an office.
 func (s *Server) endUnanswered(call *activeCall) {
 	s.markAnswered(call)
 	s.controller.HungUp(s.now, call.id)
@@ -108,8 +111,9 @@
 	s.forgetIfOver(call)
 }
 
-// callOff ends an attempt whose set-up has not gone out yet, once its caller is owed nothing: it must not go out any more. It has run
-// nowhere, so this needs no word to its office, and holds also where attempts cannot be cancelled.
+// cancelUnsentAttempt ends the attempt of a call that needs no answer any more, if its set-up has not been sent: nothing may
+// be sent for the call now (rule 1). The office does not know the attempt, so nothing has to be released, and this also
+// applies where attempts cannot be cancelled. A set-up that is stuck on a blocked connection is discarded with it.
 func (s *Server) cancelUnsentAttempt(call *activeCall) {
 	if !call.outstanding() {
 		return
@@ -120,11 +124,11 @@
 		return
 	}
 	if conn := call.conn; conn.writeBlocked && s.officeConns[conn.id] == conn {
-		s.abortConn(conn, "a set-up whose caller has gone waits behind bytes that are not taken")
+		s.abortConn(conn, "writes are blocked ahead of a set-up whose caller hung up")
 	}
 }
 
-// answered ends what a caller is owed.
+// markAnswered records that a call has had its final answer or needs none.
 func (s *Server) markAnswered(call *activeCall) {
 	call.caller.openCalls--
 	s.openCalls--
@@ -132,19 +136,19 @@
 	delete(s.callsByWireID, call.wireID)
 }
 
-// forget drops a call that is over once no attempt is out.
+// forgetIfOver removes a call that has had its final answer and has no active attempt.
 func (s *Server) forgetIfOver(call *activeCall) {
 	if s.callsByWireID[call.wireID] != call && !call.attemptActive {
 		delete(s.calls, call.id)
 	}
 }
 
-// refuse gives a final answer that is not a success.
-func (s *Server) refuseCall(call *activeCall, status, wait int) {
+// refuseCall gives a final answer other than success.
+func (s *Server) refuseCall(call *activeCall, status, retryAfter int) {
 	if s.callsByWireID[call.wireID] != call || call.state != callSettingUp {
 		return
 	}
-	s.respond(call.caller, call.inviteHead, status, wait, nil)
+	s.respond(call.caller, call.inviteHead, status, retryAfter, nil)
 	s.markAnswered(call)
 	s.deferWork(func() {
 		s.cancelUnsentAttempt(call)
@@ -152,7 +156,7 @@
 	})
 }
 
-// stands passes the answer of an office on.
+// establishCall passes the answer of an office on to the caller.
 func (s *Server) establishCall(call *activeCall, msg *office.Message) {
 	s.totals.Established++
 	s.detachAttempt(call)
@@ -165,12 +169,12 @@
 	s.addEstablished(call.remote)
 	call.remote.counts.established++
 	s.controller.Stands(s.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.remote.id, Took: s.now - call.sentAt})
-	if call.remote.state == logic.Gone { // the list was told while the answer was on its way
+	if call.remote.state == logic.Gone { // it was reported as gone before its answer arrived
 		s.handOverCalls(call.remote)
 	}
 }
 
-// settle takes an attempt off its connection.
+// detachAttempt removes an attempt from its connection, or from those that wait for one.
 func (s *Server) detachAttempt(call *activeCall) {
 	if call.conn != nil {
 		call.conn.outstanding = slices.DeleteFunc(call.conn.outstanding, func(other *activeCall) bool { return other == call })
@@ -178,21 +182,24 @@
 	call.remote.waitingCalls = slices.DeleteFunc(call.remote.waitingCalls, func(other *activeCall) bool { return other == call })
 }
 
-// over tells the Controller how an attempt ended.
+// attemptEnded reports the end of an attempt to the Controller.
 func (s *Server) attemptEnded(call *activeCall, outcome logic.Outcome) {
 	s.detachAttempt(call)
 	if call.conn != nil && call.setUpSent {
-		if call.previousConns = append(call.previousConns, call.conn.id); outcome.Status == logic.TimedOut || outcome.Status == logic.Cancelled {
+		if call.previousConns = append(call.previousConns, call.conn.id); outcome.Status == logic.TimedOut ||
+			outcome.Status == logic.Cancelled {
 			call.unconfirmedConns = append(call.unconfirmedConns, call.conn.id)
 		}
 	}
 	remote, conn, sentAt := call.remote, call.conn, call.sentAt
-	noActivity := call.setUpSent && conn.lastActivity <= call.sentAt && (outcome.Status == logic.TimedOut || outcome.Status == logic.Cancelled)
+	noActivity := call.setUpSent && conn.lastActivity <= call.sentAt &&
+		(outcome.Status == logic.TimedOut || outcome.Status == logic.Cancelled)
 	call.attemptActive, call.conn, call.setUpSent, call.releaseSent = false, nil, false, false
 	remote.counts.add(outcome.Status)
 	call.lastStatus, call.lastNote = outcome.Status, outcome.Note
-	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, remote.id, s.now-call.sentAt, s.callsByWireID[call.wireID] != call
-	s.log(slog.LevelDebug, "attempt over", slog.String("call", call.callID), slog.String("office", remote.id),
+	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, remote.id,
+		s.now-call.sentAt, s.callsByWireID[call.wireID] != call
+	s.log(slog.LevelDebug, "attempt ended", slog.String("call", call.callID), slog.String("office", remote.id),
 		slog.String("status", string(outcome.Status)), slog.Int("note", outcome.Note), slog.Duration("took", outcome.Took))
 	s.controller.Outcome(s.now, outcome)
 	s.forgetIfOver(call)
@@ -201,7 +208,7 @@
 	}
 }
 
-// finish ends a call that stood.
+// removeEstablished removes an established call and reports its end to the Controller.
 func (s *Server) removeEstablished(call *activeCall, outcome logic.Outcome) {
 	call.remote.establishedCalls--
 	delete(s.callsByWireID, call.wireID)
@@ -211,15 +218,16 @@
 		s.adoptedCalls--
 		return
 	}
-	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, call.remote.id, s.now-call.sentAt, true
+	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, call.remote.id,
+		s.now-call.sentAt, true
 	s.controller.Outcome(s.now, outcome)
 }
 
-// overBeforeAnswer ends a call that has stood and is over while its caller still waits: the answer was lost on its way, or comes
-// later than the end. The caller is told now; another attempt would be a second run of what has run to its end.
+// endedBeforeAnswer handles the end of a call that was established at its office while its caller still waits: the answer was
+// lost or arrives after the end. The caller is answered now; another attempt would set up a call that has already run.
 func (s *Server) endedBeforeAnswer(call *activeCall, conn *officeConn, load []float64) {
 	s.failLostAnswer(call)
-	if conn.findAttempt(call.wireID) != call { // said on another connection, or of an attempt that was given up
+	if conn.findAttempt(call.wireID) != call { // released on another connection, or an attempt that was given up
 		s.endUnanswered(call)
 		return
 	}
@@ -228,25 +236,25 @@
 	s.retireConn(conn)
 }
 
-// overUnheard answers a call that is over and whose answer was lost.
+// failLostAnswer gives the final answer of a call that is over and whose answer from the office was lost.
 func (s *Server) failLostAnswer(call *activeCall) {
-	s.log(slog.LevelInfo, "call is over whose answer was lost", slog.String("call", call.callID), slog.String("office", call.remote.id))
+	s.log(slog.LevelInfo, "call ended before its answer arrived", slog.String("call", call.callID), slog.String("office", call.remote.id))
 	s.totals.Failed++
 	s.respond(call.caller, call.inviteHead, 500, 0, nil)
 }
 
-// endStanding releases a call that stood toward its caller.
+// endEstablished ends an established call and releases it toward its caller.
 func (s *Server) endEstablished(call *activeCall, status logic.Status, cause byte, load []float64, why string) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
-		s.log(slog.LevelDebug, "call over", slog.String("call", call.callID), slog.String("office", call.remote.id), slog.String("why", why),
+		s.log(slog.LevelDebug, "established call ended", slog.String("call", call.callID), slog.String("office", call.remote.id), slog.String("why", why),
 			slog.Int("cause", int(cause)), slog.Duration("stood", s.now-call.answeredAt))
 	}
 	s.removeEstablished(call, logic.Outcome{Status: status, Load: load})
 	s.releaseToCaller(call, cause)
 }
 
-// giveUp ends an attempt that has no answer. Where its office can have heard of it, the office is told first, and the
-// Controller once that is written: its wait before another attempt counts from there.
+// releaseAttempt ends an outstanding attempt. If its set-up was sent, the office is sent a release first, and the Controller is
+// told once that has been written, as the release time before another attempt counts from there (rule 5).
 func (s *Server) releaseAttempt(call *activeCall, status logic.Status) {
 	s.detachAttempt(call)
 	if !call.setUpSent {
@@ -259,14 +267,14 @@
 		s.emit(Confirm{})
 	}
 	s.afterConfirm = append(s.afterConfirm, func() {
-		if conn := call.conn; conn.writeBlocked && s.officeConns[conn.id] == conn { // what waits there must not go out any more
-			s.abortConn(conn, "an attempt was given up behind bytes that are not taken")
+		if conn := call.conn; conn.writeBlocked && s.officeConns[conn.id] == conn { // what is queued on it must not be sent any more
+			s.abortConn(conn, "writes are blocked ahead of the release of an attempt")
 		}
 		s.attemptEnded(call, logic.Outcome{Status: status})
 	})
 }
 
-// adopt takes up a call that stands already at an office.
+// adoptCall registers a call that was established by an earlier process and that its caller names again.
 func (s *Server) adoptCall(caller *callerConn, invite invitation) {
 	caller.lastUsed, caller.carriedEstablished = s.now, true
 	if existing := s.callsByWireID[invite.wireID]; existing != nil {
@@ -276,15 +284,16 @@
 		return
 	}
 	if s.adoptedCalls >= s.cfg.MaxOpen {
-		s.log(slog.LevelWarn, "too many calls are said to stand already", slog.String("from", caller.remoteAddr))
+		s.log(slog.LevelWarn, "too many adopted calls", slog.String("from", caller.remoteAddr))
 		return
 	}
 	s.adoptedCalls++
-	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, caller: caller, state: callEstablished, className: invite.className, calledNumber: invite.calledNumber, width: invite.offer.Width}
+	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, caller: caller, state: callEstablished,
+		className: invite.className, calledNumber: invite.calledNumber, width: invite.offer.Width}
 	s.callsByWireID[call.wireID] = call
 	call.remote = s.offices[invite.officeID]
 	if call.remote == nil {
-		call.remote = &remoteOffice{id: invite.officeID} // no list has named it yet
+		call.remote = &remoteOffice{id: invite.officeID} // not named by service discovery yet
 		call.remote.establishedCalls++
 		s.armTimer(adoptedOfficeTimeout, timer{kind: timerCheckAdopted, id: call.wireID})
 	} else {
@@ -292,18 +301,18 @@
 		s.markAdoptedUnverified(call.remote)
 	}
 	if cause, ended := s.unclaimed.take(invite.wireID); ended {
-		s.endEstablished(call, logic.Reset, cause, nil, "its office released it before it was named here")
+		s.endEstablished(call, logic.Reset, cause, nil, "released by its office before its caller named it")
 		return
 	}
 	if call.remote.state == logic.Gone && s.offices[invite.officeID] != nil {
-		s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "taken up at an office that is gone")
+		s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "adopted at an office that is gone")
 	}
 }
 
-// adoptWait is how long the list may take to name the office of a call that was taken up.
+// adoptedOfficeTimeout is how long service discovery may take to name the office of an adopted call.
 const adoptedOfficeTimeout = 5 * time.Second
 
-// checkAdopted ends a call that was taken up at an office that is not known by now.
+// checkAdopted ends an adopted call whose office service discovery has not named in time.
 func (s *Server) checkAdopted(wireID uint64) {
 	call := s.callsByWireID[wireID]
 	if call == nil || call.id != 0 || s.offices[call.remote.id] == call.remote {
@@ -314,5 +323,5 @@
 		s.addEstablished(remote)
 		return
 	}
-	s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "taken up at an office that no list names")
+	s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "adopted at an office that service discovery does not name")
 }
--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -1,7 +1,7 @@
-// Package callserver is the platform's call server without sockets: callers' set-ups in the form of SIP, attempts at
-// offices in binary messages, the list of offices from the journal service, and one Controller of package logic that
-// decides about all of them. Events and the time go in, effects come out; it has no sockets, files, clock or
-// goroutines, and decides nothing about calls itself.
+// Package callserver implements the platform's call server as a state machine without I/O. It takes SIP set-ups from
+// callers, makes attempts at remote offices over the binary office protocol and follows service discovery; one Controller
+// of package logic makes every decision about calls. Inputs carry the time, effects are returned to be carried out. The
+// package has no sockets, files, clock or goroutines.
 package callserver
 
 import (
@@ -16,109 +16,117 @@
 	"finchlatch/office"
 )
 
-// Config is what a Server is made from.
+// Config holds the settings and limits of a Server.
 type Config struct {
-	Settings       logic.Settings // without Host
+	Settings       logic.Settings // Host is set by New
 	Seed           int64
-	ConnectTimeout time.Duration
-	MaxOpen        int // most set-ups open at once
-	Callers        int // most connections from callers
-	Offices        int // most connections to offices
+	ConnectTimeout time.Duration // of a connection to an office, and of a probe
+	MaxOpen        int           // maximum number of calls without a final answer, and of adopted calls
+	Callers        int           // maximum number of connections from callers
+	Offices        int           // maximum number of connections to offices
 	LogLevel       slog.Level
 }
 
-// Input is one thing that a Server is told, as data. Which fields count depends on the kind.
+// Input is one event for a Server. Kind tells which of the other fields are set.
 type Input struct {
 	At      time.Duration // Unix time
 	Kind    InputKind
 	Conn    ConnID
-	From    string
-	Refused bool
-	Reset   bool // not by an orderly close: what was written last may not have been read
-	On      bool
-	Bytes   []byte        // not kept
-	Waited  time.Duration // how long bytes, or an end, waited in this process: the callers have waited as long
+	From    string        // remote address
+	Refused bool          // by the peer
+	Reset   bool          // without an orderly close: the last bytes written may not have been read
+	On      bool          // whether writes are blocked
+	Bytes   []byte        // not retained
+	Waited  time.Duration // how long the bytes or the close waited in this process; callers have waited as long
 	Events  []feed.Event
 	Until   time.Duration // Unix time
 }
 
-// Server is one call server. It is not safe for concurrent use; two Servers share nothing.
+// Server is one call server. It is not safe for concurrent use. Servers share no state.
 type Server struct {
 	cfg                Config
 	controller         *logic.Controller
-	classIndex         map[string]int
+	classIndex         map[string]int // by class name
 	now                time.Duration
-	inputDelay         time.Duration
+	inputDelay         time.Duration // how long the current input waited in this process
 	timers             timing.Timers[timer]
 	lastConnID         ConnID
 	callerConns        map[ConnID]*callerConn
 	officeConns        map[ConnID]*officeConn
-	halfClosedConns    int                    // of officeConns, are shut
-	calls              map[uint64]*activeCall // by the Controller's number
-	callsByWireID      map[uint64]*activeCall // by the id on the wire: open and standing
-	openCalls          int                    // calls without a final answer
-	lastCallID         uint64
-	endsAt             time.Duration // when this process ends; 0: not known
-	recentDrops        liveness.Cuts
-	failedSetUps       []*activeCall            // set-ups that were released as broken lately
-	unclaimed          unclaimedReleases        // releases of calls that nobody has named yet
-	announcedStarts    map[string]time.Duration // starts of offices by address, as the events tell that are being taken
-	byesConfirmed      bool                     // callers say that they heard a release
-	adoptedCalls       int                      // calls that were taken up as they stood
-	offices            map[string]*remoteOffice
-	probes             map[uint64]*probe
-	pendingReleases    []release // releases that no caller's connection could carry yet
-	position           uint64    // of the last event of the journal
+	halfClosedConns    int                      // number of officeConns that are half-closed and not lingering
+	calls              map[uint64]*activeCall   // by the Controller's ID
+	callsByWireID      map[uint64]*activeCall   // open and established calls
+	openCalls          int                      // calls without a final answer
+	lastCallID         uint64                   // the last ID given to a call, a probe or a heartbeat
+	endsAt             time.Duration            // when this process ends; 0: not known
+	recentDrops        liveness.Cuts            // when established calls were last dropped
+	failedSetUps       []*activeCall            // set-ups that recently failed with the temporary-failure cause
+	unclaimed          unclaimedReleases        // releases of calls that no caller has named yet
+	announcedStarts    map[string]time.Duration // start times of offices by address, from the events being applied
+	byesConfirmed      bool                     // callers have been seen to respond to BYE
+	adoptedCalls       int                      // established calls of an earlier process that callers named again
+	offices            map[string]*remoteOffice // by ID
+	probes             map[uint64]*probe        // by probe ID
+	pendingReleases    []release                // no caller connection could carry them yet
+	position           uint64                   // in the stream of service discovery events
 	startedAt          time.Duration
-	discoveryChangedAt time.Duration // when the list last changed
-	ready              bool          // a test has been passed
-	deferred           []func()
-	afterConfirm       []func() // ends of attempts whose releases are not known to be written yet
-	effects            []Effect
-	returnedEffects    []Effect
+	discoveryChangedAt time.Duration // when service discovery last reported a change
+	ready              bool          // a health check has been passed
+	deferred           []func()      // runs after the current input
+	afterConfirm       []func()      // ends of attempts, to run once their releases have been written
+	effects            []Effect      // not yet returned by Effects
+	returnedEffects    []Effect      // returned by the last call of Effects
 	totals             totals
 }
 
-// totals count what was answered.
+// totals counts calls by how they were answered, and messages that were rejected.
 type totals struct {
-	Offered, Established, Refused, Failed, HungUp, Malformed uint64
-	SentAfterHangUp                                          uint64 // of those that hung up: an attempt began after they had gone
+	Offered         uint64
+	Established     uint64 // answered by an office
+	Refused         uint64
+	Failed          uint64
+	HungUp          uint64
+	Malformed       uint64 // messages of callers that were rejected
+	SentAfterHangUp uint64 // part of HungUp: an attempt had started after the caller hung up
 }
 
+// timer identifies what is due. Which fields are set depends on kind.
 type timer struct {
 	kind           timerKind
-	controllerMark string
-	id             uint64 // call, connection or probe
-	arg            int    // attempt
-	officeID       string // office
+	controllerMark string // given by the Controller
+	id             uint64 // of a call, a connection or a probe
+	arg            int    // attempt number, count of messages, or ID of a caller connection
+	officeID       string
 }
 
 type timerKind byte
 
 const (
-	timerController        timerKind = iota // of the Controller
-	timerAttemptTimeout                     // the time-out of an attempt
-	timerCheckCaller                        // a caller's connection has had time to say something whole
-	timerUnfinishedMessage                  // a message of an office has had time to end
-	timerRedial
-	timerHalfClosed // a connection that was shut has had time to end
-	timerCheckConns // at connections to an office that may be dead
-	timerDrainGrace // what has not gone out to a draining office by now must not go out any more
+	timerController        timerKind = iota // set by the Controller
+	timerAttemptTimeout                     // an attempt has no answer
+	timerCheckCaller                        // a caller connection should have delivered a complete message
+	timerUnfinishedMessage                  // a message of an office should be complete
+	timerRedial                             // try again to connect to an office
+	timerHalfClosed                         // the office should have closed a half-closed connection
+	timerCheckConns                         // look for dead connections to an office
+	timerDrainGrace                         // unsent set-ups to a draining office must not be sent any more
 	timerProbeTimeout
-	timerHealthCheck      // an office's health is to be checked
-	timerVerifyCalls      // an office's calls are to be counted
-	timerRepeatBye        // a release toward a caller has had time to be heard
-	timerSuccessorTimeout // the list has had time to name the office that has the address of one that is gone
-	timerCheckAdopted     // a standing call at an office that no list has named
+	timerHealthCheck      // of an office
+	timerVerifyCalls      // compare the calls of an office with its circuits in use
+	timerRepeatBye        // a caller should have responded to a BYE
+	timerSuccessorTimeout // service discovery should have named the successor of an office that is gone
+	timerCheckAdopted     // service discovery should have named the office of an adopted call
 )
 
-// New makes a Server, or tells which setting is wrong.
+// New returns a Server, or an error that names the invalid setting.
 func New(cfg Config) (*Server, error) {
-	s := &Server{cfg: cfg, classIndex: map[string]int{}, callerConns: map[ConnID]*callerConn{}, officeConns: map[ConnID]*officeConn{},
-		calls: map[uint64]*activeCall{}, callsByWireID: map[uint64]*activeCall{}, offices: map[string]*remoteOffice{}, probes: map[uint64]*probe{}}
+	s := &Server{cfg: cfg, classIndex: map[string]int{}, callerConns: map[ConnID]*callerConn{},
+		officeConns: map[ConnID]*officeConn{},
+		calls:       map[uint64]*activeCall{}, callsByWireID: map[uint64]*activeCall{},
+		offices: map[string]*remoteOffice{}, probes: map[uint64]*probe{}}
 	for i, class := range cfg.Settings.Classes {
 		if _, duplicate := s.classIndex[class.Name]; duplicate {
-			return nil, fmt.Errorf("callserver: class %q stands twice", class.Name)
+			return nil, fmt.Errorf("callserver: class %q is defined twice", class.Name)
 		}
 		s.classIndex[class.Name] = i
 	}
@@ -131,14 +139,14 @@
 	return s, nil
 }
 
-// Start begins work with the list of offices as it is known.
+// Start begins operation with the offices of a service discovery snapshot.
 func (s *Server) Start(now time.Duration, snapshot feed.Known) {
 	s.now, s.startedAt, s.discoveryChangedAt = now, now, now
 	s.loadSnapshot(snapshot)
 	s.runDeferred()
 }
 
-// Apply tells a Server of an input.
+// Apply handles one input.
 func (s *Server) Apply(in Input) {
 	s.now = max(s.now, in.At)
 	switch in.Kind {
@@ -177,26 +185,26 @@
 	s.runDeferred()
 }
 
-// NewConn numbers a connection that has been accepted.
+// NewConn returns the ID for a connection that has been accepted.
 func (s *Server) NewConn() ConnID {
 	s.lastConnID++
 	return s.lastConnID
 }
 
-// Next tells when InAdvance has work; false: nothing waits.
+// Next returns the time at which InAdvance is due; false: no timer is armed.
 func (s *Server) Next() (time.Duration, bool) { return s.timers.Next() }
 
-// Effects gives what is to be carried out, in order, and forgets it. The slice is good until the next call.
+// Effects returns the effects to carry out, in order, and clears them. The slice is valid until the next call.
 func (s *Server) Effects() []Effect {
 	clear(s.returnedEffects)
 	s.effects, s.returnedEffects = s.returnedEffects[:0], s.effects
 	return s.returnedEffects
 }
 
-// Pos is the number of the last event of the journal that has been taken.
+// Pos returns the position of the last service discovery event that was applied.
 func (s *Server) Pos() uint64 { return s.position }
 
-// run tells the Controller what it must still be told.
+// runDeferred runs deferred work until none is left.
 func (s *Server) runDeferred() {
 	for len(s.deferred) > 0 {
 		f := s.deferred[0]
@@ -206,7 +214,7 @@
 	s.deferred = nil
 }
 
-// later has the Controller told something after it has finished what it is doing.
+// deferWork runs f after the current input, once the Controller has returned.
 func (s *Server) deferWork(f func()) { s.deferred = append(s.deferred, f) }
 
 func (s *Server) emit(e Effect) { s.effects = append(s.effects, e) }
@@ -217,8 +225,8 @@
 	}
 }
 
-// trace tells of one step of a call or a connection. With debug lines on, the id of a call can be followed from its caller
-// to its offices and back.
+// trace logs one step of a call or a connection at debug level, so that a Call-ID can be followed from its caller to its
+// offices and back.
 func (s *Server) trace(text, kind, peer string, conn ConnID, callID string, code int) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
 		if kind != "" {
@@ -230,12 +238,13 @@
 }
 
 func (s *Server) traceOffice(text string, conn *officeConn, msg *office.Message) {
-	if s.cfg.LogLevel <= slog.LevelDebug && msg.Type != office.GroupState { // told on every connection at every change
-		s.trace(text, fmt.Sprintf("type %d cause %d", msg.Type, msg.Cause), conn.remote.id, conn.id, fmt.Sprintf("%016x", msg.Call), int(msg.Type))
+	if s.cfg.LogLevel <= slog.LevelDebug && msg.Type != office.GroupState { // reported on every connection at every change
+		s.trace(text, fmt.Sprintf("type %d cause %d", msg.Type, msg.Cause), conn.remote.id, conn.id,
+			fmt.Sprintf("%016x", msg.Call), int(msg.Type))
 	}
 }
 
-func (s *Server) armTimer(wait time.Duration, t timer) { s.timers.Arm(s.now+wait, t) }
+func (s *Server) armTimer(delay time.Duration, t timer) { s.timers.Arm(s.now+delay, t) }
 
 func (s *Server) fireTimer(t timer) {
 	switch t.kind {
@@ -288,7 +297,7 @@
 	}
 }
 
-// Held tells how many calls have no final answer yet, and how many stand.
+// Held returns the number of calls without a final answer and the number of established calls.
 func (s *Server) Held() (open, established int) {
 	return s.openCalls, len(s.callsByWireID) - s.openCalls
 }
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -16,35 +16,38 @@
 	remote        *remoteOffice
 	framer        office.Framer
 	up            bool
-	writeBlocked  bool // bytes wait that TCP does not take
-	halfClosed    bool // from our side: only what was on its way still comes
+	writeBlocked  bool // TCP accepts no more bytes for now
+	halfClosed    bool // closed for writing; what is under way is still read
 	halfClosedAt  time.Duration
-	lingering     bool // shut, and read on for as long as its office is out of reach
-	suspect       bool // an answer is missing on it: it gets nothing new, and is closed when nothing is open on it
-	outstanding   []*activeCall
-	openedAt      time.Duration
-	lastActivity  time.Duration // when the last bytes came
-	messageCount  int
-	stateReported bool // its office has told the state of its group on it,
-	circuitsInUse int  // first with so many circuits in use
-	unconfirmed   unconfirmedReleases
+	lingering     bool                // half-closed and read on while its office may be unreachable
+	suspect       bool                // an answer on it is missing: no new attempts, closed once none is outstanding
+	outstanding   []*activeCall       // calls with an attempt on it
+	openedAt      time.Duration       // when it was dialled; once up, when it came up
+	lastActivity  time.Duration       // when bytes last came; 0: never
+	messageCount  int                 // messages received
+	stateReported bool                // the office has reported its group state on this connection
+	circuitsInUse int                 // in the first such report
+	unconfirmed   unconfirmedReleases // releases sent on it
 }
 
-// best is the connection for something new: the one with the least open on it.
+// leastLoadedConn returns the usable connection with the fewest outstanding attempts, or nil.
 func (r *remoteOffice) leastLoadedConn(excluded ...ConnID) *officeConn {
 	var best *officeConn
 	for _, conn := range r.conns {
-		if conn.up && !conn.writeBlocked && !conn.suspect && !conn.halfClosed && !slices.Contains(excluded, conn.id) && (best == nil || len(conn.outstanding) < len(best.outstanding)) {
+		if conn.up && !conn.writeBlocked && !conn.suspect && !conn.halfClosed && !slices.Contains(excluded, conn.id) &&
+			(best == nil || len(conn.outstanding) < len(best.outstanding)) {
 			best = conn
 		}
 	}
 	return best
 }
 
-// connections counts those to an office that can still carry something new.
+// connCounts counts the connections to an office that are not half-closed.
 type connCounts struct {
-	usable, dialling, idle int
-	oldestIdle             *officeConn // idle one
+	usable     int
+	dialling   int
+	idle       int
+	oldestIdle *officeConn
 }
 
 func (r *remoteOffice) countConns() (counts connCounts) {
@@ -65,13 +68,14 @@
 	return counts
 }
 
-// ensureIdle sees to it that an office has a connection for the next attempt.
+// ensureIdleConn opens a connection if the next attempt would find none.
 func (s *Server) ensureIdleConn(remote *remoteOffice) {
 	if remote.state == logic.Gone || remote.exchange == s.cfg.Settings.Home && !s.cfg.Settings.Pools {
 		return
 	}
 	counts := remote.countConns()
-	if counts.dialling > 0 || counts.idle > 0 && len(remote.waitingCalls) == 0 || counts.usable >= s.maxConnsToOffice()+len(remote.waitingCalls) || s.now < remote.redialAt {
+	if counts.dialling > 0 || counts.idle > 0 && len(remote.waitingCalls) == 0 ||
+		counts.usable >= s.maxConnsToOffice()+len(remote.waitingCalls) || s.now < remote.redialAt {
 		return
 	}
 	s.dialOffice(remote)
@@ -87,7 +91,7 @@
 	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Within: s.cfg.ConnectTimeout})
 }
 
-// armCheck looks at an office's connections from now on while there is something to see.
+// armConnCheck schedules a check of an office's connections.
 func (s *Server) armConnCheck(remote *remoteOffice) {
 	if !remote.connCheckArmed {
 		remote.connCheckArmed = true
@@ -95,14 +99,14 @@
 	}
 }
 
-// ended takes the news that a connection is no more, or in doubt. What its office wrote on it last may be lost.
+// connLost handles a connection that has ended or become suspect: what its office wrote on it last may be lost.
 func (s *Server) connLost(remote *remoteOffice) {
 	remote.connLostAt = s.now
 	s.openAdditionalConn(remote, false)
 	s.armConnCheck(remote)
 }
 
-// checkConns opens a fresh connection where a release may have been lost since the last look, or may be lost now.
+// checkConns opens another connection if a release may have been lost since the last check, or may be lost now.
 func (s *Server) checkConns(id string) {
 	remote := s.offices[id]
 	if remote == nil {
@@ -124,11 +128,12 @@
 	}
 }
 
-// openFresh opens a connection beside those that are up. An office writes a release on the connection of its set-up or on
-// any that is open, and again on the next one that is opened: the danger is that the first is dead, and no other is
-// opened while idle ones are at hand, so that the caller of a call that is over is not told in time.
+// openAdditionalConn opens a connection besides those that are up. An office writes a release on the connection of the set-up
+// or on any open one, and repeats it on the next one that is opened. If the first is dead and no other is opened, as idle ones
+// exist, the caller does not learn in time that its call is over.
 //
-// With must one is opened in any case, since nothing was heard from the office: an idle one makes room.
+// With force it does so even while others are being dialled and at the limit of connections, as nothing has been received
+// from the office.
 func (s *Server) openAdditionalConn(remote *remoteOffice, force bool) {
 	if remote.establishedCalls == 0 || remote.state == logic.Gone || s.now < remote.redialAt {
 		return
@@ -143,8 +148,8 @@
 	s.dialAdditional(remote)
 }
 
-// dialBeside opens a connection to an office beside those that it has. Its oldest idle one makes room where it has as many as it
-// may, or enough; where many offices are out of reach at once the descriptors set the bound.
+// dialAdditional opens another connection to an office. If the office has enough idle connections or as many connections as
+// it may, its oldest idle one is half-closed first. If many offices are unreachable at once, descriptors are the limit.
 func (s *Server) dialAdditional(remote *remoteOffice) {
 	counts := remote.countConns()
 	full := len(s.officeConns) >= s.cfg.Offices+s.cfg.Offices/halfClosedDivisor
@@ -152,14 +157,14 @@
 	case full && counts.idle == 0:
 		return
 	case full:
-		s.closeConn(counts.oldestIdle, "makes room for a fresh one, and no descriptor is left to read it on")
+		s.closeConn(counts.oldestIdle, "replaced by a new connection; no descriptor left to read it on")
 	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.usable >= s.maxConnsToOffice():
-		s.halfClose(counts.oldestIdle, "makes room for a fresh one")
+		s.halfClose(counts.oldestIdle, "replaced by a new connection")
 	}
 	s.dialOffice(remote)
 }
 
-// logConn tells what becomes of a connection to an office, and why.
+// logConn logs a change of a connection to an office and its reason.
 func (s *Server) logConn(text string, conn *officeConn, why string) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
 		s.log(slog.LevelDebug, text, slog.String("office", conn.remote.id), slog.Uint64("conn", uint64(conn.id)), slog.String("why", why),
@@ -167,21 +172,21 @@
 	}
 }
 
-// end closes a connection.
+// closeConn closes a connection after what was written on it has been sent.
 func (s *Server) closeConn(conn *officeConn, why string) {
 	s.logConn("office's connection closed", conn, why)
 	s.emit(Close{Conn: conn.id})
 	s.removeConn(conn)
 }
 
-// redial tries again to reach an office.
+// redial opens a connection to an office whose backoff is over.
 func (s *Server) redial(id string) {
 	if remote := s.offices[id]; remote != nil && s.now >= remote.redialAt {
 		s.ensureIdleConn(remote)
 	}
 }
 
-// connected takes the news that a connection to an office is up: what waits goes out on it.
+// officeConnected handles a connection that has come up: releases and attempts that wait for one are sent.
 func (s *Server) officeConnected(id ConnID) {
 	conn := s.officeConns[id]
 	if conn == nil {
@@ -205,14 +210,14 @@
 	s.ensureIdleConn(remote)
 }
 
-// failed takes the news that a connection did not come up: nothing that waited for it ran.
+// dialFailed handles a connection that did not come up: no attempt that waited for it has run.
 func (s *Server) dialFailed(id ConnID, refused bool) {
 	conn := s.officeConns[id]
 	if conn == nil {
 		return
 	}
 	remote := conn.remote
-	s.log(slog.LevelInfo, "office not reached", slog.String("office", remote.id), slog.Bool("refused", refused))
+	s.log(slog.LevelInfo, "connection to office failed", slog.String("office", remote.id), slog.Bool("refused", refused))
 	s.removeConn(conn)
 	if !refused {
 		remote.detector.Missed()
@@ -232,14 +237,14 @@
 		}
 		s.attemptEnded(call, logic.Outcome{Status: logic.NoConnect})
 	}
-	if refused && !remote.anyConnUp() { // the process has ended, and with it what stood there
+	if refused && !remote.anyConnUp() { // the process has ended, and its calls with it
 		remote.replacedAt = s.now
 		s.dropEstablishedCalls(remote, s.now, "its office refuses connections")
 	}
 	s.cleanUpGoneOffice(remote)
 }
 
-// remove forgets a connection, and its office if that is gone.
+// removeConn removes a connection, and its office if that is gone.
 func (s *Server) removeConn(conn *officeConn) {
 	s.deleteConn(conn)
 	s.cleanUpGoneOffice(conn.remote)
@@ -253,8 +258,8 @@
 	conn.remote.conns = slices.DeleteFunc(conn.remote.conns, func(other *officeConn) bool { return other == conn })
 }
 
-// officeConnEnded ends what was open on a connection that has ended. Calls that stand belong to no connection. One that was
-// shut and ends whole was read by its office to its end; where it is reset, what was written on it may be lost.
+// officeConnEnded ends the attempts on a connection that has ended. Established calls belong to no connection. A half-closed
+// connection that ends in order has been read to its end by the office; after a reset, what was written on it may be lost.
 func (s *Server) officeConnEnded(conn *officeConn, reset bool, why string) {
 	remote := conn.remote
 	s.logConn("office's connection ended", conn, why)
@@ -277,8 +282,8 @@
 	s.ensureIdleConn(remote)
 }
 
-// pauseAfterEarlyEnd has an office that takes connections and ends them before it says anything be called again only after a pause:
-// nothing would bound how often. An attempt is not held up by it.
+// backOffAfterEarlyClose delays the next connection to an office that accepts connections and ends them before it has sent
+// anything, which would otherwise be repeated without limit. Attempts do not wait for it.
 func (s *Server) backOffAfterEarlyClose(conn *officeConn) {
 	remote := conn.remote
 	if conn.lastActivity > 0 {
@@ -288,14 +293,15 @@
 	remote.earlyCloses++
 }
 
-// pauseRedial has an office be called again after a pause that doubles with each vain call before this one.
+// scheduleRedial arms the next connection to an office, with a backoff that doubles with each consecutive failure.
 func (s *Server) scheduleRedial(remote *remoteOffice, failures int, maxDelay time.Duration) {
-	delay := min(initialRedialDelay<<min(failures, 8), maxDelay)
+	delay := min(initialRedialDelay<<min(failures, maxRedialDoublings), maxDelay)
 	remote.redialAt = s.now + delay
 	s.armTimer(delay, timer{kind: timerRedial, officeID: remote.id})
 }
 
-// spoilt closes a connection that cannot be followed any further.
+// abortConn closes a connection at once, without sending what is queued on it: it is corrupted, or the queued messages must not
+// be sent any more.
 func (s *Server) abortConn(conn *officeConn, why string) {
 	s.log(slog.LevelInfo, "office's connection closed", slog.String("office", conn.remote.id), slog.String("why", why),
 		slog.Int("open", len(conn.outstanding)))
@@ -303,9 +309,9 @@
 	s.officeConnEnded(conn, true, why)
 }
 
-// suspectSince takes a connection out of use on which an attempt sent at a time got no answer, and with it all others
-// to an office of which nothing at all was heard since: connections of a machine that vanished stay open, and each
-// would cost a trial. What the machine's return brings comes on new ones.
+// suspectConnsSince marks a connection on which an attempt sent at sentAt got no answer as suspect. If nothing has been
+// received from the office since, all its older connections are: connections of a host that has vanished stay open, and
+// each would cost an attempt. Once the host is back, new connections carry its messages.
 func (s *Server) suspectConnsSince(conn *officeConn, sentAt time.Duration) {
 	remote := conn.remote
 	active := slices.ContainsFunc(remote.conns, func(other *officeConn) bool { return other.lastActivity > sentAt })
@@ -318,15 +324,15 @@
 	s.ensureIdleConn(remote)
 }
 
-// retire closes a connection that gets nothing new, once nothing is open on it.
+// retireConn half-closes a suspect connection once no attempt is outstanding on it.
 func (s *Server) retireConn(conn *officeConn) {
 	if conn.suspect && !conn.halfClosed && len(conn.outstanding) == 0 && s.officeConns[conn.id] == conn {
-		s.halfClose(conn, "suspect, and nothing is open on it")
+		s.halfClose(conn, "suspect, and no attempt is outstanding on it")
 		s.connLost(conn.remote)
 	}
 }
 
-// stuck takes the news that TCP takes no more bytes of a connection, or does again.
+// setWriteBlocked records whether TCP accepts bytes on a connection.
 func (s *Server) setWriteBlocked(id ConnID, blocked bool) {
 	if conn := s.officeConns[id]; conn != nil {
 		conn.writeBlocked = blocked
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -10,27 +10,28 @@
 	"finchlatch/office"
 )
 
-// begin takes the list as the configuration has it.
+// loadSnapshot applies the snapshot from the configuration.
 func (s *Server) loadSnapshot(snapshot feed.Known) {
 	s.position = snapshot.Pos
 	var offices []logic.Office
 	for i := range snapshot.Entries {
-		for _, o := range s.applyMembers(&snapshot.Entries[i].Hosts) {
-			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == o.ID })
-			offices = append(offices, o)
+		for _, listed := range s.applyMembers(&snapshot.Entries[i].Hosts) {
+			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == listed.ID })
+			offices = append(offices, listed)
 		}
 	}
 	s.controller.List(s.now, logic.ListRestored, offices)
 	s.connectToOffices()
 }
 
-// journal takes a numbered change of the list: the next one, a copy of an old one, or one after a gap.
+// applyDiscoveryEvent applies a numbered event. Old events are skipped. After a gap, an event that is not a snapshot makes
+// the stream start again.
 func (s *Server) applyDiscoveryEvent(event *feed.Event) {
 	if event.Pos <= s.position {
 		return
 	}
 	if event.Pos > s.position+1 && !event.Hosts.Complete {
-		s.log(slog.LevelWarn, "journal has a gap", slog.Uint64("from", s.position), slog.Uint64("to", event.Pos))
+		s.log(slog.LevelWarn, "gap in service discovery events", slog.Uint64("from", s.position), slog.Uint64("to", event.Pos))
 		s.position = 0
 		s.emit(AskJournal{})
 		return
@@ -45,7 +46,7 @@
 	s.connectToOffices()
 }
 
-// dropUnnamed takes offices that a whole list leaves out for gone.
+// removeUnlisted marks offices that a snapshot does not contain as gone.
 func (s *Server) removeUnlisted(members []feed.Member) {
 	for _, remote := range s.sortedOffices() {
 		if remote.state != logic.Gone && !slices.ContainsFunc(members, func(m feed.Member) bool { return m.ID == remote.id }) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// ordered gives the offices in the order of their ids.
+// sortedOffices returns the offices in the order of their IDs.
 func (s *Server) sortedOffices() []*remoteOffice {
 	all := make([]*remoteOffice, 0, len(s.offices))
 	for _, remote := range s.offices {
@@ -72,7 +73,7 @@
 var stateByPhase = map[feed.Phase]logic.OfficeState{feed.Serving: logic.Ready, feed.Draining: logic.Draining,
 	feed.Deleted: logic.Gone}
 
-// enlist takes entries of the list, in its form for the Controller.
+// applyMembers applies members to the known offices and returns them in the Controller's form.
 func (s *Server) applyMembers(hosts *feed.Hosts) []logic.Office {
 	offices := make([]logic.Office, 0, len(hosts.Members))
 	var added []*remoteOffice
@@ -111,31 +112,31 @@
 	return offices
 }
 
-// restarted forgets what was known of an earlier process of an office; what has begun since is the new one's.
+// officeRestarted discards the state of an office's earlier process. Calls and connections begun since are kept.
 func (s *Server) officeRestarted(remote *remoteOffice) {
-	s.dropEstablishedCalls(remote, remote.startedAt, "its office has started anew")
+	s.dropEstablishedCalls(remote, remote.startedAt, "its office has restarted")
 	for _, conn := range slices.Clone(remote.conns) {
 		if conn.up && conn.openedAt < remote.startedAt {
-			s.abortConn(conn, "the office has started anew")
+			s.abortConn(conn, "the office has restarted")
 		}
 	}
 	remote.dialFailures, remote.redialAt = 0, 0
 }
 
-// leave takes the news that an office drains or is gone: what has not gone out to it within the grace never does.
+// officeLeaving handles an office that is draining or gone. Nothing may be sent to it once the grace time is over (rule 3).
 func (s *Server) officeLeaving(remote *remoteOffice, state logic.OfficeState) {
 	if remote.state == logic.Ready {
 		s.armTimer(s.cfg.Settings.DrainGrace/2, timer{kind: timerDrainGrace, officeID: remote.id})
 	}
 	remote.state = state
 	if state == logic.Gone {
-		s.dropEstablishedCalls(remote, s.latestProcessEnd(remote), "the list says that its office is gone")
+		s.dropEstablishedCalls(remote, s.latestProcessEnd(remote), "service discovery reports its office as gone")
 		s.handOverCalls(remote)
 		s.cleanUpGoneOffice(remote)
 	}
 }
 
-// graceOver ends the attempts that still wait for a connection to an office that leaves.
+// drainGraceExpired ends the attempts that still wait for a connection to a draining or gone office.
 func (s *Server) drainGraceExpired(id string) {
 	remote := s.offices[id]
 	if remote == nil || remote.state == logic.Ready {
@@ -148,17 +149,18 @@
 	}
 	for _, conn := range slices.Clone(remote.conns) {
 		if conn.writeBlocked {
-			s.abortConn(conn, "set-ups wait for an office that leaves")
+			s.abortConn(conn, "unsent set-ups to an office that is draining or gone")
 		}
 	}
 }
 
-// cutStanding ends the calls that stood at an office before its process ended.
+// dropEstablishedCalls ends the calls that were established at an office before its process ended.
 func (s *Server) dropEstablishedCalls(remote *remoteOffice, ended time.Duration, why string) {
 	if remote.establishedCalls == 0 {
 		return
 	}
-	s.log(slog.LevelInfo, "calls cut with their office", slog.String("office", remote.id), slog.Int("calls", remote.establishedCalls), slog.String("why", why))
+	s.log(slog.LevelInfo, "established calls dropped with their office", slog.String("office", remote.id),
+		slog.Int("calls", remote.establishedCalls), slog.String("why", why))
 	for _, call := range s.callsInOrder() {
 		if call.state == callEstablished && call.remote == remote && call.answeredAt <= ended {
 			s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, why)
@@ -166,7 +168,7 @@
 	}
 }
 
-// tidy forgets an office that is gone once nothing is open to it.
+// cleanUpGoneOffice closes the unused connections of an office that is gone, and removes it once nothing refers to it.
 func (s *Server) cleanUpGoneOffice(remote *remoteOffice) {
 	if remote.state != logic.Gone || s.offices[remote.id] != remote {
 		return
@@ -184,17 +186,18 @@
 	}
 }
 
-// connect opens a connection to each office: the state of its group comes on it.
+// connectToOffices opens a connection to each office, on which the office reports its group state.
 func (s *Server) connectToOffices() {
 	for _, remote := range s.sortedOffices() {
 		s.ensureIdleConn(remote)
 	}
 }
 
-// logCounts tells what passed between us and an office.
+// logCounts logs the outcomes of the attempts at an office.
 func (s *Server) logCounts(remote *remoteOffice) {
 	counts := remote.counts
-	s.log(slog.LevelInfo, "office's counts", slog.String("office", remote.id), slog.Uint64("sent", counts.sent), slog.Uint64("sent_cold", counts.sentCold),
+	s.log(slog.LevelInfo, "office's counts", slog.String("office", remote.id), slog.Uint64("sent", counts.sent),
+		slog.Uint64("sent_cold", counts.sentCold),
 		slog.Uint64("stood", counts.established),
 		slog.Uint64("full", counts.full), slog.Uint64("faulted", counts.faulted), slog.Uint64("timed_out", counts.timedOut),
 		slog.Uint64("reset", counts.reset), slog.Uint64("no_connect", counts.noConnect), slog.Uint64("not_sent", counts.notSent),
@@ -202,15 +205,17 @@
 		slog.Int("pending_releases", len(remote.pendingReleases)), slog.Int("connections", len(remote.conns)))
 }
 
-// LogTotals tells what was answered, and what passed to and from each office.
+// LogTotals logs the totals of this process and the counts of each office.
 func (s *Server) LogTotals() {
 	totals := s.totals
 	open, established := s.Held()
-	s.log(slog.LevelInfo, "totals", slog.Uint64("offered", totals.Offered), slog.Uint64("stood", totals.Established), slog.Uint64("refused", totals.Refused),
+	s.log(slog.LevelInfo, "totals", slog.Uint64("offered", totals.Offered), slog.Uint64("stood", totals.Established),
+		slog.Uint64("refused", totals.Refused),
 		slog.Uint64("failed", totals.Failed), slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
 		slog.Duration("list_age", s.now-s.discoveryChangedAt),
 		slog.Uint64("unreadable", totals.Malformed), slog.Int("open", open),
-		slog.Int("standing", established), slog.Int("pending_releases", len(s.pendingReleases)), slog.Int("callers", len(s.callerConns)), slog.Int("offices", len(s.officeConns)))
+		slog.Int("standing", established), slog.Int("pending_releases", len(s.pendingReleases)),
+		slog.Int("callers", len(s.callerConns)), slog.Int("offices", len(s.officeConns)))
 	for _, remote := range s.sortedOffices() {
 		s.logCounts(remote)
 	}
--- a/callserver/droppedcalls.go
+++ b/callserver/droppedcalls.go
@@ -7,9 +7,10 @@
 	"finchlatch/logic"
 )
 
-// broken takes the word of an office that a set-up has broken on its way, which may also be that a call was cut whose answer
-// was lost: around other cuts it is taken for that. The danger is a second run of a call that has stood, whose caller is owed
-// the word that it is over.
+// setUpFailed handles the release of an outstanding attempt with the temporary-failure cause. The cause may also mean that
+// the call was established and then dropped, with the answer lost. When other calls were dropped at about the same time it
+// is taken for that: otherwise an established call would be set up a second time, and its caller would not learn that it is
+// over.
 func (s *Server) setUpFailed(call *activeCall, conn *officeConn, outcome logic.Outcome) {
 	if s.recentDrops.Near(s.now) {
 		s.endedBeforeAnswer(call, conn, outcome.Load)
@@ -19,32 +20,35 @@
 	s.retireConn(conn)
 	if s.callsByWireID[call.wireID] == call {
 		call.setUpFailedAt = s.now
-		s.failedSetUps = append(slices.DeleteFunc(s.failedSetUps, func(other *activeCall) bool { return s.now-other.setUpFailedAt > liveness.CutSpread }), call)
+		s.failedSetUps = append(slices.DeleteFunc(s.failedSetUps, func(other *activeCall) bool {
+			return s.now-other.setUpFailedAt > liveness.CutSpread
+		}), call)
 	}
 }
 
-// cut takes the news that a call that stood was cut: set-ups that broke shortly before, and wait for another attempt, were cut
-// with it.
+// callDropped records that an established call was dropped. Set-ups that failed shortly before and wait for another attempt
+// were dropped with it.
 func (s *Server) callDropped() {
 	s.recentDrops.Cut(s.now)
 	candidates := s.failedSetUps
 	s.failedSetUps = nil
 	for _, call := range candidates {
-		if s.recentDrops.Near(call.setUpFailedAt) && s.callsByWireID[call.wireID] == call && call.state == callSettingUp && !call.attemptActive {
+		if s.recentDrops.Near(call.setUpFailedAt) && s.callsByWireID[call.wireID] == call && call.state == callSettingUp &&
+			!call.attemptActive {
 			s.failLostAnswer(call)
 			s.endUnanswered(call)
 		}
 	}
 }
 
-// strays are releases of calls that are not known here. After a restart an office may say that a call is over before its
-// caller names it as one that stands.
+// unclaimedReleases holds releases of unknown calls. After a restart an office may release a call before the call's caller
+// names it as established.
 type unclaimedReleases struct {
-	causes map[uint64]byte // causes
-	order  []uint64
+	causes map[uint64]byte // by wire ID
+	order  []uint64        // wire IDs, oldest first
 }
 
-// mostStrays bounds the releases that are kept.
+// maxUnclaimedReleases limits the releases that are kept.
 const maxUnclaimedReleases = 4096
 
 func (u *unclaimedReleases) add(wireID uint64, cause byte) {
@@ -61,7 +65,7 @@
 	}
 }
 
-// take gives the cause of a release that came for a call, and forgets it.
+// take removes the release of a call and returns its cause.
 func (u *unclaimedReleases) take(wireID uint64) (byte, bool) {
 	cause, ok := u.causes[wireID]
 	delete(u.causes, wireID)
--- a/callserver/effects.go
+++ b/callserver/effects.go
@@ -7,52 +7,51 @@
 	"finchlatch/logic"
 )
 
-// ConnID names one connection, accepted or dialled.
+// ConnID identifies one connection, accepted or dialled.
 type ConnID uint64
 
-// Effect is something that the shell around a Server carries out, in order.
+// Effect is an action for the code around a Server to carry out, in order.
 type Effect interface{ effect() }
 
-// Write asks for bytes to be written on a connection.
+// Write writes bytes on a connection.
 type Write struct {
 	Conn  ConnID
 	Bytes []byte
 }
 
-// Close asks for a connection to be closed once what was written before has gone out. Nothing more is told of it.
+// Close closes a connection after what was written before has been sent. No further input about it follows.
 type Close struct {
 	Conn   ConnID
-	Now    bool // what waits is dropped: it must not go out any more
-	Linger bool // bytes may be coming still, and a reset must not eat the response
+	Now    bool // drop what is queued: it must not be sent any more
+	Linger bool // bytes may still arrive, and a reset must not discard the response
 }
 
-// Shut asks for a connection to be shut from our side. What its peer wrote before it heard of that still comes, and then
-// InClosed.
+// Shut closes a connection for writing. What its peer has written until it notices still arrives as input, and then InClosed.
 type Shut struct{ Conn ConnID }
 
-// Dial asks for a connection to an office; InConnected or InFailed tells what became of it.
+// Dial opens a connection to an office; InConnected or InFailed reports the result.
 type Dial struct {
 	Conn   ConnID
 	Addr   string
 	Within time.Duration
 }
 
-// Decision tells what the Controller decided, for those who look on: it is carried out by other effects.
+// Decision reports a decision of the Controller to observers. Other effects carry it out.
 type Decision struct {
 	At     time.Duration
-	Call   uint64 // by which the Controller knows it
+	Call   uint64 // the Controller's ID
 	Act    logic.Act
-	Office string
-	Within time.Duration
+	Office string        // empty for ActRefuse and ActFail
+	Within time.Duration // timeout of an attempt
 }
 
-// AskJournal asks the journal service again, from the position that Server.Pos tells.
+// AskJournal requests the service discovery stream again, from the position that Server.Pos returns.
 type AskJournal struct{}
 
-// Confirm asks for InWritten once all that was asked for before it has been carried out.
+// Confirm requests the input InWritten once all earlier effects have been carried out.
 type Confirm struct{}
 
-// Log is a line for the operators.
+// Log is one log record.
 type Log struct {
 	Level slog.Level
 	Text  string
@@ -68,19 +67,19 @@
 func (Confirm) effect()    {}
 func (Log) effect()        {}
 
-// InputKind tells inputs apart.
+// InputKind is the kind of an Input. The comments of its values name the fields that are set.
 type InputKind byte
 
-// Inputs of a Server: all that it is ever told.
+// The kinds of input.
 const (
-	InAccepted  InputKind = iota // Conn, From: a caller's connection
+	InAccepted  InputKind = iota // Conn, From: a connection from callers was accepted
 	InConnected                  // Conn: a dialled connection is up
-	InFailed                     // Conn, Refused: it is not
-	InClosed                     // Conn, Reset: it has ended
+	InFailed                     // Conn, Refused: a dialled connection did not come up
+	InClosed                     // Conn, Reset, Waited: a connection has ended
 	InReceive                    // Conn, Bytes, Waited
-	InStuck                      // Conn, On: bytes wait that TCP does not take
-	InJournal                    // Events
-	InAdvance                    // time has gone on
-	InLeave                      // Until: no call that is taken from now on may be open later
-	InWritten                    // what came before a Confirm has been carried out
+	InStuck                      // Conn, On: whether TCP has stopped accepting bytes
+	InJournal                    // Events: service discovery events
+	InAdvance                    // a timer is due
+	InLeave                      // Until: this process ends then; calls accepted from now on must be over by that time
+	InWritten                    // the effects before a Confirm have been carried out
 )
--- a/callserver/halfclosed.go
+++ b/callserver/halfclosed.go
@@ -2,11 +2,11 @@
 
 import "finchlatch/liveness"
 
-// Connections to offices that are shut from our side. What was on its way on them still comes, so they are read until their offices
-// close them, and for longer where a cut may hold something back.
+// Half-closed connections to offices. What their offices have sent still arrives on them, so they are read until the
+// offices close them, and for longer if a network partition may be delaying something.
 
-// shut ends a connection on which nothing is open. A release may be on its way on it this very moment, and its office says it again
-// only on the next connection that is opened: so it is read on until the office closes it, too.
+// halfClose closes a connection without outstanding attempts for writing. A release may be under way on it, and its office would
+// repeat it only on the next connection that is opened: so it is read until the office closes it as well.
 func (s *Server) halfClose(conn *officeConn, why string) {
 	if conn.writeBlocked || !conn.up || s.halfClosedConns >= s.cfg.Offices/halfClosedDivisor {
 		s.closeConn(conn, why)
@@ -14,15 +14,16 @@
 	}
 	conn.halfClosed, conn.halfClosedAt = true, s.now
 	s.halfClosedConns++
-	s.logConn("office's connection shut", conn, why)
+	s.logConn("office's connection half-closed", conn, why)
 	s.emit(Shut{Conn: conn.id})
 	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, id: uint64(conn.id)})
-	if conn.remote.lastLossAt > 0 && s.now-conn.remote.lastLossAt <= correlatedLossWindow { // it can't show any more that its process lives on
+	if conn.remote.lastLossAt > 0 && s.now-conn.remote.lastLossAt <= correlatedLossWindow {
+		// The connection can no longer show that its office's process lives on.
 		s.markUnverifiedUnlessConnSurvived(conn.remote)
 	}
 }
 
-// endShut closes a connection whose office has not closed it, and so has not read it either, perhaps.
+// halfCloseExpired closes a connection that its office has not closed in time, and that it therefore may not have read.
 func (s *Server) halfCloseExpired(id ConnID) {
 	conn := s.officeConns[id]
 	if conn == nil {
@@ -31,14 +32,14 @@
 	if s.mayDeliverReleases(conn) {
 		s.keepLingering(conn)
 	} else {
-		s.closeConn(conn, "its office did not close it after it was shut")
+		s.closeConn(conn, "not closed by its office after the half-close")
 	}
 	s.resendLostReleases(conn)
 }
 
-// mayBringReleases tells whether a connection that is shut is worth reading on: its office has given no sign of life since then and
-// may be out of reach, and releases that it wrote before may be on their way still. They come when the network heals, at once
-// and on this connection only; said again on a new one they are at the next moment in which the office runs.
+// mayDeliverReleases reports whether a half-closed connection should be read further: its office has shown no activity since
+// the half-close and may be unreachable, and releases that it wrote before may be under way. Those arrive as soon as the
+// network partition heals, and on this connection only; repeated on a new one they would come when the office next runs.
 func (s *Server) mayDeliverReleases(conn *officeConn) bool {
 	remote := conn.remote
 	lastActivity := s.now - remote.detector.Silence(s.now)
@@ -46,7 +47,7 @@
 	return remote.supervised && remote.establishedCalls > 0 && noActivity && len(s.officeConns) <= s.cfg.Offices
 }
 
-// linger reads on a connection that is shut, for as long as no descriptor is needed for a new one.
+// keepLingering keeps reading a half-closed connection for as long as no new one needs its descriptor.
 func (s *Server) keepLingering(conn *officeConn) {
 	if !conn.lingering {
 		conn.lingering = true
@@ -55,7 +56,7 @@
 	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, id: uint64(conn.id)})
 }
 
-// makeRoom closes the oldest connection that lingers, where all descriptors for offices are in use.
+// evictLingeringConn closes the oldest lingering connection if all descriptors for offices are in use.
 func (s *Server) evictLingeringConn() {
 	if len(s.officeConns) < s.cfg.Offices {
 		return
@@ -67,6 +68,6 @@
 		}
 	}
 	if oldest != nil {
-		s.closeConn(oldest, "makes room for a new one")
+		s.closeConn(oldest, "its descriptor is needed for a new connection")
 	}
 }
--- a/callserver/handover.go
+++ b/callserver/handover.go
@@ -8,14 +8,14 @@
 	"finchlatch/logic"
 )
 
-// Succession: a new office may have the address of one that has gone before the list says either. What was set up at the
-// address since then stands at the new one.
+// Handover of calls to successors: a new office may own the address of one that is gone before service discovery reports
+// either. Calls set up at the address since then are established at the new one.
 
-// successorWithin is how long the list may take to name the office that has the address of one that is gone.
+// successorTimeout is how long service discovery may take to name the successor of an office that is gone.
 const successorTimeout = 5 * time.Second
 
-// processEnd is when the process of an office that is gone had ended at the latest: now, or when its address was seen to belong
-// to another one.
+// latestProcessEnd returns the latest time at which the process of a gone office can have ended: now, or when its address was
+// seen to belong to another one.
 func (s *Server) latestProcessEnd(remote *remoteOffice) time.Duration {
 	end := s.now
 	if remote.replacedAt > 0 {
@@ -32,8 +32,8 @@
 	return end
 }
 
-// comingStarts gives the start of the last office that events name at each address: an event that ends one office may come ahead
-// of the one that names its successor.
+// announcedStartTimes returns the latest start that the events name for each address: the event that ends an office may come
+// before the one that names its successor.
 func announcedStartTimes(events []feed.Event) map[string]time.Duration {
 	starts := map[string]time.Duration{}
 	for i := range events {
@@ -46,7 +46,7 @@
 	return starts
 }
 
-// handOver moves the calls of an office that is gone to the office that has its address, or waits for the list to name that.
+// handOverCalls moves the calls of an office that is gone to its successor, or waits for service discovery to name one.
 func (s *Server) handOverCalls(remote *remoteOffice) {
 	if remote.establishedCalls == 0 {
 		return
@@ -60,10 +60,11 @@
 	s.armTimer(successorTimeout, timer{kind: timerSuccessorTimeout, officeID: remote.id})
 }
 
-// succeed gives an office that has just been named the calls that were set up at its address.
+// takeOverCalls moves the calls of gone offices at the same address to a newly named office.
 func (s *Server) takeOverCalls(successor *remoteOffice) {
 	for _, predecessor := range s.sortedOffices() {
-		if predecessor != successor && predecessor.state == logic.Gone && predecessor.establishedCalls > 0 && predecessor.addr == successor.addr {
+		if predecessor != successor && predecessor.state == logic.Gone && predecessor.establishedCalls > 0 &&
+			predecessor.addr == successor.addr {
 			s.moveCalls(predecessor, successor)
 			s.cleanUpGoneOffice(predecessor)
 		}
@@ -71,9 +72,9 @@
 }
 
 func (s *Server) moveCalls(from, to *remoteOffice) {
-	s.log(slog.LevelInfo, "calls stand at the office's successor", slog.String("office", from.id), slog.String("successor", to.id),
+	s.log(slog.LevelInfo, "calls handed over to the office's successor", slog.String("office", from.id), slog.String("successor", to.id),
 		slog.Int("calls", from.establishedCalls))
-	if from.replacedAt > to.startedAt { // that, too, has been replaced since
+	if from.replacedAt > to.startedAt { // the successor has been replaced since, too
 		to.replacedAt = max(to.replacedAt, from.replacedAt)
 	}
 	for _, call := range s.callsInOrder() {
@@ -85,15 +86,15 @@
 	}
 }
 
-// noSuccessor ends the calls of an office that is gone and whose address nobody has taken.
+// successorTimedOut ends the calls of an office that is gone and has no successor.
 func (s *Server) successorTimedOut(id string) {
 	if remote := s.offices[id]; remote != nil && remote.state == logic.Gone {
-		s.dropEstablishedCalls(remote, s.now, "the list says that its office is gone, and names no other at its address")
+		s.dropEstablishedCalls(remote, s.now, "service discovery reports its office as gone and names no successor")
 		s.cleanUpGoneOffice(remote)
 	}
 }
 
-// sharesAddress tells whether two offices are one, or have the same address: what stands at the one may be at the other.
+// sharesAddress reports whether two offices are the same or have the same address, so that calls of one may be at the other.
 func (r *remoteOffice) sharesAddress(other *remoteOffice) bool {
 	return r == other || r.addr != "" && r.addr == other.addr
 }
--- a/callserver/host.go
+++ b/callserver/host.go
@@ -8,15 +8,15 @@
 	"finchlatch/office"
 )
 
-// host carries out the actions of the Controller.
+// host implements the host interface of the Controller.
 type host struct{ s *Server }
 
-// Send starts an attempt. What stands in its way is an outcome, told after the Controller has finished.
+// Send starts an attempt. If it cannot be sent, the outcome is reported after the Controller has returned.
 func (h host) Send(callID uint64, officeID string, timeout time.Duration) {
 	s := h.s
 	call, remote := s.calls[callID], s.offices[officeID]
 	if call == nil || call.attemptActive || remote == nil {
-		s.log(slog.LevelError, "attempt that cannot be made", slog.Uint64("call", callID), slog.String("office", officeID))
+		s.log(slog.LevelError, "cannot start attempt", slog.Uint64("call", callID), slog.String("office", officeID))
 		return
 	}
 	s.emit(Decision{At: s.now, Call: callID, Act: logic.ActSend, Office: officeID, Within: timeout})
@@ -36,7 +36,7 @@
 	s.assignConn(call)
 }
 
-// endLater ends an attempt after the Controller has finished what it is doing.
+// deferAttemptEnd ends an attempt after the Controller has returned.
 func (s *Server) deferAttemptEnd(call *activeCall, attempt int, status logic.Status) {
 	s.deferWork(func() {
 		if call.outstanding() && call.attempts-1 == attempt {
@@ -45,16 +45,17 @@
 	})
 }
 
-// logDecision tells of a decision about a call, with what came before it: attempts made and how the last one ended.
+// logDecision logs a decision about a call with its history: the attempts made and how the last one ended.
 func (s *Server) logDecision(text string, call *activeCall, attrs ...slog.Attr) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
-		attrs = append(attrs, slog.String("call", call.callID), slog.Int("attempts", call.attempts), slog.String("last", string(call.lastStatus)),
+		attrs = append(attrs, slog.String("call", call.callID), slog.Int("attempts", call.attempts),
+			slog.String("last", string(call.lastStatus)),
 			slog.Int("last_note", call.lastNote), slog.Duration("age", s.now-call.offeredAt))
 		s.log(slog.LevelDebug, text, attrs...)
 	}
 }
 
-// Refuse is a final answer: trying again is harmless.
+// Refuse gives the final answer of a call that may safely be tried again.
 func (h host) Refuse(callID uint64, retryAfter time.Duration) {
 	if call := h.s.calls[callID]; call != nil {
 		h.s.emit(Decision{At: h.s.now, Call: callID, Act: logic.ActRefuse})
@@ -68,7 +69,7 @@
 	}
 }
 
-// Fail is a final answer.
+// Fail gives the final answer that the call has failed.
 func (h host) Fail(callID uint64) {
 	if call := h.s.calls[callID]; call != nil {
 		h.s.emit(Decision{At: h.s.now, Call: callID, Act: logic.ActFail})
@@ -78,7 +79,7 @@
 	}
 }
 
-// Cancel releases an attempt that has no answer yet.
+// Cancel releases an outstanding attempt.
 func (h host) Cancel(callID uint64, attempt int) {
 	s := h.s
 	call := s.calls[callID]
@@ -89,13 +90,13 @@
 	s.releaseAttempt(call, logic.Cancelled)
 }
 
-// probe is a test of an office that is out.
+// probe is an outstanding health check that the Controller asked for.
 type probe struct {
 	officeID string
 	sentAt   time.Duration
 }
 
-// Probe tests an office.
+// Probe sends a health check to an office.
 func (h host) Probe(officeID string) {
 	s := h.s
 	remote := s.offices[officeID]
@@ -111,7 +112,7 @@
 	}
 }
 
-// probeOver reports the end of a test; without an answer it has failed.
+// finishProbe reports the result of a probe; a Report without OK means that it failed.
 func (s *Server) finishProbe(id uint64, report logic.Report) {
 	p := s.probes[id]
 	if p == nil {
@@ -122,16 +123,16 @@
 	s.controller.Report(s.now, report)
 }
 
-// Tell is not allowed by the platform: call servers share nothing.
+// Tell does nothing: the platform does not let call servers exchange messages.
 func (h host) Tell(int, []byte) {}
 
 // Timer arms a timer of the Controller.
-func (h host) Timer(wait time.Duration, mark string) {
-	h.s.armTimer(wait, timer{kind: timerController, controllerMark: mark})
+func (h host) Timer(delay time.Duration, mark string) {
+	h.s.armTimer(delay, timer{kind: timerController, controllerMark: mark})
 }
 
-// Watch is not needed: the list comes by itself.
+// Watch does nothing: service discovery pushes its updates.
 func (h host) Watch(bool) {}
 
-// Log passes a line on.
+// Log logs a line of the Controller.
 func (h host) Log(text string) { h.s.log(slog.LevelInfo, text) }
--- a/callserver/invitation.go
+++ b/callserver/invitation.go
@@ -11,20 +11,27 @@
 	"finchlatch/sip"
 )
 
-// invitation is a set-up as it was read.
+// Limits on the fields of an INVITE.
+const (
+	callIDDigits          = 16 // hex digits of a Call-ID, exactly
+	maxCalledNumberDigits = 32
+	maxOfficeIDBytes      = 256
+)
+
+// invitation is a parsed INVITE: a set-up, or the name of a call that is already established.
 type invitation struct {
 	msg          *sip.Message
 	wireID       uint64
-	classIndex   int
+	classIndex   int // -1: unknown class
 	className    string
 	calledNumber string
-	timeLeft     time.Duration
+	timeLeft     time.Duration // time that the caller still waits
 	offer        logic.Call
-	officeID     string
-	description  []byte
+	officeID     string // where the call is already established; empty for a set-up
+	description  []byte // session description of the caller
 }
 
-// readInvite reads the fields of a set-up, and names the one that is wrong.
+// parseInvite parses and validates an INVITE. Its error names the invalid field.
 func (s *Server) parseInvite(msg *sip.Message) (invite invitation, err error) {
 	invite.msg, invite.description, invite.calledNumber, invite.classIndex, invite.className = msg, msg.Body, msg.User(), -1, msg.Get("X-Cos")
 	if invite.wireID, err = parseCallID(msg.CallID); err != nil {
@@ -34,7 +41,7 @@
 		invite.classIndex = index
 	}
 	if !isCalledNumber(invite.calledNumber) {
-		return invite, fmt.Errorf("address: a number of %.40q", invite.calledNumber)
+		return invite, fmt.Errorf("address: invalid called number %.40q", invite.calledNumber)
 	}
 	if err = invite.parseLegs(msg.Get("X-Legs")); err != nil || invite.officeID != "" {
 		return invite, err
@@ -44,41 +51,41 @@
 		return invite, fmt.Errorf("X-Timer-Ms: %.40q", msg.Get("X-Timer-Ms"))
 	}
 	invite.timeLeft = time.Duration(ms) * time.Millisecond
-	if invite.classIndex >= 0 { // a try is part of what a caller keeps up for; a stranger's year would be kept for a year
+	if invite.classIndex >= 0 { // an unknown client could ask for a year and keep the call open as long
 		invite.timeLeft = min(invite.timeLeft, s.cfg.Settings.Classes[invite.classIndex].Deadline)
 	}
 	if !office.GoodDescription(invite.description) {
-		return invite, fmt.Errorf("body: a description that cannot be read")
+		return invite, fmt.Errorf("body: invalid session description")
 	}
 	return invite, nil
 }
 
-// callID reads the id of a call.
+// parseCallID parses a Call-ID into the ID of a call.
 func parseCallID(text string) (uint64, error) {
 	id, err := strconv.ParseUint(text, 16, 64)
-	if err != nil || len(text) != 16 {
+	if err != nil || len(text) != callIDDigits {
 		return 0, fmt.Errorf("Call-ID: %.40q is not 16 hex digits", text)
 	}
 	return id, nil
 }
 
-// digits tells whether a number called is one: hex digits, as the address signals of Q.763 are.
-func isCalledNumber(s string) bool {
-	for _, c := range s {
-		if !strings.ContainsRune("0123456789abcdefABCDEF", c) {
+// isCalledNumber reports whether s is a called number: hex digits, like the address signals of Q.763.
+func isCalledNumber(number string) bool {
+	for _, digit := range number {
+		if !strings.ContainsRune("0123456789abcdefABCDEF", digit) {
 			return false
 		}
 	}
-	return s != "" && len(s) <= 32
+	return number != "" && len(number) <= maxCalledNumberDigits
 }
 
-// legs reads the figures of a set-up.
+// parseLegs parses the X-Legs header.
 func (invite *invitation) parseLegs(text string) error {
 	invite.offer.Dest, invite.offer.Via = -1, -1
 	for _, part := range strings.Split(text, ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
 		if name == "at" {
-			if invite.officeID = value; value == "" || len(value) > 256 {
+			if invite.officeID = value; value == "" || len(value) > maxOfficeIDBytes {
 				return fmt.Errorf("X-Legs: at %.40q", value)
 			}
 			continue
--- a/callserver/officeinput.go
+++ b/callserver/officeinput.go
@@ -8,16 +8,16 @@
 )
 
 func (s *Server) sendToOffice(conn *officeConn, msg *office.Message) {
-	b, err := office.Append(nil, msg)
+	data, err := office.Append(nil, msg)
 	if err != nil {
-		s.log(slog.LevelError, "message that cannot be written", slog.String("err", err.Error()))
+		s.log(slog.LevelError, "cannot encode message", slog.String("err", err.Error()))
 		return
 	}
 	s.traceOffice("to office", conn, msg)
-	s.emit(Write{Conn: conn.id, Bytes: b})
+	s.emit(Write{Conn: conn.id, Bytes: data})
 }
 
-// fromOffice takes bytes of an office.
+// receiveFromOffice handles bytes of an office.
 func (s *Server) receiveFromOffice(conn *officeConn, data []byte) {
 	conn.lastActivity = s.now
 	conn.remote.earlyCloses = 0
@@ -40,14 +40,14 @@
 	}
 }
 
-// checkUnfinished closes a connection whose message has not ended.
+// checkUnfinishedMessage closes a connection if the message that was incomplete when the timer was armed still is.
 func (s *Server) checkUnfinishedMessage(id ConnID, messageCount int) {
 	if conn := s.officeConns[id]; conn != nil && conn.framer.Waiting() > 0 && conn.messageCount == messageCount {
-		s.abortConn(conn, "a message without an end")
+		s.abortConn(conn, "message not completed")
 	}
 }
 
-// officeMessage takes one message of an office.
+// handleOfficeMessage handles one message of an office.
 func (s *Server) handleOfficeMessage(conn *officeConn, msg *office.Message) {
 	s.traceOffice("from office", conn, msg)
 	switch msg.Type {
@@ -64,9 +64,10 @@
 			return
 		}
 		conn.recordGroupState(s.cfg.Settings.ReportFields, load)
-		// A change is told on each connection. A copy that comes after a set-up of ours would bring back the circuit
-		// that it has just taken.
-		if remote := conn.remote; msg.Load == remote.groupState && remote.lastReporter != conn && s.officeConns[remote.lastReporter.id] == remote.lastReporter {
+		// A change is reported on each connection. Applying a copy that arrives after a new set-up would return the circuit that
+		// the set-up has just taken.
+		if remote := conn.remote; msg.Load == remote.groupState && remote.lastReporter != conn &&
+			s.officeConns[remote.lastReporter.id] == remote.lastReporter {
 			return
 		}
 		conn.remote.groupState, conn.remote.lastReporter = msg.Load, conn
@@ -77,16 +78,16 @@
 	}
 }
 
-// answer takes an answer: the call stands, if its caller still waits.
+// handleAnswer handles an answer: the call is established if its caller still waits.
 func (s *Server) handleAnswer(conn *officeConn, msg *office.Message) {
 	call := conn.findAttempt(msg.Call)
 	switch {
 	case call == nil:
 	case !office.GoodDescription(msg.Description):
 		s.sendToOffice(conn, &office.Message{Type: office.Release, Call: msg.Call, Cause: office.CauseNormal, HasCause: true})
-		s.abortConn(conn, "a description that cannot be read")
+		s.abortConn(conn, "invalid session description")
 	case s.callsByWireID[call.wireID] != call:
-		// Where attempts can't be cancelled, one goes on after its caller has been answered or has gone.
+		// Where attempts cannot be cancelled, one goes on after its caller has had the final answer or has hung up.
 		s.sendToOffice(conn, &office.Message{Type: office.Release, Call: msg.Call, Cause: office.CauseNormal, HasCause: true})
 		s.attemptEnded(call, logic.Outcome{Status: logic.Cancelled})
 		s.retireConn(conn)
@@ -96,7 +97,7 @@
 	}
 }
 
-// find is the call whose attempt is out on a connection.
+// findAttempt returns the call with this wire ID that has an attempt on the connection, or nil.
 func (c *officeConn) findAttempt(wireID uint64) *activeCall {
 	for _, call := range c.outstanding {
 		if call.wireID == wireID {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// released takes a release: the end of an attempt, or of a call that stands.
+// handleRelease handles a release, which ends an attempt or an established call.
 func (s *Server) handleRelease(conn *officeConn, msg *office.Message) {
 	load, err := msg.Values(s.cfg.Settings.ReportFields)
 	if err != nil {
@@ -115,7 +116,7 @@
 	}
 	call := s.callsByWireID[msg.Call]
 	if call != nil && call.remote == conn.remote && call.state == callSettingUp && msg.HasCause && msg.Cause == office.CauseNormal {
-		s.endedBeforeAnswer(call, conn, load) // so ends only what has stood
+		s.endedBeforeAnswer(call, conn, load) // only an established call ends with this cause
 		return
 	}
 	if call := conn.findAttempt(msg.Call); call != nil {
@@ -136,7 +137,7 @@
 		return
 	}
 	if !call.remote.sharesAddress(conn.remote) || call.state == callSettingUp {
-		return // of a call that is over already, or of an attempt that is
+		return // the call or the attempt is already over
 	}
 	if s.belongsToEarlierAttempt(call, conn, msg.Cause) {
 		return
@@ -145,6 +146,6 @@
 		s.endEstablished(call, logic.Ended, msg.Cause, load, "ended by its office")
 		return
 	}
-	s.endEstablished(call, logic.Reset, max(1, msg.Cause), load, "cut by its office")
+	s.endEstablished(call, logic.Reset, max(1, msg.Cause), load, "dropped by its office")
 	s.callDropped()
 }
--- a/callserver/offices.go
+++ b/callserver/offices.go
@@ -8,35 +8,47 @@
 	"finchlatch/logic"
 )
 
-// exchange is one office: a process with an id of its own. Its address may have belonged to another one before.
+// remoteOffice is the process that serves an exchange. Its address may have belonged to another process before.
 type remoteOffice struct {
-	id, addr         string
-	exchange         int
+	id               string
+	addr             string
+	exchange         int // number of the exchange that it serves
 	state            logic.OfficeState
-	startedAt        time.Duration
+	startedAt        time.Duration // 0: unknown
 	conns            []*officeConn
-	waitingCalls     []*activeCall // attempts without a connection yet
-	earlyCloses      int           // connections in a row that ended before anything was heard on them
+	waitingCalls     []*activeCall // with an attempt that has no connection yet
+	earlyCloses      int           // consecutive connections that ended before anything was received on them
 	establishedCalls int
-	groupState       string        // state of its group as it was told last,
-	lastReporter     *officeConn   // and the connection that told it first
-	pendingReleases  []release     // of calls that stood, for the next connection
-	connLostAt       time.Duration // when a connection last ended or fell into doubt
-	connCheckArmed   bool          // a look at its connections is due
-	dialFailures     int           // connections that did not come up, in a row
-	redialAt         time.Duration
+	groupState       string        // last one reported
+	lastReporter     *officeConn   // connection that reported groupState first
+	pendingReleases  []release     // of established calls, for the next connection
+	connLostAt       time.Duration // when a connection last ended or became suspect
+	connCheckArmed   bool          // timerCheckConns is armed
+	dialFailures     int           // consecutive connections that did not come up
+	redialAt         time.Duration // no connection is opened before this
 	counts           officeCounts
 
 	detector         liveness.Detector
-	supervised       bool          // a check of its health is due
-	unverifiedBefore time.Duration // calls from before this may have ended with its process; 0: none may
-	lossStartedAt    time.Duration // when the first of the connections that ended together did,
-	lastLossAt       time.Duration // and the last
-	replacedAt       time.Duration // what was set up after this is at a process that the list may not have named yet; 0: none
+	supervised       bool          // timerHealthCheck is armed
+	unverifiedBefore time.Duration // calls from before this may have ended with an earlier process; 0: none
+	lossStartedAt    time.Duration // first end of a connection in the latest correlated loss
+	lastLossAt       time.Duration // last one in it
+	replacedAt       time.Duration // later calls belong to a process that service discovery may not have named yet; 0: none
 }
 
-// count is what passed between us and an office.
-type officeCounts struct{ sent, sentCold, established, full, faulted, timedOut, reset, noConnect, notSent, cancelled uint64 }
+// officeCounts counts the attempts at an office by their outcome.
+type officeCounts struct {
+	sent        uint64
+	sentCold    uint64 // part of sent: within Settings.ColdFor of the office's start
+	established uint64
+	full        uint64
+	faulted     uint64
+	timedOut    uint64
+	reset       uint64
+	noConnect   uint64
+	notSent     uint64
+	cancelled   uint64
+}
 
 func (c *officeCounts) add(status logic.Status) {
 	switch status {
@@ -57,31 +69,32 @@
 	}
 }
 
-// How connections to offices are kept; these are limits on sockets, not on calls.
+// Limits on connections to offices; they do not limit calls.
 const (
-	initialRedialDelay       = 50 * time.Millisecond
+	initialRedialDelay       = 50 * time.Millisecond // doubles with each consecutive failure
 	maxRedialDelay           = time.Second
-	maxSuspectRedialDelay    = 250 * time.Millisecond // of a suspected office: a cut that heals is to be seen at once
-	unfinishedMessageTimeout = 250 * time.Millisecond // the rest of a message of 16 KiB at most comes at once, or never
+	maxRedialDoublings       = 8                      // keeps the shift in range; the delay is at its maximum long before
+	maxSuspectRedialDelay    = 250 * time.Millisecond // to a suspected office: the end of a network partition must be noticed at once
+	unfinishedMessageTimeout = 250 * time.Millisecond // the rest of a message of up to 16 KiB follows at once or never
 	maxConnsPerOffice        = 24
-	connCheckInterval        = 400 * time.Millisecond // at connections that may be dead: a release must be passed on within 1 s,
-	slowAnswerThreshold      = 250 * time.Millisecond // and one that owes an answer for so long may be
-	maxDialling              = 2                      // connections to one office that are being opened, where a cut may heal any moment
-	maxIdleConns             = 2                      // more that are idle make room for a fresh one
-	halfClosedTimeout        = time.Second            // an office that is there closes at once
-	activityLag              = 100 * time.Millisecond // signs that came so soon after may have been on their way, or the kernel's
-	halfClosedDivisor        = 8                      // one in so many of the offices' descriptors may be of connections that are shut
+	connCheckInterval        = 400 * time.Millisecond // looking for dead connections: a release must be passed on within 1 s
+	slowAnswerThreshold      = 250 * time.Millisecond // an attempt without an answer for this long may be on a dead connection
+	maxDialling              = 2                      // connections to one office being opened at a time: a network partition may heal at any moment
+	maxIdleConns             = 2                      // per office; with this many, the oldest makes room for a new connection
+	halfClosedTimeout        = time.Second            // a living office closes its end at once
+	activityLag              = 100 * time.Millisecond // activity this soon after a half-close may be older, or the peer kernel's
+	halfClosedDivisor        = 8                      // at most 1/halfClosedDivisor of Config.Offices may be half-closed connections
 )
 
-// share is how many connections an office may have.
+// maxConnsToOffice returns how many connections an office may have.
 func (s *Server) maxConnsToOffice() int {
-	offices := 1
+	liveOffices := 1
 	for _, remote := range s.offices {
 		if remote.state != logic.Gone {
-			offices++
+			liveOffices++
 		}
 	}
-	return min(maxConnsPerOffice, max(1, s.cfg.Offices/offices))
+	return min(maxConnsPerOffice, max(1, s.cfg.Offices/liveOffices))
 }
 
 func (r *remoteOffice) anyConnUp() bool {
--- a/callserver/releases.go
+++ b/callserver/releases.go
@@ -9,7 +9,7 @@
 	"finchlatch/sip"
 )
 
-// releaseOffice releases a call that stands at its office, on the connection of its set-up or on any other.
+// releaseAtOffice releases an established call at its office, on the connection of its set-up or on another one.
 func (s *Server) releaseAtOffice(call *activeCall, cause byte) {
 	s.sendRelease(call.remote, call.conn, call.wireID, cause)
 }
@@ -27,36 +27,35 @@
 	s.sendToOffice(conn, &office.Message{Type: office.Release, Call: wireID, Cause: cause, HasCause: true})
 }
 
-// unheard are the releases that went out on a connection lately and were not said to be heard: should it end now, they
-// may be lost with it, and go out again on another one.
+// unconfirmedReleases holds the releases recently sent on a connection whose receipt has not been confirmed. If the connection
+// ends they may be lost, and are sent again on another one.
 type unconfirmedReleases []release
 
-// release ends a call that stands, toward its caller or its office.
+// release is the release of an established call toward its caller or its office.
 type release struct {
 	sentAt time.Duration
-	call   *activeCall
-	// of a release toward an office, where the call itself is forgotten
+	call   *activeCall // nil toward an office, where the call may have been removed
 	wireID uint64
 	cause  byte
 }
 
-// hearWithin is how long the end of a connection may take to show here.
+// connLossDelay is how long it may take until the end of a connection is noticed here.
 const connLossDelay = time.Second
 
-// Bounds on releases that are kept: of one connection, and of one office that can't be reached.
+// Limits on the releases that are kept: per connection, and per office without a connection.
 const (
 	maxUnconfirmedReleases = 1024
 	maxPendingReleases     = 8192
 )
 
-// pendRelease keeps a release for an office until a connection to it is up.
+// queueRelease keeps a release until a connection to its office is up.
 func (s *Server) queueRelease(remote *remoteOffice, wireID uint64, cause byte) {
 	if remote.state != logic.Gone && len(remote.pendingReleases) < maxPendingReleases {
 		remote.pendingReleases = append(remote.pendingReleases, release{wireID: wireID, cause: cause})
 	}
 }
 
-// sendOfficeReleases sends the releases that wait for a connection to an office.
+// flushOfficeReleases sends the releases that wait for a connection to an office.
 func (s *Server) flushOfficeReleases(remote *remoteOffice) {
 	pending := remote.pendingReleases
 	remote.pendingReleases = nil
@@ -65,41 +64,43 @@
 	}
 }
 
-// add keeps a release; those that were written hearWithin before the other end was heard have arrived.
+// add keeps a release. Those sent more than connLossDelay before the peer's last activity have arrived.
 func (u *unconfirmedReleases) add(r release, lastActivity time.Duration) {
-	*u = append(slices.DeleteFunc(*u, func(o release) bool { return o.sentAt < lastActivity-connLossDelay }), r)
+	*u = append(slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < lastActivity-connLossDelay }), r)
 	if excess := len(*u) - maxUnconfirmedReleases; excess > 0 {
 		*u = slices.Delete(*u, 0, excess)
 	}
 }
 
 func (u *unconfirmedReleases) confirm(wireID uint64) {
-	*u = slices.DeleteFunc(*u, func(o release) bool { return o.wireID == wireID })
+	*u = slices.DeleteFunc(*u, func(other release) bool { return other.wireID == wireID })
 }
 
-// lost takes those that may be lost.
+// takeLost removes all releases and returns those that may be lost.
 func (u *unconfirmedReleases) takeLost(lastActivity time.Duration) []release {
-	lost := slices.DeleteFunc(*u, func(o release) bool { return o.sentAt < lastActivity-connLossDelay })
+	lost := slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < lastActivity-connLossDelay })
 	*u = nil
 	return lost
 }
 
-// toCaller is a connection that a release can go out on: that of the set-up, else the one that proved itself last.
+// callerForRelease returns a connection for the release of a call: that of its set-up, or the one that most recently carried
+// calls, with preference for those that carried established ones. It returns nil if there is none.
 func (s *Server) callerForRelease(call *activeCall) *callerConn {
 	if call.caller != nil && s.callerConns[call.caller.id] == call.caller {
 		return call.caller
 	}
 	var best *callerConn
 	for _, caller := range s.callerConns {
-		if caller.lastUsed > 1 && (best == nil || caller.carriedEstablished && !best.carriedEstablished || caller.carriedEstablished == best.carriedEstablished &&
-			(caller.lastUsed > best.lastUsed || caller.lastUsed == best.lastUsed && caller.id > best.id)) {
+		if caller.lastUsed > usedWithoutCall && (best == nil || caller.carriedEstablished && !best.carriedEstablished ||
+			caller.carriedEstablished == best.carriedEstablished &&
+				(caller.lastUsed > best.lastUsed || caller.lastUsed == best.lastUsed && caller.id > best.id)) {
 			best = caller
 		}
 	}
 	return best
 }
 
-// sendPendingReleases sends the releases that wait for a connection.
+// flushCallerReleases sends the releases that wait for a caller connection.
 func (s *Server) flushCallerReleases() {
 	if len(s.pendingReleases) == 0 {
 		return
@@ -111,11 +112,11 @@
 	}
 }
 
-// releaseCaller sends the release of a call that stood toward its caller.
+// releaseToCaller releases an established call toward its caller.
 func (s *Server) releaseToCaller(call *activeCall, cause byte) {
 	caller := s.callerForRelease(call)
 	if caller == nil {
-		s.logDecision("release waits for a caller's connection", call)
+		s.logDecision("release waits for a caller connection", call)
 		s.pendingReleases = append(s.pendingReleases, release{call: call, cause: cause})
 		return
 	}
@@ -126,16 +127,16 @@
 	}
 }
 
-// byeHeardWithin is how long a caller may take to say that it heard a release. There is time for another connection then: a
-// release must be passed on within 1 s.
+// byeConfirmTimeout is how long a caller may take to respond to a BYE. It leaves time to use another connection: a release must
+// be passed on within 1 s.
 const byeConfirmTimeout = 350 * time.Millisecond
 
-// repeatBye sends a release again, on another connection, that its caller did not say to have heard. The danger: a connection
-// that is cut off stays open and silent, and swallows it.
+// repeatBye sends a BYE without a response again on another connection: one that a network partition has cut off stays open
+// and loses what is written on it.
 func (s *Server) repeatBye(connID ConnID, wireID uint64) {
 	caller := s.callerConns[connID]
 	if caller == nil {
-		return // what it swallowed went out again when it ended
+		return // its unconfirmed releases were sent again when it ended
 	}
 	i := slices.IndexFunc(caller.unconfirmedByes, func(r release) bool { return r.wireID == wireID })
 	if i < 0 {
@@ -150,22 +151,28 @@
 	s.sendBye(other, r.call, r.cause)
 }
 
-// callerHeardSince is the connection from callers that was heard last, if that was after a moment.
+// latestActiveCaller returns the connection with the latest activity among those that have carried established calls, if that
+// activity is later than since.
 func (s *Server) latestActiveCaller(since time.Duration) (best *callerConn) {
 	for _, caller := range s.callerConns {
-		if caller.carriedEstablished && caller.lastActivity > since && (best == nil || caller.lastActivity > best.lastActivity || caller.lastActivity == best.lastActivity && caller.id > best.id) {
+		if caller.carriedEstablished && caller.lastActivity > since &&
+			(best == nil || caller.lastActivity > best.lastActivity ||
+				caller.lastActivity == best.lastActivity && caller.id > best.id) {
 			best = caller
 		}
 	}
 	return best
 }
 
+// byeCSeq is the sequence number of a BYE, the only request sent toward the caller of a call.
+const byeCSeq = 2
+
 func (s *Server) sendBye(caller *callerConn, call *activeCall, cause byte) {
 	s.trace("to caller", "BYE", caller.remoteAddr, caller.id, call.callID, int(cause))
-	s.emit(Write{Conn: caller.id, Bytes: sip.Request(nil, "BYE", "sip:"+call.calledNumber+"@net", call.callID, 2, int(cause))})
+	s.emit(Write{Conn: caller.id, Bytes: sip.Request(nil, "BYE", "sip:"+call.calledNumber+"@net", call.callID, byeCSeq, int(cause))})
 }
 
-// releaseAgain sends the releases again that may be lost with a connection to an office.
+// resendLostReleases sends the releases again that may be lost on a connection to an office.
 func (s *Server) resendLostReleases(conn *officeConn) {
 	for _, r := range conn.unconfirmed.takeLost(conn.lastActivity) {
 		s.sendRelease(conn.remote, nil, r.wireID, r.cause)
--- a/callserver/supervision.go
+++ b/callserver/supervision.go
@@ -10,10 +10,10 @@
 	"finchlatch/office"
 )
 
-// Supervision: whether an office at which calls stand still lives. Package liveness decides; here heartbeats go out and
-// verdicts are carried out.
+// Supervision of the offices that hold established calls: package liveness decides, this file sends heartbeats and carries
+// out its decisions.
 
-// stood takes note of one more call that stands at an office.
+// addEstablished counts an established call at an office and starts the supervision of the office.
 func (s *Server) addEstablished(remote *remoteOffice) {
 	remote.establishedCalls++
 	if !remote.supervised {
@@ -23,7 +23,7 @@
 	}
 }
 
-// supervise checks an office for as long as calls stand there.
+// checkHealth runs the failure detector of an office while it holds established calls.
 func (s *Server) checkHealth(id string) {
 	remote := s.offices[id]
 	if remote == nil {
@@ -50,7 +50,7 @@
 	s.armTimer(next-s.now, timer{kind: timerHealthCheck, officeID: id})
 }
 
-// heartbeat asks an office for a sign of life by one message, or by a new connection where there is none to write on.
+// heartbeatOffice sends a heartbeat, or opens a connection if there is none to send it on.
 func (s *Server) heartbeatOffice(remote *remoteOffice) {
 	if conn := remote.leastLoadedConn(); conn != nil {
 		s.sendHeartbeat(conn)
@@ -59,8 +59,7 @@
 	s.openAdditionalConn(remote, true)
 }
 
-// probeOffice asks by every way there is: on each connection, and by a new one. Connections of a process that is no more are
-// reset by it.
+// probeOffice sends a heartbeat on each connection and opens a new one. A host whose process has ended resets its connections.
 func (s *Server) probeOffice(remote *remoteOffice) {
 	s.heartbeatOnAll(remote)
 	s.openAdditionalConn(remote, true)
@@ -74,15 +73,15 @@
 	}
 }
 
-// sendHeartbeat sends the protocol's test with cause 0: it asks for no report. Whether the module may ask for reports
-// (limits.probes) is another matter.
+// sendHeartbeat sends the protocol's Test message with cause 0, which requests no report. The setting limits.probes, which
+// allows the Controller to request reports, does not matter here.
 func (s *Server) sendHeartbeat(conn *officeConn) {
 	s.lastCallID++
 	s.sendToOffice(conn, &office.Message{Type: office.Test, Call: s.lastCallID, HasCause: true})
 }
 
-// reached takes a connection that has come up as a sign of life. Where its office was suspected, its process may be a new one,
-// unless older connections have brought something, too.
+// noteConnected records a new connection as activity. If its office was suspected or failed, the process may be a new one, unless
+// bytes have come on older connections.
 func (s *Server) noteConnected(remote *remoteOffice, conn *officeConn) {
 	hadUnconfirmed := remote.detector.Stirs()
 	previous := remote.detector.Heard(s.now)
@@ -95,12 +94,14 @@
 	}
 }
 
-// heardBytes takes bytes of an office as a sign of life. What it could not say while it was out of reach it says on the next
-// connection that comes up. Those that are being opened were called in that time, and may not come up for long.
+// noteActivity records bytes of an office as activity. What the office could not send while it was unreachable it sends on the
+// next connection that comes up. Connections that are being dialled were begun in that time and may take long, so another
+// one is opened.
 func (s *Server) noteActivity(remote *remoteOffice) {
 	previous := remote.detector.State()
 	if remote.detector.HeardBytes(s.now) {
-		s.log(slog.LevelInfo, "office stirs", slog.String("office", remote.id), slog.Duration("silent", remote.detector.Silence(s.now)),
+		s.log(slog.LevelInfo, "unconfirmed activity of a suspected office", slog.String("office", remote.id),
+			slog.Duration("silent", remote.detector.Silence(s.now)),
 			slog.Int("standing", remote.establishedCalls))
 		remote.dialFailures, remote.redialAt = 0, 0
 		s.heartbeatOnAll(remote)
@@ -116,16 +117,17 @@
 	}
 }
 
-// alive takes note that an office lives that was suspected, or had failed.
+// noteAlive records that a suspected or failed office is alive.
 func (s *Server) noteAlive(remote *remoteOffice, previous liveness.State) {
-	s.log(slog.LevelInfo, "office alive", slog.String("office", remote.id), slog.String("was", previous.String()), slog.Int("standing", remote.establishedCalls))
+	s.log(slog.LevelInfo, "office alive", slog.String("office", remote.id),
+		slog.String("was", previous.String()), slog.Int("standing", remote.establishedCalls))
 	remote.dialFailures, remote.redialAt = 0, 0
 }
 
-// lossSpread is how far apart the ends of connections come that end with one process.
+// correlatedLossWindow is how far apart the connections of one process end when it ends.
 const correlatedLossWindow = 100 * time.Millisecond
 
-// noteLoss takes note that a connection to an office has ended. Where none has lived on, its process may have ended.
+// noteConnLoss records the end of a connection. If no other connection has survived, the office's process may have ended.
 func (s *Server) noteConnLoss(remote *remoteOffice) {
 	if remote.lastLossAt == 0 || s.now-remote.lastLossAt > correlatedLossWindow {
 		remote.lossStartedAt = s.now
@@ -134,7 +136,8 @@
 	s.markUnverifiedUnlessConnSurvived(remote)
 }
 
-// doubtUnlessOneLivedOn takes note that a loss of connections may have been the end of a process, where none is older than it.
+// markUnverifiedUnlessConnSurvived marks the calls of an office as unverified if no connection is older than the latest
+// correlated loss: its process may have ended.
 func (s *Server) markUnverifiedUnlessConnSurvived(remote *remoteOffice) {
 	survived := func(conn *officeConn) bool {
 		return conn.up && !conn.halfClosed && conn.openedAt < remote.lossStartedAt
@@ -144,13 +147,14 @@
 	}
 }
 
-// officeFailed ends the calls that stand at an office which gives no sign of life. It may only be cut off and hold them still:
-// then it is told when it can be reached again.
+// officeFailed ends the established calls of an unresponsive office. It may only be unreachable and still hold them: they are
+// released there once it can be reached.
 func (s *Server) officeFailed(remote *remoteOffice) {
-	s.log(slog.LevelWarn, "office given up", slog.String("office", remote.id), slog.Duration("silent", remote.detector.Silence(s.now)),
+	s.log(slog.LevelWarn, "ending the calls of an office that has failed", slog.String("office", remote.id),
+		slog.Duration("silent", remote.detector.Silence(s.now)),
 		slog.Int("standing", remote.establishedCalls))
 	remote.replacedAt = s.now
-	s.dropAndRelease(remote, "its office gives no sign of life")
+	s.dropAndRelease(remote, "its office is unresponsive")
 	for _, conn := range slices.Clone(remote.conns) {
 		conn.suspect = true
 		s.retireConn(conn)
@@ -158,7 +162,7 @@
 	s.ensureIdleConn(remote)
 }
 
-// cutAndRelease ends the calls that stand at an office toward their callers, and toward the office once it is reached.
+// dropAndRelease ends the established calls of an office toward their callers, and toward the office once it is reachable.
 func (s *Server) dropAndRelease(remote *remoteOffice, why string) {
 	for _, call := range s.callsInOrder() {
 		if call.state == callEstablished && call.remote == remote {
@@ -168,8 +172,8 @@
 	s.dropEstablishedCalls(remote, s.now, why)
 }
 
-// doubtCalls takes note that no connection of an office has lived on from before a moment: what stood there may have ended
-// with its process.
+// markCallsUnverified records that no connection to an office has survived since a time: calls from before may have ended with
+// its process.
 func (s *Server) markCallsUnverified(remote *remoteOffice, before time.Duration) {
 	if remote.establishedCalls == 0 {
 		return
@@ -180,8 +184,8 @@
 	}
 }
 
-// doubtAdopted takes note of a call that is said to stand at an office. Its process may be another one by now, which the list
-// need not have told: the first word on circuits since this process began shows whether it holds such calls.
+// markAdoptedUnverified handles a new adopted call. Its office may have a new process by now, which service discovery need not
+// have reported: the first report of circuits in use since this process started shows whether the office holds such calls.
 func (s *Server) markAdoptedUnverified(remote *remoteOffice) {
 	if remote.unverifiedBefore == 0 {
 		remote.unverifiedBefore = s.startedAt
@@ -189,8 +193,8 @@
 	}
 }
 
-// verifyCalls compares the circuits of the calls that are in doubt with those that the office said to be in use when it was
-// reached again, before new calls took some.
+// verifyCalls compares the circuits of unverified calls with those that the office reported as in use on its first connection
+// since, before new calls took any.
 func (s *Server) verifyCalls(id string) {
 	remote := s.offices[id]
 	if remote == nil || remote.unverifiedBefore == 0 {
@@ -200,9 +204,9 @@
 		return conn.up && conn.stateReported && conn.openedAt >= remote.unverifiedBefore
 	})
 	if i < 0 {
-		return // another connection will bring the state
+		return // another connection will bring the report
 	}
-	if releasesBy := remote.conns[i].openedAt + liveness.AskStateWithin; s.now < releasesBy { // releases are coming on it
+	if releasesBy := remote.conns[i].openedAt + liveness.AskStateWithin; s.now < releasesBy { // releases may still arrive on it
 		s.armTimer(releasesBy-s.now, timer{kind: timerVerifyCalls, officeID: id})
 		return
 	}
@@ -216,7 +220,8 @@
 		}
 	}
 	lost := liveness.CallsLost(expectedCircuits, circuitsInUse)
-	s.log(slog.LevelInfo, "calls of an office counted", slog.String("office", id), slog.Int("held", expectedCircuits), slog.Int("used", circuitsInUse),
+	s.log(slog.LevelInfo, "calls of an office verified", slog.String("office", id), slog.Int("held", expectedCircuits),
+		slog.Int("used", circuitsInUse),
 		slog.Bool("lost", lost))
 	if !lost {
 		return
@@ -225,16 +230,17 @@
 	for _, call := range s.callsInOrder() {
 		if call.state == callEstablished && call.remote == remote && call.sentAt < unverifiedBefore {
 			s.queueRelease(remote, call.wireID, office.CauseTemporary)
-			s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "its office does not hold it any more")
+			s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "no longer held by its office")
 		}
 	}
 	s.flushOfficeReleases(remote)
 }
 
-// takeState keeps the first word of an office on the circuits of its group that came on a connection.
+// recordGroupState keeps the circuits in use of the first group state that is reported on a connection.
 func (c *officeConn) recordGroupState(fields []string, load []float64) {
 	spare, total := slices.Index(fields, "spare"), slices.Index(fields, "total")
-	if c.stateReported || spare < 0 || total < 0 || spare >= len(load) || total >= len(load) || load[spare] < 0 || load[total] < load[spare] {
+	if c.stateReported || spare < 0 || total < 0 || spare >= len(load) || total >= len(load) || load[spare] < 0 ||
+		load[total] < load[spare] {
 		return
 	}
 	c.stateReported, c.circuitsInUse = true, int(load[total]-load[spare])
