--- a/callserver/attempts.go
+++ b/callserver/attempts.go
@@ -8,7 +8,7 @@
 	"finchlatch/office"
 )
 
-// assignConn sends an attempt on a free connection or queues it for one. A corrupted answer ends every attempt on its
+// assignConn sends an attempt on a connection to its office, or queues it until one is up. A corrupted answer ends every attempt on its
 // connection, so each set-up gets a connection of its own as far as descriptors allow, and an idle one is kept ready. An
 // attempt is never sent on a connection of an earlier attempt of its call: a late answer to that one would be taken for its
 // own.
@@ -30,8 +30,7 @@
 	conn.outstanding = append(conn.outstanding, call)
 	remainingMs := max(1, int((call.attemptDeadline-s.now)/time.Millisecond))
 	s.sendToOffice(conn, &office.Message{Type: office.SetUp, Call: call.wireID, Class: call.className,
-		Wait: remainingMs, Number: call.calledNumber,
-		Description: call.description})
+		Wait: remainingMs, Number: call.calledNumber, Description: call.description})
 }
 
 // belongsToEarlierAttempt reports whether a release on the connection of an earlier attempt refers to that attempt, while
--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -34,7 +34,7 @@
 	remote           *remoteOffice // of the current attempt, or where the call is established
 	conn             *officeConn   // of the current attempt, once it has one
 	previousConns    []ConnID      // of earlier attempts
-	unconfirmedConns []ConnID      // those previousConns on which the office has not confirmed the end of the attempt
+	unconfirmedConns []ConnID      // those of previousConns on which the office has not confirmed the end of the attempt
 	answeredAt       time.Duration
 	sentAt           time.Duration // when the Controller asked for the attempt
 	attemptDeadline  time.Duration
@@ -67,8 +67,7 @@
 func (s *Server) offerCall(caller *callerConn, invite invitation) {
 	s.totals.Offered++
 	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, inviteHead: sip.HeadOf(invite.msg),
-		caller: caller, className: invite.className,
-		calledNumber: invite.calledNumber, description: invite.description}
+		caller: caller, className: invite.className, calledNumber: invite.calledNumber, description: invite.description}
 	// During shutdown only transit calls are accepted: they arrive for as long as this process runs, and no other call server
 	// can use this exchange as a tandem without it.
 	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpen > 0 && s.openCalls >= s.cfg.MaxOpen {
@@ -227,7 +226,7 @@
 // lost or arrives after the end. The caller is answered now; another attempt would set up a call that has already run.
 func (s *Server) endedBeforeAnswer(call *activeCall, conn *officeConn, load []float64) {
 	s.failLostAnswer(call)
-	if conn.findAttempt(call.wireID) != call { // released on another connection, or an attempt that was given up
+	if conn.findAttempt(call.wireID) != call { // released on another connection, or after the attempt was given up
 		s.endUnanswered(call)
 		return
 	}
@@ -246,8 +245,8 @@
 // endEstablished ends an established call and releases it toward its caller.
 func (s *Server) endEstablished(call *activeCall, status logic.Status, cause byte, load []float64, why string) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
-		s.log(slog.LevelDebug, "established call ended", slog.String("call", call.callID), slog.String("office", call.remote.id), slog.String("why", why),
-			slog.Int("cause", int(cause)), slog.Duration("stood", s.now-call.answeredAt))
+		s.log(slog.LevelDebug, "established call ended", slog.String("call", call.callID), slog.String("office", call.remote.id),
+			slog.String("why", why), slog.Int("cause", int(cause)), slog.Duration("stood", s.now-call.answeredAt))
 	}
 	s.removeEstablished(call, logic.Outcome{Status: status, Load: load})
 	s.releaseToCaller(call, cause)
--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -39,7 +39,7 @@
 	Bytes   []byte        // not retained
 	Waited  time.Duration // how long the bytes or the close waited in this process; callers have waited as long
 	Events  []feed.Event
-	Until   time.Duration // Unix time
+	Until   time.Duration // Unix time at which this process ends
 }
 
 // Server is one call server. It is not safe for concurrent use. Servers share no state.
@@ -99,6 +99,7 @@
 	officeID       string
 }
 
+// timerKind tells what is due when a timer fires.
 type timerKind byte
 
 const (
@@ -120,10 +121,16 @@
 
 // New returns a Server, or an error that names the invalid setting.
 func New(cfg Config) (*Server, error) {
-	s := &Server{cfg: cfg, classIndex: map[string]int{}, callerConns: map[ConnID]*callerConn{},
-		officeConns: map[ConnID]*officeConn{},
-		calls:       map[uint64]*activeCall{}, callsByWireID: map[uint64]*activeCall{},
-		offices: map[string]*remoteOffice{}, probes: map[uint64]*probe{}}
+	s := &Server{
+		cfg:           cfg,
+		classIndex:    map[string]int{},
+		callerConns:   map[ConnID]*callerConn{},
+		officeConns:   map[ConnID]*officeConn{},
+		calls:         map[uint64]*activeCall{},
+		callsByWireID: map[uint64]*activeCall{},
+		offices:       map[string]*remoteOffice{},
+		probes:        map[uint64]*probe{},
+	}
 	for i, class := range cfg.Settings.Classes {
 		if _, duplicate := s.classIndex[class.Name]; duplicate {
 			return nil, fmt.Errorf("callserver: class %q is defined twice", class.Name)
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -44,9 +44,9 @@
 
 // connCounts counts the connections to an office that are not half-closed.
 type connCounts struct {
-	usable     int
+	total      int // including those dialled, suspect or with blocked writes
 	dialling   int
-	idle       int
+	idle       int // up and ready for an attempt, with none outstanding
 	oldestIdle *officeConn
 }
 
@@ -55,7 +55,7 @@
 		if conn.halfClosed {
 			continue
 		}
-		counts.usable++
+		counts.total++
 		switch {
 		case !conn.up:
 			counts.dialling++
@@ -75,7 +75,7 @@
 	}
 	counts := remote.countConns()
 	if counts.dialling > 0 || counts.idle > 0 && len(remote.waitingCalls) == 0 ||
-		counts.usable >= s.maxConnsToOffice()+len(remote.waitingCalls) || s.now < remote.redialAt {
+		counts.total >= s.maxConnsToOffice()+len(remote.waitingCalls) || s.now < remote.redialAt {
 		return
 	}
 	s.dialOffice(remote)
@@ -142,7 +142,7 @@
 	if counts.dialling > 0 && !force || counts.dialling >= maxDialling {
 		return
 	}
-	if counts.usable >= s.maxConnsToOffice() && counts.idle < maxIdleConns && !force {
+	if counts.total >= s.maxConnsToOffice() && counts.idle < maxIdleConns && !force {
 		return
 	}
 	s.dialAdditional(remote)
@@ -158,7 +158,7 @@
 		return
 	case full:
 		s.closeConn(counts.oldestIdle, "replaced by a new connection; no descriptor left to read it on")
-	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.usable >= s.maxConnsToOffice():
+	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.total >= s.maxConnsToOffice():
 		s.halfClose(counts.oldestIdle, "replaced by a new connection")
 	}
 	s.dialOffice(remote)
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -78,15 +78,15 @@
 	offices := make([]logic.Office, 0, len(hosts.Members))
 	var added []*remoteOffice
 	for _, member := range hosts.Members {
-		started := time.Duration(member.UpSince) * time.Millisecond
+		startedAt := time.Duration(member.UpSince) * time.Millisecond
 		state := stateByPhase[member.Phase]
-		offices = append(offices, logic.Office{ID: member.ID, Exchange: member.Cell, State: state, Started: started})
+		offices = append(offices, logic.Office{ID: member.ID, Exchange: member.Cell, State: state, Started: startedAt})
 		remote := s.offices[member.ID]
 		if remote == nil {
 			if state == logic.Gone {
 				continue
 			}
-			remote = &remoteOffice{id: member.ID, addr: member.Addr, startedAt: started, exchange: member.Cell}
+			remote = &remoteOffice{id: member.ID, addr: member.Addr, startedAt: startedAt, exchange: member.Cell}
 			s.offices[member.ID] = remote
 			added = append(added, remote)
 		}
@@ -96,8 +96,8 @@
 		if member.Addr != "" && state != logic.Gone {
 			remote.addr = member.Addr
 		}
-		if remote.startedAt != started {
-			remote.startedAt = started
+		if remote.startedAt != startedAt {
+			remote.startedAt = startedAt
 			s.officeRestarted(remote)
 		}
 		if state == logic.Ready {
@@ -155,14 +155,14 @@
 }
 
 // dropEstablishedCalls ends the calls that were established at an office before its process ended.
-func (s *Server) dropEstablishedCalls(remote *remoteOffice, ended time.Duration, why string) {
+func (s *Server) dropEstablishedCalls(remote *remoteOffice, processEnd time.Duration, why string) {
 	if remote.establishedCalls == 0 {
 		return
 	}
 	s.log(slog.LevelInfo, "established calls dropped with their office", slog.String("office", remote.id),
 		slog.Int("calls", remote.establishedCalls), slog.String("why", why))
 	for _, call := range s.callsInOrder() {
-		if call.state == callEstablished && call.remote == remote && call.answeredAt <= ended {
+		if call.state == callEstablished && call.remote == remote && call.answeredAt <= processEnd {
 			s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, why)
 		}
 	}
@@ -197,8 +197,7 @@
 func (s *Server) logCounts(remote *remoteOffice) {
 	counts := remote.counts
 	s.log(slog.LevelInfo, "office's counts", slog.String("office", remote.id), slog.Uint64("sent", counts.sent),
-		slog.Uint64("sent_cold", counts.sentCold),
-		slog.Uint64("stood", counts.established),
+		slog.Uint64("sent_cold", counts.sentCold), slog.Uint64("stood", counts.established),
 		slog.Uint64("full", counts.full), slog.Uint64("faulted", counts.faulted), slog.Uint64("timed_out", counts.timedOut),
 		slog.Uint64("reset", counts.reset), slog.Uint64("no_connect", counts.noConnect), slog.Uint64("not_sent", counts.notSent),
 		slog.Uint64("cancelled", counts.cancelled), slog.Int("standing", remote.establishedCalls),
@@ -210,8 +209,8 @@
 	totals := s.totals
 	open, established := s.Held()
 	s.log(slog.LevelInfo, "totals", slog.Uint64("offered", totals.Offered), slog.Uint64("stood", totals.Established),
-		slog.Uint64("refused", totals.Refused),
-		slog.Uint64("failed", totals.Failed), slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
+		slog.Uint64("refused", totals.Refused), slog.Uint64("failed", totals.Failed),
+		slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
 		slog.Duration("list_age", s.now-s.discoveryChangedAt),
 		slog.Uint64("unreadable", totals.Malformed), slog.Int("open", open),
 		slog.Int("standing", established), slog.Int("pending_releases", len(s.pendingReleases)),
--- a/callserver/host.go
+++ b/callserver/host.go
@@ -8,7 +8,7 @@
 	"finchlatch/office"
 )
 
-// host implements the host interface of the Controller.
+// host implements logic.Host: it carries out the decisions of the Controller.
 type host struct{ s *Server }
 
 // Send starts an attempt. If it cannot be sent, the outcome is reported after the Controller has returned.
@@ -49,8 +49,7 @@
 func (s *Server) logDecision(text string, call *activeCall, attrs ...slog.Attr) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
 		attrs = append(attrs, slog.String("call", call.callID), slog.Int("attempts", call.attempts),
-			slog.String("last", string(call.lastStatus)),
-			slog.Int("last_note", call.lastNote), slog.Duration("age", s.now-call.offeredAt))
+			slog.String("last", string(call.lastStatus)), slog.Int("last_note", call.lastNote), slog.Duration("age", s.now-call.offeredAt))
 		s.log(slog.LevelDebug, text, attrs...)
 	}
 }
--- a/callserver/officeinput.go
+++ b/callserver/officeinput.go
@@ -47,6 +47,9 @@
 	}
 }
 
+// causeHealthy is the cause in a group state or test report of an office that works.
+const causeHealthy = 1
+
 // handleOfficeMessage handles one message of an office.
 func (s *Server) handleOfficeMessage(conn *officeConn, msg *office.Message) {
 	s.traceOffice("from office", conn, msg)
@@ -71,10 +74,10 @@
 			return
 		}
 		conn.remote.groupState, conn.remote.lastReporter = msg.Load, conn
-		s.controller.Report(s.now, logic.Report{Office: conn.remote.id, OK: !msg.HasCause || msg.Cause == 1, Load: load})
+		s.controller.Report(s.now, logic.Report{Office: conn.remote.id, OK: !msg.HasCause || msg.Cause == causeHealthy, Load: load})
 	case office.TestReport:
 		load, err := msg.Values(s.cfg.Settings.ReportFields)
-		s.finishProbe(msg.Call, logic.Report{OK: err == nil && msg.HasCause && msg.Cause == 1, Load: load})
+		s.finishProbe(msg.Call, logic.Report{OK: err == nil && msg.HasCause && msg.Cause == causeHealthy, Load: load})
 	}
 }
 
--- a/callserver/offices.go
+++ b/callserver/offices.go
@@ -14,7 +14,7 @@
 	addr             string
 	exchange         int // number of the exchange that it serves
 	state            logic.OfficeState
-	startedAt        time.Duration // 0: unknown
+	startedAt        time.Duration // 0: not reported
 	conns            []*officeConn
 	waitingCalls     []*activeCall // with an attempt that has no connection yet
 	earlyCloses      int           // consecutive connections that ended before anything was received on them
--- a/callserver/supervision.go
+++ b/callserver/supervision.go
@@ -101,8 +101,7 @@
 	previous := remote.detector.State()
 	if remote.detector.HeardBytes(s.now) {
 		s.log(slog.LevelInfo, "unconfirmed activity of a suspected office", slog.String("office", remote.id),
-			slog.Duration("silent", remote.detector.Silence(s.now)),
-			slog.Int("standing", remote.establishedCalls))
+			slog.Duration("silent", remote.detector.Silence(s.now)), slog.Int("standing", remote.establishedCalls))
 		remote.dialFailures, remote.redialAt = 0, 0
 		s.heartbeatOnAll(remote)
 		s.dialAdditional(remote)
@@ -151,8 +150,7 @@
 // released there once it can be reached.
 func (s *Server) officeFailed(remote *remoteOffice) {
 	s.log(slog.LevelWarn, "ending the calls of an office that has failed", slog.String("office", remote.id),
-		slog.Duration("silent", remote.detector.Silence(s.now)),
-		slog.Int("standing", remote.establishedCalls))
+		slog.Duration("silent", remote.detector.Silence(s.now)), slog.Int("standing", remote.establishedCalls))
 	remote.replacedAt = s.now
 	s.dropAndRelease(remote, "its office is unresponsive")
 	for _, conn := range slices.Clone(remote.conns) {
@@ -221,8 +219,7 @@
 	}
 	lost := liveness.CallsLost(expectedCircuits, circuitsInUse)
 	s.log(slog.LevelInfo, "calls of an office verified", slog.String("office", id), slog.Int("held", expectedCircuits),
-		slog.Int("used", circuitsInUse),
-		slog.Bool("lost", lost))
+		slog.Int("used", circuitsInUse), slog.Bool("lost", lost))
 	if !lost {
 		return
 	}
