--- /dev/null
+++ b/callserver/discovery.go
@@ -0,0 +1,221 @@
+package callserver
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"finchlatch/feed"
+	"finchlatch/logic"
+	"finchlatch/office"
+)
+
+// loadSnapshot applies the snapshot from the configuration.
+func (s *Server) loadSnapshot(snapshot feed.Known) {
+	s.position = snapshot.Pos
+	var offices []logic.Office
+	for i := range snapshot.Entries {
+		for _, listed := range s.applyMembers(&snapshot.Entries[i].Hosts) {
+			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == listed.ID })
+			offices = append(offices, listed)
+		}
+	}
+	s.controller.List(s.now, logic.ListRestored, offices)
+	s.connectToOffices()
+}
+
+// applyDiscoveryEvent applies a numbered event. Old events are skipped. After a gap, an event that is not a snapshot makes
+// the stream start again.
+func (s *Server) applyDiscoveryEvent(event *feed.Event) {
+	if event.Pos <= s.position {
+		return
+	}
+	if event.Pos > s.position+1 && !event.Hosts.Complete {
+		s.log(slog.LevelWarn, "gap in service discovery events", slog.Uint64("from", s.position), slog.Uint64("to", event.Pos))
+		s.position = 0
+		s.emit(AskJournal{})
+		return
+	}
+	s.position, s.discoveryChangedAt = event.Pos, s.now
+	kind := logic.ListUpdate
+	if event.Hosts.Complete {
+		kind = logic.ListReplace
+		s.removeUnlisted(event.Hosts.Members)
+	}
+	s.controller.List(s.now, kind, s.applyMembers(&event.Hosts))
+	s.connectToOffices()
+}
+
+// removeUnlisted marks offices that a snapshot does not contain as gone.
+func (s *Server) removeUnlisted(members []feed.Member) {
+	for _, remote := range s.sortedOffices() {
+		if remote.state != logic.Gone && !slices.ContainsFunc(members, func(m feed.Member) bool { return m.ID == remote.id }) {
+			s.officeLeaving(remote, logic.Gone)
+		}
+	}
+}
+
+// sortedOffices returns the offices in the order of their IDs.
+func (s *Server) sortedOffices() []*remoteOffice {
+	all := make([]*remoteOffice, 0, len(s.offices))
+	for _, remote := range s.offices {
+		all = append(all, remote)
+	}
+	slices.SortFunc(all, func(a, b *remoteOffice) int {
+		if a.id < b.id {
+			return -1
+		}
+		return 1
+	})
+	return all
+}
+
+var stateByPhase = map[feed.Phase]logic.OfficeState{feed.Serving: logic.Ready, feed.Draining: logic.Draining,
+	feed.Deleted: logic.Gone}
+
+// applyMembers applies members to the known offices and returns them in the Controller's form.
+func (s *Server) applyMembers(hosts *feed.Hosts) []logic.Office {
+	offices := make([]logic.Office, 0, len(hosts.Members))
+	var added []*remoteOffice
+	for _, member := range hosts.Members {
+		startedAt := time.Duration(member.UpSince) * time.Millisecond
+		state := stateByPhase[member.Phase]
+		offices = append(offices, logic.Office{ID: member.ID, Exchange: member.Cell, State: state, Started: startedAt})
+		remote := s.offices[member.ID]
+		if remote == nil {
+			if state == logic.Gone {
+				continue
+			}
+			remote = &remoteOffice{id: member.ID, addr: member.Addr, startedAt: startedAt, exchange: member.Cell}
+			s.offices[member.ID] = remote
+			added = append(added, remote)
+		}
+		s.log(slog.LevelInfo, "office", slog.String("office", member.ID), slog.String("state", string(member.Phase)),
+			slog.Int("cell", member.Cell), slog.Int64("up_since_ms", member.UpSince))
+		remote.exchange = member.Cell
+		if member.Addr != "" && state != logic.Gone {
+			remote.addr = member.Addr
+		}
+		if remote.startedAt != startedAt {
+			remote.startedAt = startedAt
+			s.officeRestarted(remote)
+		}
+		if state == logic.Ready {
+			remote.state = logic.Ready
+		} else if remote.state != state {
+			s.officeLeaving(remote, state)
+		}
+	}
+	for _, remote := range added {
+		s.takeOverCalls(remote)
+	}
+	return offices
+}
+
+// officeRestarted discards the state of an office's earlier process. Calls and connections begun since are kept.
+func (s *Server) officeRestarted(remote *remoteOffice) {
+	s.dropEstablishedCalls(remote, remote.startedAt, "its office has restarted")
+	for _, conn := range slices.Clone(remote.conns) {
+		if conn.up && conn.openedAt < remote.startedAt {
+			s.abortConn(conn, "the office has restarted")
+		}
+	}
+	remote.dialFailures, remote.redialAt = 0, 0
+}
+
+// officeLeaving handles an office that is draining or gone. Nothing may be sent to it once the grace time is over (rule 3).
+func (s *Server) officeLeaving(remote *remoteOffice, state logic.OfficeState) {
+	if remote.state == logic.Ready {
+		s.armTimer(s.cfg.Settings.DrainGrace/2, timer{kind: timerDrainGrace, officeID: remote.id})
+	}
+	remote.state = state
+	if state == logic.Gone {
+		s.dropEstablishedCalls(remote, s.latestProcessEnd(remote), "service discovery reports its office as gone")
+		s.handOverCalls(remote)
+		s.cleanUpGoneOffice(remote)
+	}
+}
+
+// drainGraceExpired ends the attempts that still wait for a connection to a draining or gone office.
+func (s *Server) drainGraceExpired(id string) {
+	remote := s.offices[id]
+	if remote == nil || remote.state == logic.Ready {
+		return
+	}
+	waiting := remote.waitingCalls
+	remote.waitingCalls = nil
+	for _, call := range waiting {
+		s.attemptEnded(call, logic.Outcome{Status: logic.NotSent})
+	}
+	for _, conn := range slices.Clone(remote.conns) {
+		if conn.writeBlocked {
+			s.abortConn(conn, "unsent set-ups to an office that is draining or gone")
+		}
+	}
+}
+
+// dropEstablishedCalls ends the calls that were established at an office before its process ended.
+func (s *Server) dropEstablishedCalls(remote *remoteOffice, processEnd time.Duration, why string) {
+	if remote.establishedCalls == 0 {
+		return
+	}
+	s.log(slog.LevelInfo, "established calls dropped with their office", slog.String("office", remote.id),
+		slog.Int("calls", remote.establishedCalls), slog.String("why", why))
+	for _, call := range s.callsInOrder() {
+		if call.state == callEstablished && call.remote == remote && call.answeredAt <= processEnd {
+			s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, why)
+		}
+	}
+}
+
+// cleanUpGoneOffice closes the unused connections of an office that is gone, and removes it once nothing refers to it.
+func (s *Server) cleanUpGoneOffice(remote *remoteOffice) {
+	if remote.state != logic.Gone || s.offices[remote.id] != remote {
+		return
+	}
+	for _, conn := range slices.Clone(remote.conns) {
+		if len(conn.outstanding) == 0 {
+			s.logConn("office's connection closed", conn, "its office is gone")
+			s.emit(Close{Conn: conn.id})
+			s.deleteConn(conn)
+		}
+	}
+	if len(remote.conns) == 0 && len(remote.waitingCalls) == 0 && remote.establishedCalls == 0 {
+		s.logCounts(remote)
+		delete(s.offices, remote.id)
+	}
+}
+
+// connectToOffices opens a connection to each office, on which the office reports its group state.
+func (s *Server) connectToOffices() {
+	for _, remote := range s.sortedOffices() {
+		s.ensureIdleConn(remote)
+	}
+}
+
+// logCounts logs the outcomes of the attempts at an office.
+func (s *Server) logCounts(remote *remoteOffice) {
+	counts := remote.counts
+	s.log(slog.LevelInfo, "office's counts", slog.String("office", remote.id), slog.Uint64("sent", counts.sent),
+		slog.Uint64("sent_cold", counts.sentCold), slog.Uint64("stood", counts.established),
+		slog.Uint64("full", counts.full), slog.Uint64("faulted", counts.faulted), slog.Uint64("timed_out", counts.timedOut),
+		slog.Uint64("reset", counts.reset), slog.Uint64("no_connect", counts.noConnect), slog.Uint64("not_sent", counts.notSent),
+		slog.Uint64("cancelled", counts.cancelled), slog.Int("standing", remote.establishedCalls),
+		slog.Int("pending_releases", len(remote.pendingReleases)), slog.Int("connections", len(remote.conns)))
+}
+
+// LogTotals logs the totals of this process and the counts of each office.
+func (s *Server) LogTotals() {
+	totals := s.totals
+	open, established := s.Held()
+	s.log(slog.LevelInfo, "totals", slog.Uint64("offered", totals.Offered), slog.Uint64("stood", totals.Established),
+		slog.Uint64("refused", totals.Refused), slog.Uint64("failed", totals.Failed),
+		slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
+		slog.Duration("list_age", s.now-s.discoveryChangedAt),
+		slog.Uint64("unreadable", totals.Malformed), slog.Int("open", open),
+		slog.Int("standing", established), slog.Int("pending_releases", len(s.pendingReleases)),
+		slog.Int("callers", len(s.callerConns)), slog.Int("offices", len(s.officeConns)))
+	for _, remote := range s.sortedOffices() {
+		s.logCounts(remote)
+	}
+}
--- a/callserver/offices.go
+++ b/callserver/offices.go
@@ -8,38 +8,50 @@
 	"finchlatch/logic"
 )
 
-// exchange is one office: a process with an id of its own. Its address may have belonged to another one before.
-type exchange struct {
-	id, addr        string
-	cell            int
-	state           logic.OfficeState
-	started         time.Duration
-	officeConns     []*officeConn
-	waiting         []*call // attempts without a connection yet
-	earlyEnds       int     // connections in a row that ended before anything was heard on them
-	standing        int
-	load            string        // state of its group as it was told last,
-	lastReporter    *officeConn   // and the connection that told it first
-	pendingReleases []release     // of calls that stood, for the next connection
-	lost            time.Duration // when a connection last ended or fell into doubt
-	checkArmed      bool          // a look at its connections is due
-	failures        int           // connections that did not come up, in a row
-	redialAt        time.Duration
-	count           count
+// remoteOffice is the process that serves an exchange. Its address may have belonged to another process before.
+type remoteOffice struct {
+	id               string
+	addr             string
+	exchange         int // number of the exchange that it serves
+	state            logic.OfficeState
+	startedAt        time.Duration // 0: not reported
+	conns            []*officeConn
+	waitingCalls     []*activeCall // with an attempt that has no connection yet
+	earlyCloses      int           // consecutive connections that ended before anything was received on them
+	establishedCalls int
+	groupState       string        // last one reported
+	lastReporter     *officeConn   // connection that reported groupState first
+	pendingReleases  []release     // of established calls, for the next connection
+	connLostAt       time.Duration // when a connection last ended or became suspect
+	connCheckArmed   bool          // timerCheckConns is armed
+	dialFailures     int           // consecutive connections that did not come up
+	redialAt         time.Duration // no connection is opened before this
+	counts           officeCounts
 
-	health      liveness.Detector
-	supervised  bool          // a check of its health is due
-	doubtBefore time.Duration // calls from before this may have ended with its process; 0: none may
-	lossBegan   time.Duration // when the first of the connections that ended together did,
-	lossLast    time.Duration // and the last
-	replacedAt  time.Duration // what was set up after this is at a process that the list may not have named yet; 0: none
+	detector         liveness.Detector
+	supervised       bool          // timerHealthCheck is armed
+	unverifiedBefore time.Duration // calls from before this may have ended with an earlier process; 0: none
+	lossStartedAt    time.Duration // first end of a connection in the latest correlated loss
+	lastLossAt       time.Duration // last one in it
+	replacedAt       time.Duration // later calls belong to a process that service discovery may not have named yet; 0: none
 }
 
-// count is what passed between us and an office.
-type count struct{ sent, cold, stood, full, faulted, timedOut, reset, noConnect, notSent, cancelled uint64 }
+// officeCounts counts the attempts at an office by their outcome.
+type officeCounts struct {
+	sent        uint64
+	sentCold    uint64 // part of sent: within Settings.ColdFor of the office's start
+	established uint64
+	full        uint64
+	faulted     uint64
+	timedOut    uint64
+	reset       uint64
+	noConnect   uint64
+	notSent     uint64
+	cancelled   uint64
+}
 
-func (c *count) add(s logic.Status) {
-	switch s {
+func (c *officeCounts) add(status logic.Status) {
+	switch status {
 	case logic.Full:
 		c.full++
 	case logic.Faulted:
@@ -57,33 +69,34 @@
 	}
 }
 
-// How connections to offices are kept; these are limits on sockets, not on calls.
+// Limits on connections to offices; they do not limit calls.
 const (
-	firstRedial   = 50 * time.Millisecond
-	lastRedial    = time.Second
-	suspectRedial = 250 * time.Millisecond // of a suspected office: a cut that heals is to be seen at once
-	endWithin     = 250 * time.Millisecond // the rest of a message of 16 KiB at most comes at once, or never
-	mostPerDest   = 24
-	checkInterval = 400 * time.Millisecond // at connections that may be dead: a release must be passed on within 1 s,
-	slowAnswer    = 250 * time.Millisecond // and one that owes an answer for so long may be
-	mostDialling  = 2                      // connections to one office that are being opened, where a cut may heal any moment
-	idleConnsKept = 2                      // more that are idle make room for a fresh one
-	shutWithin    = time.Second            // an office that is there closes at once
-	signLag       = 100 * time.Millisecond // signs that came so soon after may have been on their way, or the kernel's
-	shutPart      = 8                      // one in so many of the offices' descriptors may be of connections that are shut
+	initialRedialDelay       = 50 * time.Millisecond // doubles with each consecutive failure
+	maxRedialDelay           = time.Second
+	maxRedialDoublings       = 8                      // keeps the shift in range; the delay is at its maximum long before
+	maxSuspectRedialDelay    = 250 * time.Millisecond // to a suspected office: the end of a network partition must be noticed at once
+	unfinishedMessageTimeout = 250 * time.Millisecond // the rest of a message of up to 16 KiB follows at once or never
+	maxConnsPerOffice        = 24
+	connCheckInterval        = 400 * time.Millisecond // looking for dead connections: a release must be passed on within 1 s
+	slowAnswerThreshold      = 250 * time.Millisecond // an attempt without an answer for this long may be on a dead connection
+	maxDialling              = 2                      // connections to one office being opened at a time: a network partition may heal at any moment
+	maxIdleConns             = 2                      // per office; with this many, the oldest makes room for a new connection
+	halfClosedTimeout        = time.Second            // a living office closes its end at once
+	activityLag              = 100 * time.Millisecond // activity this soon after a half-close may be older, or the peer kernel's
+	halfClosedDivisor        = 8                      // at most 1/halfClosedDivisor of Config.Offices may be half-closed connections
 )
 
-// share is how many connections an office may have.
-func (s *Server) share() int {
-	live := 1
-	for _, x := range s.offices {
-		if x.state != logic.Gone {
-			live++
+// maxConnsToOffice returns how many connections an office may have.
+func (s *Server) maxConnsToOffice() int {
+	liveOffices := 1
+	for _, remote := range s.offices {
+		if remote.state != logic.Gone {
+			liveOffices++
 		}
 	}
-	return min(mostPerDest, max(1, s.cfg.Offices/live))
+	return min(maxConnsPerOffice, max(1, s.cfg.Offices/liveOffices))
 }
 
-func (x *exchange) anyUp() bool {
-	return slices.ContainsFunc(x.officeConns, func(a *officeConn) bool { return a.up && !a.shut })
+func (r *remoteOffice) anyConnUp() bool {
+	return slices.ContainsFunc(r.conns, func(conn *officeConn) bool { return conn.up && !conn.halfClosed })
 }
