--- a/node/config.go
+++ b/node/config.go
@@ -14,7 +14,7 @@
 	"finchlatch/internal/wire"
 )
 
-// Config is what the platform tells a call server.
+// Config is the configuration of a call server, as the platform provides it.
 type Config struct {
 	Name     string
 	Listen   string
@@ -25,17 +25,17 @@
 	Settings wire.Settings
 }
 
-// Limits are those of the machine.
+// Limits are the limits of the machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// mostConfig is how long a configuration may be.
-const mostConfig = 8 << 20
+// maxConfigSize is the largest accepted configuration, in bytes.
+const maxConfigSize = 8 << 20
 
-// ConfigError tells what is wrong with a configuration: the file, and the path of the field in it.
+// ConfigError is a fault in a configuration. Its text names the file and the path of the field in it.
 type ConfigError struct {
 	File string
 	Err  error
@@ -43,10 +43,10 @@
 
 func (e *ConfigError) Error() string { return fmt.Sprintf("configuration %s: %v", e.File, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// Load reads and checks a configuration.
+// Load reads and checks a configuration file. Every error is a *ConfigError.
 func Load(path string) (*Config, error) {
 	cfg, err := load(path)
 	if err != nil {
@@ -67,8 +67,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > mostConfig {
-		return nil, fmt.Errorf("%d bytes are more than %d", info.Size(), mostConfig)
+	if info.Size() > maxConfigSize {
+		return nil, fmt.Errorf("size of %d bytes exceeds the limit of %d", info.Size(), maxConfigSize)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -89,27 +89,27 @@
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(raw, &file); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return nil, fmt.Errorf("%s: a %s where a %s belongs", wrong.Field, wrong.Value, wrong.Type)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("%s: is a JSON %s, must be of type %s", typeErr.Field, typeErr.Value, typeErr.Type)
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
 	cfg := &Config{Name: file.Name, Listen: file.Listen, Journal: file.Journal, Limits: file.Limits}
-	for _, f := range []struct{ path, value string }{{"name", file.Name}, {"listen", file.Listen}, {"journal", file.Journal},
+	for _, field := range []struct{ path, value string }{{"name", file.Name}, {"listen", file.Listen}, {"journal", file.Journal},
 		{"seed", file.Seed}} {
-		if f.value == "" {
-			return nil, fmt.Errorf("%s: missing", f.path)
+		if field.value == "" {
+			return nil, fmt.Errorf("%s: missing", field.path)
 		}
 	}
-	for _, f := range []struct{ path, value string }{{"listen", file.Listen}, {"journal", file.Journal}} {
-		if _, _, err := net.SplitHostPort(f.value); err != nil {
-			return nil, fmt.Errorf("%s: %w", f.path, err)
+	for _, field := range []struct{ path, value string }{{"listen", file.Listen}, {"journal", file.Journal}} {
+		if _, _, err := net.SplitHostPort(field.value); err != nil {
+			return nil, fmt.Errorf("%s: %w", field.path, err)
 		}
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %.40q is not hex digits", file.Seed)
+		return nil, fmt.Errorf("seed: %.40q is not a 64-bit hexadecimal number", file.Seed)
 	}
 	cfg.Seed = int64(seed)
 	if err := cfg.Limits.check(); err != nil {
@@ -136,23 +136,24 @@
 func (l Limits) check() error {
 	switch {
 	case !(l.Cores > 0):
-		return fmt.Errorf("limits.cores: %v", l.Cores)
+		return fmt.Errorf("limits.cores: %v, must be positive", l.Cores)
 	case l.MemoryMB < 16:
-		return fmt.Errorf("limits.memory_mb: %d", l.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: %d, must be at least 16", l.MemoryMB)
 	case l.Sockets < 64:
-		return fmt.Errorf("limits.sockets: %d", l.Sockets)
+		return fmt.Errorf("limits.sockets: %d, must be at least 64", l.Sockets)
 	}
 	return nil
 }
 
-// own are the descriptors that are kept for the process itself: standard streams, the poller, the listener, the
-// journal's old and new connection, a file that is read, connections on their way in and out.
-const own = 24
+// reservedDescriptors is the number of file descriptors kept for the process itself: standard streams, the poller, the
+// listener, the old and new connection to the discovery service, a file that is read, and connections that are being
+// accepted or closed.
+const reservedDescriptors = 24
 
-// core is what the call server without sockets is made from. Callers may have more than the third of the
-// descriptors that they are said to use; offices have the rest.
-func (c *Config) core() callserver.Config {
-	free := c.Limits.Sockets - own
+// serverConfig returns the configuration of the callserver.Server. Callers get 5/9 of the free descriptors, since they may
+// need more than the third that they are specified to use; offices get a third.
+func (c *Config) serverConfig() callserver.Config {
+	free := c.Limits.Sockets - reservedDescriptors
 	return callserver.Config{Settings: c.Settings.Settings, Seed: c.Seed, MaxOpen: c.Settings.MaxOpen,
 		ConnectTimeout: time.Duration(c.Settings.ConnectTimeout), Callers: free * 5 / 9, Offices: free / 3}
 }
--- a/node/connections.go
+++ b/node/connections.go
@@ -12,147 +12,147 @@
 	"finchlatch/internal/link"
 )
 
-// serve starts the reader of a connection.
+// serve registers a connection as an endpoint and starts its reader.
 func (n *Node) serve(id callserver.ConnID, conn net.Conn) {
-	e := &endpoint{id: id, resume: make(chan struct{}, 1)}
-	e.Link = link.NewDirect(conn, func(on bool) {
-		in := callserver.Input{Kind: callserver.InStuck, Conn: id, On: on}
-		if on { // only the loop writes
-			n.self = append(n.self, in)
+	peer := &endpoint{id: id, resume: make(chan struct{}, 1)}
+	peer.Link = link.NewDirect(conn, func(blocked bool) {
+		in := callserver.Input{Kind: callserver.InStuck, Conn: id, On: blocked}
+		if blocked { // called on the loop itself, since only the loop writes
+			n.selfInputs = append(n.selfInputs, in)
 			return
 		}
-		n.post(input{Input: in})
+		n.enqueue(input{Input: in})
 	})
-	n.links[id] = e
+	n.endpoints[id] = peer
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		n.read(e)
-		e.Close()
+		n.read(peer)
+		peer.Close()
 	}()
 }
 
-// read hands what comes to the loop, a piece at a time: however fast a peer sends, the others have their turns.
-func (n *Node) read(e *endpoint) {
-	buf := make([]byte, readSize)
+// read passes received bytes to the loop, one chunk at a time, so that a fast sender does not starve other connections.
+func (n *Node) read(peer *endpoint) {
+	buf := make([]byte, readBufferSize)
 	for {
-		size, err := e.Conn().Read(buf)
-		if size > 0 && !e.discard.Load() {
-			in := callserver.Input{Kind: callserver.InReceive, Conn: e.id, Bytes: buf[:size]}
-			if !n.post(input{Input: in, came: n.now(), end: e}) {
+		size, err := peer.Conn().Read(buf)
+		if size > 0 && !peer.discard.Load() {
+			in := callserver.Input{Kind: callserver.InReceive, Conn: peer.id, Bytes: buf[:size]}
+			if !n.enqueue(input{Input: in, receivedAt: n.now(), endpoint: peer}) {
 				return
 			}
 			select {
-			case <-e.resume:
+			case <-peer.resume:
 			case <-n.stop:
 				return
 			}
 		}
 		if err != nil {
-			if !e.discard.Load() {
-				n.post(input{Input: callserver.Input{Kind: callserver.InClosed, Conn: e.id, Reset: err != io.EOF}, came: n.now(), end: e})
+			if !peer.discard.Load() {
+				n.enqueue(input{Input: callserver.Input{Kind: callserver.InClosed, Conn: peer.id, Reset: err != io.EOF}, receivedAt: n.now(), endpoint: peer})
 			}
 			return
 		}
 	}
 }
 
-// carryOut does what the core asks for.
-func (n *Node) carryOut() {
+// applyEffects applies the effects of the core, and the inputs that arise from them, until there are no more.
+func (n *Node) applyEffects() {
 	for effects := n.core.Effects(); len(effects) > 0; effects = n.core.Effects() {
-		for _, e := range effects {
-			n.effect(e)
+		for _, effect := range effects {
+			n.applyEffect(effect)
 		}
-		for _, in := range n.self {
+		for _, in := range n.selfInputs {
 			in.At = n.now()
 			n.core.Apply(in)
 		}
-		n.self = n.self[:0]
+		n.selfInputs = n.selfInputs[:0]
 	}
-	n.pos.Store(n.core.Pos())
+	n.discoveryPos.Store(n.core.Pos())
 }
 
-func (n *Node) effect(e callserver.Effect) {
-	switch e := e.(type) {
+func (n *Node) applyEffect(effect callserver.Effect) {
+	switch effect := effect.(type) {
 	case callserver.Write:
-		if l := n.links[e.Conn]; l != nil && !l.Write(e.Bytes, mostQueued) {
-			n.log.Warn("peer does not read: connection closed", "peer", l.Conn().RemoteAddr().String())
-			l.Close()
+		if peer := n.endpoints[effect.Conn]; peer != nil && !peer.Write(effect.Bytes, maxWriteQueue) {
+			n.log.Warn("peer does not read: connection closed", "peer", peer.Conn().RemoteAddr().String())
+			peer.Close()
 		}
 	case callserver.Close:
-		n.close(e)
+		n.closeEndpoint(effect)
 	case callserver.Shut:
-		if l := n.links[e.Conn]; l != nil {
-			if t, ok := l.Conn().(*net.TCPConn); ok {
-				_ = t.CloseWrite() // an error shows at the next read
+		if peer := n.endpoints[effect.Conn]; peer != nil {
+			if tcp, ok := peer.Conn().(*net.TCPConn); ok {
+				_ = tcp.CloseWrite() // where it fails, the next read returns an error
 			}
 		}
 	case callserver.Dial:
-		n.dial(e)
+		n.dial(effect)
 	case callserver.Confirm:
-		n.self = append(n.self, callserver.Input{Kind: callserver.InWritten})
+		n.selfInputs = append(n.selfInputs, callserver.Input{Kind: callserver.InWritten})
 	case callserver.AskJournal:
-		n.journal.again()
+		n.discovery.reconnect()
 	case callserver.Log:
-		n.log.LogAttrs(context.Background(), e.Level, e.Text, e.Attrs...)
+		n.log.LogAttrs(context.Background(), effect.Level, effect.Text, effect.Attrs...)
 	}
 }
 
-// close ends a connection. Where a response has just been written and bytes may still come, it is shut from our
-// side first: a close with unread bytes is a reset, which can eat the response.
-func (n *Node) close(e callserver.Close) {
-	l := n.links[e.Conn]
-	if l == nil {
+// closeEndpoint closes a connection. Where a response has just been written and more bytes may still arrive, the connection
+// is half-closed first: closing it with unread bytes would send a reset, on which the peer may discard the response.
+func (n *Node) closeEndpoint(request callserver.Close) {
+	peer := n.endpoints[request.Conn]
+	if peer == nil {
 		return
 	}
-	delete(n.links, e.Conn)
-	l.discard.Store(true)
-	t, ok := l.Conn().(*net.TCPConn)
-	if !e.Linger || !ok || !n.lingers.Take() {
-		l.Close()
+	delete(n.endpoints, request.Conn)
+	peer.discard.Store(true)
+	tcp, ok := peer.Conn().(*net.TCPConn)
+	if !request.Linger || !ok || !n.lingerSlots.Take() {
+		peer.Close()
 		return
 	}
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		defer n.lingers.Leave()
+		defer n.lingerSlots.Leave()
 		deadline := time.Now().Add(lingerTime)
-		l.Drain(deadline)
-		_ = t.CloseWrite()
+		peer.Drain(deadline)
+		_ = tcp.CloseWrite()
 		select {
 		case <-time.After(time.Until(deadline)):
 		case <-n.stop:
 		}
-		l.Close()
+		peer.Close()
 	}()
 }
 
 // dial opens a connection to an office.
-func (n *Node) dial(e callserver.Dial) {
+func (n *Node) dial(request callserver.Dial) {
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		ctx, cancel := context.WithTimeout(link.Context(n.stop), e.Within)
+		ctx, cancel := context.WithTimeout(link.Context(n.stop), request.Within)
 		defer cancel()
-		conn, err := new(net.Dialer).DialContext(ctx, "tcp", e.Addr)
+		conn, err := new(net.Dialer).DialContext(ctx, "tcp", request.Addr)
 		if err != nil {
-			n.post(input{Input: callserver.Input{Kind: callserver.InFailed, Conn: e.Conn, Refused: errors.Is(err, syscall.ECONNREFUSED)}})
+			n.enqueue(input{Input: callserver.Input{Kind: callserver.InFailed, Conn: request.Conn, Refused: errors.Is(err, syscall.ECONNREFUSED)}})
 			return
 		}
-		if !n.post(input{Input: callserver.Input{Kind: callserver.InConnected, Conn: e.Conn}, conn: conn}) {
+		if !n.enqueue(input{Input: callserver.Input{Kind: callserver.InConnected, Conn: request.Conn}, conn: conn}) {
 			conn.Close()
 		}
 	}()
 }
 
-// closeAll closes the connections in order: what was written to them has gone out before.
+// closeAll closes all connections. After a drain it first waits, for a limited time, until queued bytes have been written.
 func (n *Node) closeAll() {
-	deadline := time.Now().Add(drainSpare / 3)
-	for _, l := range n.links {
-		if n.leaving > 0 {
-			l.Drain(deadline)
+	deadline := time.Now().Add(killMargin / 3)
+	for _, peer := range n.endpoints {
+		if n.drainStartedAt > 0 {
+			peer.Drain(deadline)
 		}
-		l.discard.Store(true)
-		l.Close()
+		peer.discard.Store(true)
+		peer.Close()
 	}
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -6,64 +6,66 @@
 	"finchlatch/callserver"
 )
 
-// The drain. Subscribers' calls end 0.6 s after SIGTERM, but calls in transit come for as long as the process runs, and
-// without it no other call server can use this exchange as a tandem. SIGKILL comes no earlier than the longest deadline,
-// of which 3 s count, and 0.7 s after SIGTERM; of what comes later than 0.7 s nothing may be open then.
+// Times of a drain. Subscribers offer no calls later than 0.6 s after SIGTERM, but calls in transit arrive for as long as the
+// process runs: without it no other call server can use this exchange as a tandem. SIGKILL comes no earlier than 0.7 s plus
+// the longest deadline of a class (at most 3 s of it) after SIGTERM. No call that arrived later than 0.7 s after SIGTERM
+// may lack its final answer then.
 const (
-	drainServe = 700 * time.Millisecond
-	drainMost  = 3 * time.Second
-	drainSpare = 300 * time.Millisecond // before the earliest SIGKILL
-	drainLook  = 20 * time.Millisecond
-	drainLast  = 50 * time.Millisecond // what was accepted last still has its request read and answered
+	drainServeTime     = 700 * time.Millisecond // in which new calls are served as before
+	maxDrainDeadline   = 3 * time.Second        // the part of the longest deadline that counts
+	killMargin         = 300 * time.Millisecond // before the earliest SIGKILL
+	drainCheckInterval = 20 * time.Millisecond
+	drainFinalWait     = 50 * time.Millisecond // for the requests on connections that were accepted last
 )
 
-// longest is the longest deadline of a class.
-func (n *Node) longest() (d time.Duration) {
-	for _, k := range n.cfg.Settings.Classes {
-		d = max(d, k.Deadline)
+// maxDeadline returns the longest deadline of a class.
+func (n *Node) maxDeadline() (longest time.Duration) {
+	for _, class := range n.cfg.Settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	return d
+	return longest
 }
 
-// left goes on with a drain and tells whether it is over: its time is up and nothing is open, or all that was taken
-// at first has reached its deadline.
-func (n *Node) left() bool {
-	passed, stay := n.now()-n.leaving, min(n.longest(), drainMost)+drainServe-drainSpare
-	if passed < drainServe {
+// advanceDrain takes the next step of a drain that is due and reports whether the drain is over: its time has passed and
+// no call lacks its final answer, or every call accepted within drainServeTime has reached its deadline.
+func (n *Node) advanceDrain() bool {
+	elapsed, duration := n.now()-n.drainStartedAt, min(n.maxDeadline(), maxDrainDeadline)+drainServeTime-killMargin
+	if elapsed < drainServeTime {
 		return false
 	}
-	if n.until == 0 {
-		n.until = n.leaving + stay
-		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InLeave, Until: n.until})
+	if n.drainEndsAt == 0 {
+		n.drainEndsAt = n.drainStartedAt + duration
+		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InLeave, Until: n.drainEndsAt})
 	}
-	if passed < stay {
+	if elapsed < duration {
 		return false
 	}
-	if n.closing == 0 {
-		n.closing = n.now()
+	if n.acceptStoppedAt == 0 {
+		n.acceptStoppedAt = n.now()
 		n.listener.Close()
-		open, standing := n.core.Held()
-		n.log.Info("accepting no more", "open", open, "standing", standing)
+		open, established := n.core.Held()
+		n.log.Info("no longer accepting connections", "open", open, "standing", established)
 	}
-	if n.now()-n.closing < drainLast {
+	if n.now()-n.acceptStoppedAt < drainFinalWait {
 		return false
 	}
 	open, _ := n.core.Held()
-	return open == 0 || passed > n.longest()+drainServe
+	return open == 0 || elapsed > n.maxDeadline()+drainServeTime
 }
 
-// reread takes a new configuration. A bad one is told and the old one kept.
-func (n *Node) reread() {
-	cfg, err := Load(n.path)
+// reloadConfig reads the configuration again and applies the address of service discovery, the only setting that is
+// reloaded. An invalid configuration is logged, and the current one stays in use.
+func (n *Node) reloadConfig() {
+	cfg, err := Load(n.configPath)
 	if err != nil {
-		n.log.Error("new configuration refused, the old one stays", "err", err)
+		n.log.Error("new configuration rejected, the current one stays in use", "err", err)
 		return
 	}
 	if cfg.Journal == n.cfg.Journal {
-		n.log.Info("configuration read again", "journal", cfg.Journal)
+		n.log.Info("configuration reloaded", "journal", cfg.Journal)
 		return
 	}
-	n.log.Info("configuration read again", "journal", cfg.Journal, "old_journal", n.cfg.Journal)
+	n.log.Info("configuration reloaded", "journal", cfg.Journal, "old_journal", n.cfg.Journal)
 	n.cfg.Journal = cfg.Journal
-	n.follow(cfg.Journal)
+	n.startDiscovery(cfg.Journal)
 }
--- a/node/loop.go
+++ b/node/loop.go
@@ -7,11 +7,11 @@
 	"finchlatch/callserver"
 )
 
-// accepted hands a connection to the loop.
-func (n *Node) accepted(conn net.Conn) {
+// enqueueAccepted passes an accepted connection to the loop, once few enough others wait for it.
+func (n *Node) enqueueAccepted(conn net.Conn) {
 	select {
-	case n.unseen <- struct{}{}:
-		if n.post(input{Input: callserver.Input{Kind: callserver.InAccepted}, conn: conn}) {
+	case n.unhandled <- struct{}{}:
+		if n.enqueue(input{Input: callserver.Input{Kind: callserver.InAccepted}, conn: conn}) {
 			return
 		}
 	case <-n.stop:
@@ -19,8 +19,8 @@
 	conn.Close()
 }
 
-// closeUnseen closes connections that the loop has not come to.
-func (n *Node) closeUnseen() {
+// closeUnhandled closes the connections that the loop has not handled.
+func (n *Node) closeUnhandled() {
 	for {
 		select {
 		case in := <-n.inputs:
@@ -33,7 +33,8 @@
 	}
 }
 
-func (n *Node) post(in input) bool {
+// enqueue passes an input to the loop; false: the Node has stopped.
+func (n *Node) enqueue(in input) bool {
 	select {
 	case n.inputs <- in:
 		return true
@@ -42,30 +43,30 @@
 	}
 }
 
-// logEvery is how often the totals are told.
-const logEvery = 10 * time.Second
+// totalsInterval is the time between two log records of the totals.
+const totalsInterval = 10 * time.Second
 
-// loop owns the core. All that is ready is one batch, at one time.
+// loop is the event loop, which owns the core. All inputs that are ready are applied as one batch with the same time.
 func (n *Node) loop() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	tell := time.NewTicker(logEvery)
-	defer tell.Stop()
-	n.carryOut()
+	totalsTicker := time.NewTicker(totalsInterval)
+	defer totalsTicker.Stop()
+	n.applyEffects()
 	for {
-		n.arm(timer)
+		n.resetTimer(timer)
 		select {
 		case in := <-n.inputs:
-			n.more(in)
+			n.applyBatch(in)
 		case <-timer.C:
-			n.catchUp()
-		case <-tell.C:
+			n.applyInputsBeforeTimers()
+		case <-totalsTicker.C:
 			n.core.LogTotals()
-		case <-n.reload:
-			n.reread()
-		case <-n.leave:
-			if n.leaving == 0 {
-				n.leaving = n.now()
+		case <-n.reloadRequests:
+			n.reloadConfig()
+		case <-n.drainRequests:
+			if n.drainStartedAt == 0 {
+				n.drainStartedAt = n.now()
 				n.log.Info("draining")
 			}
 		case <-n.stop:
@@ -73,75 +74,78 @@
 			return
 		}
 		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InAdvance})
-		n.carryOut()
-		if n.leaving > 0 && n.left() {
+		n.applyEffects()
+		if n.drainStartedAt > 0 && n.advanceDrain() {
 			n.closeAll()
 			return
 		}
 	}
 }
 
-// catchUp handles what has come before time goes on: after a pause of the process timers and bytes are due together, and an
-// attempt must not begin for a caller who left meanwhile. Readers that have had no core yet get it.
-func (n *Node) catchUp() {
-	if at, ok := n.core.Next(); ok && n.now()-at > latePause {
+// applyInputsBeforeTimers applies the inputs that are ready before timers fire: after a pause of the process, timers and
+// received bytes are due together, and no attempt must begin for a caller who left during the pause. The sleep gives
+// readers that have not run since then the time to do so.
+func (n *Node) applyInputsBeforeTimers() {
+	if due, ok := n.core.Next(); ok && n.now()-due > overdueThreshold {
 		time.Sleep(time.Millisecond)
 	}
 	select {
 	case in := <-n.inputs:
-		n.more(in)
+		n.applyBatch(in)
 	default:
 	}
 }
 
-// arm sets the timer for what comes first: the core, or the next look at a drain.
-func (n *Node) arm(timer *time.Timer) {
+// resetTimer sets the timer to the next timer of the core or the next check of a drain, whichever comes first.
+func (n *Node) resetTimer(timer *time.Timer) {
 	wait := time.Hour
-	if at, ok := n.core.Next(); ok {
-		wait = max(0, at-n.now())
+	if due, ok := n.core.Next(); ok {
+		wait = max(0, due-n.now())
 	}
-	if n.leaving > 0 {
-		wait = min(wait, drainLook)
+	if n.drainStartedAt > 0 {
+		wait = min(wait, drainCheckInterval)
 	}
 	timer.Reset(wait)
 }
 
-// more handles an input and all others that are ready.
-func (n *Node) more(in input) {
+// applyBatch applies an input and up to maxBatch others that are ready.
+func (n *Node) applyBatch(in input) {
 	now := n.now()
-	n.apply(now, in)
-	for range batch {
+	n.applyInput(now, in)
+	for range maxBatch {
 		select {
 		case in = <-n.inputs:
-			n.apply(now, in)
+			n.applyInput(now, in)
 		default:
 			return
 		}
 	}
 }
 
-func (n *Node) apply(now time.Duration, in input) {
+// applyInput registers or removes the connection of an input where it has one, and applies the input to the core. Input
+// from an endpoint that has been closed is dropped.
+func (n *Node) applyInput(now time.Duration, in input) {
 	in.At = now
 	switch in.Kind {
 	case callserver.InAccepted:
-		n.unseen.Leave()
+		n.unhandled.Leave()
 		in.Conn, in.From = n.core.NewConn(), in.conn.RemoteAddr().String()
 		n.serve(in.Conn, in.conn)
 	case callserver.InConnected:
 		n.serve(in.Conn, in.conn)
 	case callserver.InReceive:
-		if n.links[in.Conn] == in.end {
-			in.Waited = now - in.came
+		if n.endpoints[in.Conn] == in.endpoint {
+			in.Waited = now - in.receivedAt
 			n.core.Apply(in.Input)
 		}
-		in.end.resume <- struct{}{}
+		in.endpoint.resume <- struct{}{}
 		return
 	case callserver.InClosed:
-		if n.links[in.Conn] != in.end {
+		if n.endpoints[in.Conn] != in.endpoint {
 			return
 		}
-		delete(n.links, in.Conn)
-		in.Waited = now - in.came
+		delete(n.endpoints, in.Conn)
+		in.Waited = now - in.receivedAt
 	}
 	n.core.Apply(in.Input)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,7 @@
-// Package node is the shell around a callserver.Server on the platform: configuration, TCP, the clock, signals and
-// the limits of the machine. One goroutine owns all state; each connection has a reader that hands on one piece at a
-// time, and writes go out from the loop as far as TCP takes them. It decides nothing.
+// Package node runs a callserver.Server as a process: it provides the configuration, TCP connections, the clock, the
+// reaction to signals and the limits of the machine. One goroutine, the event loop, owns all state. Each connection has a
+// reader goroutine that passes one chunk at a time to the loop; the loop itself writes as much as TCP accepts at once.
+// All decisions about calls are made in package callserver.
 package node
 
 import (
@@ -19,73 +20,73 @@
 	"finchlatch/internal/link"
 )
 
-// Node is one call server on its sockets.
+// Node is one call server with its sockets.
 type Node struct {
-	cfg      *Config
-	path     string
-	log      *slog.Logger
-	core     *callserver.Server
-	base     time.Time
-	epoch    time.Duration
-	inputs   chan input
-	self     []callserver.Input // what the loop must still tell itself
-	stop     chan struct{}
-	stopOnce sync.Once
-	reload   chan struct{}
-	leave    chan struct{}
-	links    map[callserver.ConnID]*endpoint
-	wg       sync.WaitGroup
-	listener net.Listener
-	pos      atomic.Uint64
-	journal  *follower
-	lingers  link.Places
-	unseen   link.Places   // connections that are accepted and that the loop has not seen
-	closing  time.Duration // since when nothing more is accepted; 0: it is
-	leaving  time.Duration // when the drain began; 0: it has not
-	until    time.Duration // when it is to end, once the core knows
+	cfg             *Config
+	configPath      string
+	log             *slog.Logger
+	core            *callserver.Server
+	startTime       time.Time
+	startUnix       time.Duration // Unix time of startTime
+	inputs          chan input
+	selfInputs      []callserver.Input // arose while effects were applied; the loop applies them next
+	stop            chan struct{}
+	stopOnce        sync.Once
+	reloadRequests  chan struct{}
+	drainRequests   chan struct{}
+	endpoints       map[callserver.ConnID]*endpoint
+	wg              sync.WaitGroup
+	listener        net.Listener
+	discoveryPos    atomic.Uint64 // position in the discovery stream up to which events have been applied
+	discovery       *discoveryClient
+	lingerSlots     link.Places
+	unhandled       link.Places   // connections that are accepted and that the loop has not handled yet
+	acceptStoppedAt time.Duration // Unix time at which the listener was closed by a drain; 0: it is open
+	drainStartedAt  time.Duration // Unix time; 0: no drain has started
+	drainEndsAt     time.Duration // planned end of the drain, Unix time; 0: the core has not been notified of it
 }
 
-// input is what a goroutine hands to the loop.
+// input is a message from another goroutine to the event loop.
 type input struct {
 	callserver.Input
-	came time.Duration
-	conn net.Conn
-	end  *endpoint
+	receivedAt time.Duration // Unix time, of received bytes and of the end of a connection
+	conn       net.Conn      // a connection that was accepted or dialled
+	endpoint   *endpoint     // whose reader sent this input
 }
 
 // endpoint is a connection and its reader.
 type endpoint struct {
 	*link.Link
 	id      callserver.ConnID
-	resume  chan struct{} // the loop has handled the last piece
-	discard atomic.Bool   // the reader only waits for the end
+	resume  chan struct{} // tells the reader that the loop has handled the last chunk
+	discard atomic.Bool   // the reader drops what it reads and only waits for the end
 }
 
-// Sizes of buffers and queues.
+// Sizes of buffers and queues, and limits of connections.
 const (
-	readSize   = 4 << 10
-	mostQueued = 256 << 10 // bytes that a peer may leave unread
-	queued     = 128       // inputs that wait for the loop
-	batch      = 256       // inputs that are one batch for the Controller
-	latePause  = 50 * time.Millisecond
-	lingerTime = 300 * time.Millisecond
-	mostLinger = 16
-	mostUnseen = 8 // the rest of a flood waits in the kernel, and the offices' share of descriptors stays theirs
+	readBufferSize   = 4 << 10               // bytes
+	maxWriteQueue    = 256 << 10             // bytes that a peer may leave unread
+	inputQueueSize   = 128                   // inputs that wait for the loop
+	maxBatch         = 256                   // inputs that are applied at one time, after the first
+	overdueThreshold = 50 * time.Millisecond // a timer that is later than this was delayed by a pause of the process
+	lingerTime       = 300 * time.Millisecond
+	maxLingering     = 16 // connections
+	maxUnhandled     = 8  // connections; the rest of a flood waits in the kernel and takes no descriptors from the offices
 )
 
-// New makes a Node from the configuration in a file, which is read again on Reload.
+// New makes a Node from a configuration file, which Reload reads again.
 func New(path string, log *slog.Logger) (*Node, error) {
 	cfg, err := Load(path)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, path: path, log: log.With("node", cfg.Name), inputs: make(chan input, queued), stop: make(chan struct{}),
-		reload: make(chan struct{}, 1), leave: make(chan struct{}, 1), links: map[callserver.ConnID]*endpoint{},
-		lingers: make(link.Places, mostLinger), unseen: make(link.Places, mostUnseen), base: time.Now()}
-	n.epoch = time.Duration(n.base.UnixNano())
-	settings := cfg.core()
-	for _, l := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
-		if settings.LogLevel = l; log.Enabled(context.Background(), l) {
+	n := &Node{cfg: cfg, configPath: path, log: log.With("node", cfg.Name), inputs: make(chan input, inputQueueSize), stop: make(chan struct{}),
+		reloadRequests: make(chan struct{}, 1), drainRequests: make(chan struct{}, 1), endpoints: map[callserver.ConnID]*endpoint{},
+		lingerSlots: make(link.Places, maxLingering), unhandled: make(link.Places, maxUnhandled), startTime: time.Now()}
+	n.startUnix = time.Duration(n.startTime.UnixNano())
+	settings := cfg.serverConfig()
+	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
+		if settings.LogLevel = level; log.Enabled(context.Background(), level) {
 			break
 		}
 	}
@@ -95,14 +96,14 @@
 	return n, nil
 }
 
-// Fit sets the runtime to the limits of the machine. It is for the whole process.
+// Fit sets GOMAXPROCS and the memory limit of the Go runtime, of the whole process, to the limits of the machine.
 func (n *Node) Fit() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.cfg.Limits.Cores))))
 	debug.SetMemoryLimit(int64(n.cfg.Limits.MemoryMB) << 20 * 3 / 4)
 }
 
-// now is Unix time, carried on by the monotonic clock.
-func (n *Node) now() time.Duration { return n.epoch + time.Since(n.base) }
+// now returns the Unix time. It follows the monotonic clock from the start of the Node, so it never jumps.
+func (n *Node) now() time.Duration { return n.startUnix + time.Since(n.startTime) }
 
 // Listen opens the address for callers.
 func (n *Node) Listen() error {
@@ -113,20 +114,21 @@
 	return nil
 }
 
-// Reload has the configuration read again.
-func (n *Node) Reload() { signal(n.reload) }
+// Reload makes the Node read its configuration file again.
+func (n *Node) Reload() { notify(n.reloadRequests) }
 
-// Leave begins the drain: what comes is served for a while, what was taken is answered, and then Run returns.
-func (n *Node) Leave() { signal(n.leave) }
+// Leave begins the drain: new calls are served for a while, every accepted call is answered, and then Run returns.
+func (n *Node) Leave() { notify(n.drainRequests) }
 
-func signal(c chan struct{}) {
+// notify makes a request unless one is pending already.
+func notify(requests chan struct{}) {
 	select {
-	case c <- struct{}{}:
+	case requests <- struct{}{}:
 	default:
 	}
 }
 
-// Run works until a drain has ended or Kill.
+// Run serves calls until a drain has ended or Kill is called.
 func (n *Node) Run() error {
 	if n.listener == nil {
 		if err := n.Listen(); err != nil {
@@ -136,24 +138,24 @@
 	n.log.Info("started", "listen", n.listener.Addr().String(), "journal", n.cfg.Journal, "sockets", n.cfg.Limits.Sockets,
 		"memory_mb", n.cfg.Limits.MemoryMB, "cores", n.cfg.Limits.Cores)
 	n.core.Start(n.now(), n.cfg.Known)
-	n.pos.Store(n.core.Pos())
-	n.follow(n.cfg.Journal)
+	n.discoveryPos.Store(n.core.Pos())
+	n.startDiscovery(n.cfg.Journal)
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		link.Accept(n.listener, n.accepted)
+		link.Accept(n.listener, n.enqueueAccepted)
 	}()
 	n.loop()
 	n.Kill()
 	n.wg.Wait()
-	n.closeUnseen()
+	n.closeUnhandled()
 	n.core.LogTotals()
-	n.carryOut()
+	n.applyEffects()
 	n.log.Info("ended")
 	return nil
 }
 
-// Kill ends a Node at once.
+// Kill stops a Node immediately.
 func (n *Node) Kill() {
 	n.stopOnce.Do(func() { close(n.stop) })
 	n.listener.Close()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -286,7 +286,7 @@
 	}, func(s *harness) { s.set = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":1500000000`) })
 	c := s.dial()
 	s.invite(c, 1, 1, 1500*time.Millisecond)
-	kill := time.Now().Add(1500*time.Millisecond + drainServe)
+	kill := time.Now().Add(1500*time.Millisecond + drainServeTime)
 	s.node.Leave()
 	s.invite(c, 2, 2, time.Second)
 	d := s.dial()
@@ -422,9 +422,9 @@
 	for range 60 {
 		s.dial()
 	}
-	s.until("the loop's inputs are full of connections", func() bool { return len(s.node.unseen) == mostUnseen })
+	s.until("the loop's inputs are full of connections", func() bool { return len(s.node.unhandled) == maxUnhandled })
 	for range 100 {
-		if n := len(s.node.inputs); n > mostUnseen+8 { // a little of the journal's and the offices'
+		if n := len(s.node.inputs); n > maxUnhandled+8 { // a little of the journal's and the offices'
 			t.Fatalf("%d connections are accepted that the loop has not seen", n)
 		}
 		runtime.Gosched()
@@ -518,7 +518,7 @@
 			for _, signal := range c.signals {
 				signal(s.node)
 			}
-			kill := time.After(300*time.Millisecond + drainServe)
+			kill := time.After(300*time.Millisecond + drainServeTime)
 			caller := s.dial()
 			s.invite(caller, 1, 1, 300*time.Millisecond)
 			if h := s.await(caller, "the answer", final(1)); h.Status != 200 {
@@ -638,14 +638,14 @@
 	t.Cleanup(func() { close(p.over) })
 	s.node.Leave()
 	<-p.held
-	ends := time.Now().Add(drainServe + 50*time.Millisecond)
+	ends := time.Now().Add(drainServeTime + 50*time.Millisecond)
 	p.on.Store("caller's message refused")
 	p.free <- struct{}{}
 	s.hold(p)
 	<-time.After(time.Until(ends))
 	c := s.dial()
 	s.invite(c, 1, 1, 300*time.Millisecond)
-	s.until("the connection is accepted", func() bool { return len(s.node.unseen) > 0 })
+	s.until("the connection is accepted", func() bool { return len(s.node.unhandled) > 0 })
 	p.free <- struct{}{}
 	s.await(c, "the answer", final(1))
 	if err := <-s.ended; err != nil {
@@ -657,7 +657,7 @@
 
 // What the journal would have told counts as told 4 s after it fell silent.
 func TestTheJournalIsAskedAgainBeforeItsWordCountsAsTold(t *testing.T) {
-	if sum := journalSilence + firstAsk + journalConnect + journalAnswer; sum >= 4*time.Second {
+	if sum := discoveryReadTimeout + minBackoff + discoveryConnectTimeout + discoveryHedgeDelay; sum >= 4*time.Second {
 		t.Errorf("a silent journal and one dead connection after it take %v", sum)
 	}
 	t.Parallel()
@@ -665,7 +665,7 @@
 	<-s.journal.Asked
 	s.journal.Hush(true)
 	quiet := time.Now()
-	if pos := <-s.journal.Asked; pos != 1 || time.Since(quiet) >= journalSilence+time.Second {
+	if pos := <-s.journal.Asked; pos != 1 || time.Since(quiet) >= discoveryReadTimeout+time.Second {
 		t.Errorf("asked from %d after %v", pos, time.Since(quiet))
 	}
 }
@@ -679,14 +679,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow.Fail(platform.JournalFault{Slow: 2 * journalAnswer})
+	slow.Fail(platform.JournalFault{Slow: 2 * discoveryHedgeDelay})
 	s.write(slow.Addr)
 	s.node.Reload()
 	<-slow.Asked
 	began := time.Now()
 	s.offices[1].Member.Phase = feed.Draining
 	slow.Tell(s.list(2, false, s.offices[1]))
-	s.until("the change is heard", func() bool { return s.node.pos.Load() == 2 })
+	s.until("the change is heard", func() bool { return s.node.discoveryPos.Load() == 2 })
 	if took := time.Since(began); took > 6*time.Second {
 		t.Errorf("heard after %v", took)
 	}
