--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,9 +1,10 @@
-// Package ingress decides, while the call server refuses more than a little, how many calls of each client go on to the
-// module: a client that floods does not take what others need. It is pure: events and the time in, a verdict out.
+// Package ingress controls overload by client: while the call server refuses more than a small part of its calls, it limits
+// how many calls of each client are passed on to the decision module, so that a client that floods does not take the
+// capacity that others need. It has no clock and does no I/O: events and the time go in, decisions come out.
 //
-// The share of a client is max-min fair (water filling): whoever offers no more than an equal part of what the call
-// server carries is left alone; what these leave is divided alike among the others. Inside its share a client's
-// worthier calls go first. While hardly a call is refused everything goes on.
+// The share of a client is max-min fair (water filling): a client that offers no more than an equal part of what the call
+// server carries is not limited, and what these clients leave is divided equally among the others. Within the share of a
+// client, calls of higher worth go first. While hardly any call is refused, no call is held back.
 package ingress
 
 import (
@@ -13,211 +14,212 @@
 	"time"
 )
 
-// Tuned values, all ratios or spans of the control loop, none of the traffic.
+// Parameters of the control loop. They are ratios and durations and do not depend on the volume of the traffic.
 const (
-	window    = 2 * time.Second // memory of the rates: a few hold times of set-ups, short beside a flood
-	period    = 200 * time.Millisecond
-	beginPart = 0.10 // shares apply when more than this part of the answers are refusals
-	mostPart  = 0.06 // while shares apply, less is let in when more than this part are, and more when fewer than half
-	endPart   = 0.03 // shares apply no longer when fewer than this are, and nobody is over its share
-	grow      = 1.04 // what is let in while few are refused, for each period: 22% a second, so that room is found
-	shrink    = 0.97 // and while many are: 14% a second, never under what is carried
-	burst     = 500 * time.Millisecond
-	worthPart = 0.5 // of its bucket that a client keeps for its worthiest calls
-	leastRate = 0.5 // calls a second that every client has at the least
+	rateWindow        = 2 * time.Second // time constant of the rates: a few hold times of set-ups, short compared with a flood
+	updateInterval    = 200 * time.Millisecond
+	startRefusalRatio = 0.10                   // shares apply once more than this part of the answers are refusals
+	highRefusalRatio  = 0.06                   // the admitted rate falls above this part of refusals and rises below half of it
+	endRefusalRatio   = 0.03                   // shares end below this part of refusals, once no more is offered than admitted
+	increaseFactor    = 1.04                   // of the admitted rate per updateInterval: 22% a second, to find free capacity
+	decreaseFactor    = 0.97                   // of the admitted rate per updateInterval: 14% a second, never below the carried rate
+	bucketDuration    = 500 * time.Millisecond // a full token bucket holds the calls of this time
+	topWorthReserve   = 0.5                    // part of its bucket that a client keeps for its calls of the highest worth
+	minShare          = 0.5                    // calls per second that every client may have
 )
 
-// Level is a congestion level, as automatic congestion level (Q.763 3.4) and SCON (RFC 4666 3.4.4) carry it.
+// Level is a congestion level, as carried in the automatic congestion level (Q.763 3.4) and in SCON (RFC 4666 3.4.4).
 type Level byte
 
-// Levels: none, a client over its share, a client far over it.
+// Congestion levels: no congestion, a client over its share, a client far over its share.
 const (
 	Clear Level = iota
 	Over
 	FarOver
 )
 
-// farOver is how many times its share a client offers to be far over it.
-const farOver = 2
+// farOverFactor is the multiple of its share above which a client is far over it.
+const farOverFactor = 2
 
 // Settings of a Controller.
 type Settings struct {
-	Weights  []float64 // of the clients: their parts of what is shared; 0 counts as 1
-	Alone    bool      // no shares: only MaxCalls counts
-	MaxCalls int       // calls that one client may have held; 0: no limit
-	TopWorth float64   // worth of the worthiest class
+	Weights  []float64 // weight of each client in the division of the capacity; 0 counts as 1
+	Alone    bool      // no shares: only MaxCalls applies
+	MaxCalls int       // calls that one client may have at the same time; 0: no limit
+	TopWorth float64   // worth of the class with the highest worth
 }
 
-// Controller watches the clients of one call server. It is not safe for concurrent use.
+// Controller limits the calls of the clients of one call server. It is not safe for concurrent use.
 type Controller struct {
-	set     Settings
-	clients []client
-	carried rate // calls that stood
-	refused rate // calls that the module refused, without those refused here
-	next    time.Duration
-	sharing bool
-	let     float64 // calls a second that are let in while shares apply
+	settings    Settings
+	clients     []clientState
+	established rate // calls that were answered
+	refused     rate // calls that the decision module refused, without those refused here
+	nextUpdate  time.Duration
+	sharing     bool    // shares apply
+	admitRate   float64 // calls per second that are admitted while shares apply
 }
 
-type client struct {
-	weight  float64
-	offered rate
-	share   float64 // calls a second it may have while shares apply
-	tokens  float64
-	at      time.Duration
-	held    int
-	level   Level
+type clientState struct {
+	weight      float64
+	offered     rate
+	share       float64       // calls per second it may have while shares apply
+	tokens      float64       // calls left in its token bucket
+	refilledAt  time.Duration // when tokens was last updated
+	activeCalls int           // admitted calls that have not ended
+	level       Level
 }
 
-// rate is a fading count: events a second over the window.
+// rate is an exponentially decaying count of events, from which the events per second over the window follow.
 type rate struct {
-	n  float64
-	at time.Duration
+	count     float64
+	updatedAt time.Duration
 }
 
-func (r *rate) add(now time.Duration, n float64) {
-	r.fade(now)
-	r.n += n
+func (r *rate) add(now time.Duration, events float64) {
+	r.decay(now)
+	r.count += events
 }
 
-func (r *rate) fade(now time.Duration) {
-	if d := now - r.at; d > 0 {
-		r.n *= math.Exp(-d.Seconds() / window.Seconds())
-		r.at = now
+func (r *rate) decay(now time.Duration) {
+	if elapsed := now - r.updatedAt; elapsed > 0 {
+		r.count *= math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
+		r.updatedAt = now
 	}
 }
 
 func (r *rate) perSecond(now time.Duration) float64 {
-	r.fade(now)
-	return r.n / window.Seconds()
+	r.decay(now)
+	return r.count / rateWindow.Seconds()
 }
 
-// New makes a Controller for as many clients as there are weights.
-func New(s Settings) *Controller {
-	c := &Controller{set: s, clients: make([]client, len(s.Weights))}
-	for i, w := range s.Weights {
-		if !(w > 0) || math.IsInf(w, 0) {
-			w = 1
+// New makes a Controller with one client per weight.
+func New(settings Settings) *Controller {
+	controller := &Controller{settings: settings, clients: make([]clientState, len(settings.Weights))}
+	for i, weight := range settings.Weights {
+		if !(weight > 0) || math.IsInf(weight, 0) {
+			weight = 1
 		}
-		c.clients[i].weight = w
+		controller.clients[i].weight = weight
 	}
-	return c
+	return controller
 }
 
-// Offer judges a call of a client. A call that is let in counts as held until Ended.
-func (c *Controller) Offer(now time.Duration, who int, worth float64) (admit bool, level Level) {
-	k := &c.clients[who]
-	k.offered.add(now, 1)
-	c.settle(now)
-	if c.set.MaxCalls > 0 && k.held >= c.set.MaxCalls {
+// Offer decides whether a call of a client is admitted. An admitted call counts as active until Ended.
+func (c *Controller) Offer(now time.Duration, clientIndex int, worth float64) (admit bool, level Level) {
+	client := &c.clients[clientIndex]
+	client.offered.add(now, 1)
+	c.update(now)
+	if c.settings.MaxCalls > 0 && client.activeCalls >= c.settings.MaxCalls {
 		return false, FarOver
 	}
-	if c.sharing && k.level != Clear && !k.take(now, worth >= c.set.TopWorth) {
-		return false, max(k.level, Over)
+	if c.sharing && client.level != Clear && !client.takeToken(now, worth >= c.settings.TopWorth) {
+		return false, max(client.level, Over)
 	}
-	k.held++
-	return true, k.level
+	client.activeCalls++
+	return true, client.level
 }
 
-// take draws on a client's bucket. Calls of less than the top worth leave part of it.
-func (k *client) take(now time.Duration, top bool) bool {
-	size := math.Max(1, k.share*burst.Seconds())
-	k.tokens = math.Min(size, k.tokens+k.share*(now-k.at).Seconds())
-	k.at = now
-	least := 1.0
-	if !top && size > 2 {
-		least += worthPart * (size - 1) * scarce(k.tokens/size)
+// takeToken takes a token from a client's bucket, if it may. Calls below the top worth leave part of the bucket.
+func (c *clientState) takeToken(now time.Duration, topWorth bool) bool {
+	size := math.Max(1, c.share*bucketDuration.Seconds())
+	c.tokens = math.Min(size, c.tokens+c.share*(now-c.refilledAt).Seconds())
+	c.refilledAt = now
+	needed := 1.0
+	if !topWorth && size > 2 {
+		needed += topWorthReserve * (size - 1) * scarcity(c.tokens/size)
 	}
-	if k.tokens < least {
+	if c.tokens < needed {
 		return false
 	}
-	k.tokens--
+	c.tokens--
 	return true
 }
 
-// scarce is 1 for an empty bucket and 0 for a full one: the less is left, the more is kept for the worthiest.
-func scarce(filled float64) float64 { return 1 - math.Min(1, math.Max(0, filled)) }
+// scarcity is 1 for an empty bucket and 0 for a full one: the fewer tokens are left, the more of them are kept for calls of
+// the top worth.
+func scarcity(fillLevel float64) float64 { return 1 - math.Min(1, math.Max(0, fillLevel)) }
 
-// Answered takes the answer that the module gave a call of a client.
-func (c *Controller) Answered(now time.Duration, stood bool) {
-	if stood {
-		c.carried.add(now, 1)
+// Answered records the answer of the decision module to a call.
+func (c *Controller) Answered(now time.Duration, established bool) {
+	if established {
+		c.established.add(now, 1)
 	} else {
 		c.refused.add(now, 1)
 	}
 }
 
-// Ended takes the end of a call that was let in.
-func (c *Controller) Ended(who int) { c.clients[who].held-- }
+// Ended records the end of an admitted call.
+func (c *Controller) Ended(clientIndex int) { c.clients[clientIndex].activeCalls-- }
 
-// Level is the congestion level of a client now.
-func (c *Controller) Level(who int) Level { return c.clients[who].level }
+// Level returns the current congestion level of a client.
+func (c *Controller) Level(clientIndex int) Level { return c.clients[clientIndex].level }
 
-// Sharing tells whether shares apply.
+// Sharing reports whether shares apply.
 func (c *Controller) Sharing() bool { return c.sharing }
 
-// Share is the rate that a client may have, in calls a second; it counts while shares apply.
-func (c *Controller) Share(who int) float64 { return c.clients[who].share }
+// Share returns the rate that a client may have while shares apply, in calls per second.
+func (c *Controller) Share(clientIndex int) float64 { return c.clients[clientIndex].share }
 
-// settle begins, renews or ends the shares, once a period. What is let in follows the refusals of the module: it
-// would spiral down if it followed what is carried, since no bucket is ever used up quite.
-func (c *Controller) settle(now time.Duration) {
-	if now < c.next {
+// update starts, renews or ends the shares, once per updateInterval. The admitted rate follows the refusals of the decision
+// module: if it followed the carried rate it would fall further and further, since no bucket is ever used up completely.
+func (c *Controller) update(now time.Duration) {
+	if now < c.nextUpdate {
 		return
 	}
-	c.next = now + period
-	carried, refused := c.carried.perSecond(now), c.refused.perSecond(now)
-	part := 0.0
+	c.nextUpdate = now + updateInterval
+	established, refused := c.established.perSecond(now), c.refused.perSecond(now)
+	refusalRatio := 0.0
 	if refused > 0 {
-		part = refused / (carried + refused)
+		refusalRatio = refused / (established + refused)
 	}
 	switch {
-	case len(c.clients) < 2 || c.set.Alone: // nobody to share with: the module alone decides
-	case !c.sharing && part > beginPart:
-		c.sharing, c.let = true, carried
+	case len(c.clients) < 2 || c.settings.Alone: // no other client, or shares are off: the decision module alone decides
+	case !c.sharing && refusalRatio > startRefusalRatio:
+		c.sharing, c.admitRate = true, established
 		for i := range c.clients {
-			c.clients[i].tokens, c.clients[i].at = 0, now
+			c.clients[i].tokens, c.clients[i].refilledAt = 0, now
 		}
-	case c.sharing && part > mostPart:
-		c.let = math.Max(carried, c.let*shrink)
-	case c.sharing && part < mostPart/2:
-		c.let *= grow
+	case c.sharing && refusalRatio > highRefusalRatio:
+		c.admitRate = math.Max(established, c.admitRate*decreaseFactor)
+	case c.sharing && refusalRatio < highRefusalRatio/2:
+		c.admitRate *= increaseFactor
 	}
 	offered := 0.0
 	for i := range c.clients {
 		offered += c.clients[i].offered.perSecond(now)
 	}
-	if c.sharing && part < endPart && c.let > offered {
+	if c.sharing && refusalRatio < endRefusalRatio && c.admitRate > offered {
 		c.sharing = false
 	}
-	c.fill(now, c.let)
+	c.assignShares(now, c.admitRate)
 }
 
-// fill gives each client its max-min fair share of a capacity: clients in the order of what they offer for their
-// weight, each takes that or an equal part of what is left.
-func (c *Controller) fill(now time.Duration, capacity float64) {
+// assignShares gives each client its max-min fair share of a capacity. Clients are served in the order of their offered
+// rate per weight; each takes that rate or its part, by weight, of the remaining capacity.
+func (c *Controller) assignShares(now time.Duration, capacity float64) {
 	order := make([]int, len(c.clients))
 	weights := 0.0
 	for i := range c.clients {
 		order[i] = i
 		weights += c.clients[i].weight
 	}
-	need := func(i int) float64 { return c.clients[i].offered.perSecond(now) / c.clients[i].weight }
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(need(a), need(b)) })
+	demand := func(i int) float64 { return c.clients[i].offered.perSecond(now) / c.clients[i].weight }
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(demand(a), demand(b)) })
 	for _, i := range order {
-		k := &c.clients[i]
-		fair := capacity * k.weight / weights
-		offered := k.offered.perSecond(now)
-		k.share = math.Max(leastRate, fair)
-		capacity -= math.Min(offered, fair)
-		weights -= k.weight
+		client := &c.clients[i]
+		fairShare := capacity * client.weight / weights
+		offered := client.offered.perSecond(now)
+		client.share = math.Max(minShare, fairShare)
+		capacity -= math.Min(offered, fairShare)
+		weights -= client.weight
 		switch {
-		case !c.sharing || offered <= k.share:
-			k.level = Clear
-		case offered > farOver*k.share:
-			k.level = FarOver
+		case !c.sharing || offered <= client.share:
+			client.level = Clear
+		case offered > farOverFactor*client.share:
+			client.level = FarOver
 		default:
-			k.level = Over
+			client.level = Over
 		}
 	}
 }
