--- a/internal/link/accept.go
+++ b/internal/link/accept.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Accept takes connections until the listener closes and hands each to take. When descriptors or memory run short
-// it waits a moment, since the listener itself is sound.
-func Accept(l net.Listener, take func(net.Conn)) {
+// Accept accepts connections until the listener is closed and passes each to handle. After another error, such as a lack of
+// descriptors or memory, it waits and tries again, since the listener itself still works.
+func Accept(listener net.Listener, handle func(net.Conn)) {
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		take(conn)
+		handle(conn)
 	}
 }
 
-// acceptPause is the wait after a failed accept.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the time between a failed accept and the next one.
+const acceptRetryDelay = 5 * time.Millisecond
 
-// Places bounds how many connections are served at once.
+// Places is a counting semaphore that bounds how many connections are served at once.
 type Places chan struct{}
 
-// Take takes a place, if there is one.
+// Take takes a place and reports whether one was free.
 func (p Places) Take() bool {
 	select {
 	case p <- struct{}{}:
@@ -39,10 +39,10 @@
 	}
 }
 
-// Leave gives a place back.
+// Leave returns a place.
 func (p Places) Leave() { <-p }
 
-// Context is a context that ends with a channel.
+// Context returns a context that is cancelled when stop is closed.
 func Context(stop <-chan struct{}) context.Context { return stopContext{stop} }
 
 type stopContext struct{ stop <-chan struct{} }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link is what the daemons share of TCP: connections whose writes never hold up the loop that owns the
-// state, and a bounded accept loop.
+// Package link holds the TCP code that the daemons share: connections whose writes never block the event loop that owns the
+// state, an accept loop, and a bound for the number of connections.
 package link
 
 import (
@@ -9,84 +9,86 @@
 	"time"
 )
 
-// Link is one connection. Bytes that TCP takes at once are written by the caller; the rest waits in a queue, bounded
-// by the bytes that wait, for a writer of its own that takes all that has come together since its last write.
+// Link is one connection with a queue of bytes to write, bounded in bytes. A writer goroutine of the Link writes all that was
+// queued since its last write at once. A Link made by NewDirect queues only the bytes that TCP does not accept at once.
 type Link struct {
-	conn    net.Conn
-	raw     syscall.RawConn // nil: writes at once are not possible
-	stuck   func(bool)      // told when bytes begin to wait, and when none wait any more
-	mu      sync.Mutex
-	wake    *sync.Cond
-	queue   []byte
-	spare   []byte
-	done    int64
-	writing bool
-	closed  bool
+	conn        net.Conn
+	rawConn     syscall.RawConn // nil: Write always queues
+	onBlocked   func(bool)      // called with true when bytes begin to wait, with false when none wait any more
+	mu          sync.Mutex      // guards the fields below
+	changed     *sync.Cond      // queue, writing or closed has changed
+	queue       []byte          // bytes that wait to be written
+	spareBuffer []byte          // the buffer of the last write, for the next queue
+	written     int64           // bytes that have been passed to TCP
+	writing     bool            // a writer runs, or is in the middle of a write
+	closed      bool
 }
 
-// New makes a Link; WriteLoop must run for it.
+// New makes a Link whose bytes WriteLoop writes, which the caller must run.
 func New(conn net.Conn) *Link {
 	l := &Link{conn: conn}
-	l.wake = sync.NewCond(&l.mu)
-	if t, ok := conn.(*net.TCPConn); ok {
-		_ = t.SetNoDelay(true)
+	l.changed = sync.NewCond(&l.mu)
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetNoDelay(true)
 	}
 	return l
 }
 
-// NewDirect makes a Link whose Write hands bytes to TCP by itself while none wait. A writer runs only while bytes
-// wait; stuck is told of its begin and end, the end on a goroutine of the Link.
-func NewDirect(conn net.Conn, stuck func(bool)) *Link {
+// NewDirect makes a Link whose Write passes bytes to TCP itself while none wait. A writer runs only while bytes wait:
+// onBlocked is called with true when it starts, on the goroutine that calls Write, and with false when it ends, on a
+// goroutine of the Link.
+func NewDirect(conn net.Conn, onBlocked func(bool)) *Link {
 	l := New(conn)
-	l.stuck = stuck
-	if t, ok := conn.(*net.TCPConn); ok {
-		l.raw, _ = t.SyscallConn()
+	l.onBlocked = onBlocked
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		l.rawConn, _ = tcp.SyscallConn()
 	}
 	return l
 }
 
-// Conn is the connection.
+// Conn returns the connection.
 func (l *Link) Conn() net.Conn { return l.conn }
 
-// Write queues bytes; false: more than most would wait.
-func (l *Link) Write(b []byte, most int) bool {
+// Write writes or queues bytes; false: more than maxQueued bytes would wait.
+func (l *Link) Write(b []byte, maxQueued int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		return true // its end is on the way to the loop
+		return true // the reader reports the end to the event loop
 	}
-	if l.raw != nil && len(l.queue) == 0 && !l.writing {
-		n := l.now(b)
-		l.done += int64(n)
+	if l.rawConn != nil && len(l.queue) == 0 && !l.writing {
+		n := l.writeNow(b)
+		l.written += int64(n)
 		if b = b[n:]; len(b) == 0 {
 			return true
 		}
 		l.writing = true
-		l.stuck(true)
+		l.onBlocked(true)
 		go l.flush()
 	}
-	if len(l.queue)+len(b) > most {
+	if len(l.queue)+len(b) > maxQueued {
 		return false
 	}
 	l.queue = append(l.queue, b...)
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 	return true
 }
 
-// now writes what TCP takes without waiting. An error shows at the next read.
-func (l *Link) now(b []byte) int {
-	done := 0
-	_ = l.raw.Write(func(fd uintptr) bool {
-		for done < len(b) {
-			n, err := syscall.Write(int(fd), b[done:])
+// writeNow writes the bytes that TCP accepts without blocking and returns their number. After an error all bytes count as
+// written: the next read returns an error.
+func (l *Link) writeNow(b []byte) int {
+	written := 0
+	_ = l.rawConn.Write(func(fd uintptr) bool {
+		for written < len(b) {
+			n, err := syscall.Write(int(fd), b[written:])
 			if n > 0 {
-				done += n
+				written += n
 			}
 			if err == syscall.EINTR {
 				continue
 			}
 			if err != nil && err != syscall.EAGAIN {
-				done = len(b)
+				written = len(b)
 			}
 			if err != nil || n <= 0 {
 				return true
@@ -94,19 +96,19 @@
 		}
 		return true
 	})
-	return done
+	return written
 }
 
-// flush writes what waits, until nothing does.
+// flush writes the queue until it is empty or the Link is closed.
 func (l *Link) flush() {
 	l.mu.Lock()
 	for len(l.queue) > 0 && !l.closed {
-		l.step()
+		l.writeQueue()
 	}
 	l.writing = false
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 	l.mu.Unlock()
-	l.stuck(false)
+	l.onBlocked(false)
 }
 
 // WriteLoop writes what is queued until the Link is closed.
@@ -115,61 +117,61 @@
 	defer l.mu.Unlock()
 	for {
 		for len(l.queue) == 0 && !l.closed {
-			l.wake.Wait()
+			l.changed.Wait()
 		}
 		if l.closed {
 			return
 		}
 		l.writing = true
-		l.step()
+		l.writeQueue()
 		l.writing = false
-		l.wake.Broadcast()
+		l.changed.Broadcast()
 	}
 }
 
-// step writes all that waits now; l.mu is held, and let go meanwhile.
-func (l *Link) step() {
-	b := l.queue
-	l.queue = l.spare[:0]
+// writeQueue writes the present queue. The caller holds l.mu, which is released during the write.
+func (l *Link) writeQueue() {
+	queued := l.queue
+	l.queue = l.spareBuffer[:0]
 	l.mu.Unlock()
-	n, err := l.conn.Write(b)
+	n, err := l.conn.Write(queued)
 	l.mu.Lock()
-	l.done += int64(n)
-	l.spare = b
+	l.written += int64(n)
+	l.spareBuffer = queued
 	if err != nil {
 		l.closed = true
 		l.conn.Close()
 	}
 }
 
-// Written is how many bytes have been handed to TCP.
+// Written returns the number of bytes that have been passed to TCP.
 func (l *Link) Written() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.done
+	return l.written
 }
 
-// Close closes the connection and drops what waits.
+// Close closes the connection and drops the queue.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 	l.mu.Unlock()
 	l.conn.Close()
 }
 
-// Drain waits until all has been written, or the deadline.
+// Drain waits until the queue has been written or the deadline has passed. After the deadline it drops all bytes.
 func (l *Link) Drain(deadline time.Time) {
-	late := time.AfterFunc(time.Until(deadline), func() {
+	expiry := time.AfterFunc(time.Until(deadline), func() {
 		l.mu.Lock()
 		l.closed = true
-		l.wake.Broadcast()
+		l.changed.Broadcast()
 		l.mu.Unlock()
 	})
-	defer late.Stop()
+	defer expiry.Stop()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for (len(l.queue) > 0 || l.writing) && !l.closed {
-		l.wake.Wait()
+		l.changed.Wait()
 	}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -9,117 +9,117 @@
 	"time"
 )
 
-// pair is a connection on loopback, both ends.
-func pair(t *testing.T) (near, far net.Conn) {
+// connPair returns both ends of a loopback connection.
+func connPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if near, err = net.Dial("tcp", l.Addr().String()); err != nil {
+	defer listener.Close()
+	if near, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if far, err = l.Accept(); err != nil {
+	if far, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { near.Close(); far.Close() })
 	return near, far
 }
 
-// A peer that does not read makes bytes wait, within bounds; what waited goes out in order once it reads.
+// While a peer does not read, bytes are queued up to the bound; they are written in order once it reads.
 func TestDirectLinkQueuesWhatTCPDoesNotTake(t *testing.T) {
-	near, far := pair(t)
-	stuck := make(chan bool, 2)
-	l := NewDirect(near, func(on bool) { stuck <- on })
-	const most = 1 << 20
+	near, far := connPair(t)
+	blocked := make(chan bool, 2)
+	link := NewDirect(near, func(isBlocked bool) { blocked <- isBlocked })
+	const maxQueued = 1 << 20
 	var want []byte
-	piece := make([]byte, 64<<10)
-	for i := 0; len(stuck) == 0; i++ {
-		for j := range piece {
-			piece[j] = byte(i + j)
+	chunk := make([]byte, 64<<10)
+	for i := 0; len(blocked) == 0; i++ {
+		for j := range chunk {
+			chunk[j] = byte(i + j)
 		}
-		if !l.Write(piece, most) {
-			t.Fatal("the queue overflowed before the link said that it is stuck")
+		if !link.Write(chunk, maxQueued) {
+			t.Fatal("the queue overflowed before the link reported that bytes wait")
 		}
-		want = append(want, piece...)
+		want = append(want, chunk...)
 	}
-	if !<-stuck {
-		t.Fatal("first told that nothing waits")
+	if !<-blocked {
+		t.Fatal("the first report was that no bytes wait")
 	}
-	for l.Write(piece, most) {
-		want = append(want, piece...)
+	for link.Write(chunk, maxQueued) {
+		want = append(want, chunk...)
 	}
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(far, got); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatal("bytes came in another order")
+		t.Fatal("bytes arrived in another order")
 	}
-	if <-stuck {
-		t.Fatal("still stuck after all was read")
+	if <-blocked {
+		t.Fatal("bytes still wait after all were read")
 	}
-	if l.Written() != int64(len(want)) {
-		t.Fatalf("%d bytes written, %d were sent", l.Written(), len(want))
+	if link.Written() != int64(len(want)) {
+		t.Fatalf("%d bytes written, %d were sent", link.Written(), len(want))
 	}
-	l.Close()
-	if !l.Write(piece, most) {
-		t.Fatal("a closed link refuses bytes: its end is told elsewhere")
+	link.Close()
+	if !link.Write(chunk, maxQueued) {
+		t.Fatal("a closed link refuses bytes: its end is reported by the reader")
 	}
 }
 
 func TestDrainWaitsForWhatIsQueued(t *testing.T) {
-	near, far := pair(t)
-	l := New(near)
+	near, far := connPair(t)
+	link := New(near)
 	ended := make(chan struct{})
-	go func() { defer close(ended); l.WriteLoop() }()
-	l.Write([]byte("last words"), 100)
-	l.Drain(time.Now().Add(5 * time.Second))
-	l.Close()
+	go func() { defer close(ended); link.WriteLoop() }()
+	link.Write([]byte("last words"), 100)
+	link.Drain(time.Now().Add(5 * time.Second))
+	link.Close()
 	<-ended
 	if got, err := io.ReadAll(far); err != nil || string(got) != "last words" {
 		t.Fatalf("%q, %v", got, err)
 	}
 }
 
-// failing is a listener whose first accept fails as it does when descriptors are short.
-type failing struct {
+// failingListener is a listener whose first accept fails, as it does when descriptors run out.
+type failingListener struct {
 	net.Listener
 	failed bool
 }
 
-func (f *failing) Accept() (net.Conn, error) {
-	if !f.failed {
-		f.failed = true
+func (l *failingListener) Accept() (net.Conn, error) {
+	if !l.failed {
+		l.failed = true
 		return nil, errors.New("too many open files")
 	}
-	return f.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-func TestAcceptOutlivesAFailure(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestAcceptContinuesAfterAnError(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken, ended := make(chan net.Conn), make(chan struct{})
+	accepted, ended := make(chan net.Conn), make(chan struct{})
 	go func() {
 		defer close(ended)
-		Accept(&failing{Listener: l}, func(c net.Conn) { taken <- c })
+		Accept(&failingListener{Listener: listener}, func(conn net.Conn) { accepted <- conn })
 	}()
-	c, err := net.Dial("tcp", l.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	(<-taken).Close()
-	l.Close()
+	defer conn.Close()
+	(<-accepted).Close()
+	listener.Close()
 	<-ended
-	p := make(Places, 1)
-	if !p.Take() || p.Take() {
-		t.Fatal("one place holds one")
+	places := make(Places, 1)
+	if !places.Take() || places.Take() {
+		t.Fatal("one place is not taken exactly once")
 	}
-	if p.Leave(); !p.Take() {
-		t.Fatal("a place that was left is free")
+	if places.Leave(); !places.Take() {
+		t.Fatal("a returned place is not free")
 	}
 }
--- a/internal/timing/heap.go
+++ b/internal/timing/heap.go
@@ -1,4 +1,4 @@
-// Package timing keeps timers in order. It has no clock: its user says what time it is.
+// Package timing holds a timer queue without a clock: its user passes in the time.
 package timing
 
 import (
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Timers gives values back when their time has come, in the order of their times and, among equal times, of their
-// arming. The zero value is empty and ready. A timer cannot be taken back: its user ignores what is over.
+// Timers is a queue of values that become due at a time. They come out in the order of their times and, at equal times, in
+// the order in which they were armed. The zero value is an empty queue, ready for use. A timer cannot be cancelled: its user
+// ignores timers that no longer apply.
 type Timers[T any] struct {
-	heap entries[T]
+	heap entryHeap[T]
 	seq  uint64
 }
 
-// Arm adds a value for a time.
-func (t *Timers[T]) Arm(at time.Duration, v T) {
+// Arm adds a value that becomes due at a time.
+func (t *Timers[T]) Arm(at time.Duration, value T) {
 	t.seq++
-	heap.Push(&t.heap, entry[T]{at: at, seq: t.seq, value: v})
+	heap.Push(&t.heap, entry[T]{at: at, seq: t.seq, value: value})
 }
 
-// Next is the time of the first timer.
+// Next returns the time of the first timer; false: there is none.
 func (t *Timers[T]) Next() (time.Duration, bool) {
 	if len(t.heap) == 0 {
 		return 0, false
@@ -27,36 +28,36 @@
 	return t.heap[0].at, true
 }
 
-// Pop takes the first timer if its time has come.
-func (t *Timers[T]) Pop(now time.Duration) (at time.Duration, v T, ok bool) {
+// Pop removes and returns the first timer if it is due.
+func (t *Timers[T]) Pop(now time.Duration) (at time.Duration, value T, ok bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
-		return 0, v, false
+		return 0, value, false
 	}
-	e := heap.Pop(&t.heap).(entry[T])
-	return e.at, e.value, true
+	first := heap.Pop(&t.heap).(entry[T])
+	return first.at, first.value, true
 }
 
-// Len is how many are armed.
+// Len returns the number of armed timers.
 func (t *Timers[T]) Len() int { return len(t.heap) }
 
 type entry[T any] struct {
 	at    time.Duration
-	seq   uint64
+	seq   uint64 // order of arming
 	value T
 }
 
-type entries[T any] []entry[T]
+type entryHeap[T any] []entry[T]
 
-func (h entries[T]) Len() int { return len(h) }
-func (h entries[T]) Less(i, j int) bool {
+func (h entryHeap[T]) Len() int { return len(h) }
+func (h entryHeap[T]) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h entries[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *entries[T]) Push(x any)   { *h = append(*h, x.(entry[T])) }
-func (h *entries[T]) Pop() any {
+func (h entryHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *entryHeap[T]) Push(x any)   { *h = append(*h, x.(entry[T])) }
+func (h *entryHeap[T]) Pop() any {
 	old := *h
-	e := old[len(old)-1]
-	old[len(old)-1] = entry[T]{} // what it held may go
+	last := old[len(old)-1]
+	old[len(old)-1] = entry[T]{} // releases what the value refers to
 	*h = old[:len(old)-1]
-	return e
+	return last
 }
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -8,20 +8,20 @@
 func TestTimersComeInOrder(t *testing.T) {
 	var timers Timers[string]
 	if _, ok := timers.Next(); ok {
-		t.Fatal("an empty one has a next timer")
+		t.Fatal("an empty queue has a next timer")
 	}
-	for _, a := range []struct {
+	for _, timer := range []struct {
 		at   time.Duration
 		name string
 	}{{3, "c"}, {1, "a"}, {2, "b1"}, {2, "b2"}, {2, "b3"}, {9, "late"}} {
-		timers.Arm(a.at, a.name)
+		timers.Arm(timer.at, timer.name)
 	}
 	if at, ok := timers.Next(); !ok || at != 1 {
 		t.Fatalf("next at %v", at)
 	}
 	got := ""
-	for _, v, ok := timers.Pop(3); ok; _, v, ok = timers.Pop(3) {
-		got += v + " "
+	for _, name, ok := timers.Pop(3); ok; _, name, ok = timers.Pop(3) {
+		got += name + " "
 	}
 	if got != "a b1 b2 b3 c " || timers.Len() != 1 {
 		t.Fatalf("%q, %d left", got, timers.Len())
