--- a/node/discovery.go
+++ b/node/discovery.go
@@ -34,7 +34,7 @@
 	discoveryReadTimeout     = 2100 * time.Millisecond
 	discoveryConnectTimeout  = 500 * time.Millisecond
 	discoveryHedgeDelay      = 1300 * time.Millisecond // before a hedged request is sent; a comment is due within a second
-	discoveryResponseTimeout = 5500 * time.Millisecond // then a request is given up; 6 s after a failed one changes count as notified
+	discoveryResponseTimeout = 5500 * time.Millisecond // 6 s after a failed request changes count as notified
 	maxOutstandingRequests   = 4
 	minBackoff               = 20 * time.Millisecond
 	maxBackoff               = 500 * time.Millisecond
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -32,237 +32,244 @@
  "rules":{"drain_grace_ns":1000000000,"tip_after_ns":3000000000,"overload_factor":2.0,"cold_from":0.3,"cold_ns":10000000000},
  "classes":[{"name":"status-check","worth":1,"late_share":0.25,"target_ns":1200000000,"deadline_ns":3000000000,"effect":"safe"}]}`
 
-// harness is a Node with stand-ins around it.
+// harness is a Node with stand-ins for offices, callers and the discovery service around it.
 type harness struct {
-	t       *testing.T
-	env     *platform.Environment
-	node    *Node
-	ended   chan error
-	journal *platform.Journal
-	path    string
-	set     *strings.Replacer // changes to the settings that the node is told
-	offices []*platform.Office
-	addr    string
-	log     slog.Handler
-}
-
-func newHarness(t *testing.T, behavior func(call uint64, attempt int) platform.Behavior, change ...func(*harness)) *harness {
+	t             *testing.T
+	env           *platform.Environment
+	node          *Node
+	ended         chan error
+	journal       *platform.Journal
+	configPath    string
+	settingsEdits *strings.Replacer // applied to the settings in the configuration of the node
+	offices       []*platform.Office
+	addr          string
+	logHandler    slog.Handler
+}
+
+// newHarness starts a node and its stand-ins. The changes are applied before the discovery service and the node start.
+func newHarness(t *testing.T, behavior func(call uint64, attempt int) platform.Behavior, changes ...func(*harness)) *harness {
 	t.Helper()
-	check := rulecheck.NewPlatform(200*time.Millisecond, time.Second, 50*time.Millisecond)
-	s := &harness{t: t, env: platform.NewEnvironment(check), ended: make(chan error, 1), path: filepath.Join(t.TempDir(), "config.json"),
-		set: strings.NewReplacer(), log: slog.NewTextHandler(io.Discard, nil)}
+	checker := rulecheck.NewPlatform(200*time.Millisecond, time.Second, 50*time.Millisecond)
+	h := &harness{t: t, env: platform.NewEnvironment(checker), ended: make(chan error, 1), configPath: filepath.Join(t.TempDir(), "config.json"),
+		settingsEdits: strings.NewReplacer(), logHandler: slog.NewTextHandler(io.Discard, nil)}
 	for cell, id := range []string{"s-own", "s-a", "s-b"} {
-		o, err := s.env.NewOffice(id, cell, 300*time.Millisecond, behavior)
+		office, err := h.env.NewOffice(id, cell, 300*time.Millisecond, behavior)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.offices = append(s.offices, o)
+		h.offices = append(h.offices, office)
 	}
-	for _, f := range change {
-		f(s)
+	for _, change := range changes {
+		change(h)
 	}
 	var err error
-	if s.journal, err = s.env.NewJournal(s.list(1, true, s.offices...)); err != nil {
+	if h.journal, err = h.env.NewJournal(h.discoveryEvent(1, true, h.offices...)); err != nil {
 		t.Fatal(err)
 	}
-	s.write(s.journal.Addr)
-	if s.node, err = New(s.path, slog.New(s.log)); err != nil {
+	h.writeConfig(h.journal.Addr)
+	if h.node, err = New(h.configPath, slog.New(h.logHandler)); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.node.Listen(); err != nil {
+	if err := h.node.Listen(); err != nil {
 		t.Fatal(err)
 	}
-	s.addr = s.node.listener.Addr().String()
-	go func() { s.ended <- s.node.Run() }()
+	h.addr = h.node.listener.Addr().String()
+	go func() { h.ended <- h.node.Run() }()
 	t.Cleanup(func() {
-		s.node.Kill()
+		h.node.Kill()
 		select {
-		case <-s.ended:
+		case <-h.ended:
 		case <-time.After(10 * time.Second):
 			t.Error("the node does not end")
 		}
-		s.env.Close()
+		h.env.Close()
 	})
-	return s
+	return h
 }
 
-func (s *harness) list(pos uint64, complete bool, offices ...*platform.Office) feed.Event {
-	ev := feed.Event{Pos: pos, Hosts: feed.Hosts{Complete: complete}}
-	for _, o := range offices {
-		ev.Hosts.Members = append(ev.Hosts.Members, o.Member)
+// discoveryEvent returns an event of the discovery service about offices, as they are now.
+func (h *harness) discoveryEvent(pos uint64, complete bool, offices ...*platform.Office) feed.Event {
+	event := feed.Event{Pos: pos, Hosts: feed.Hosts{Complete: complete}}
+	for _, office := range offices {
+		event.Hosts.Members = append(event.Hosts.Members, office.Member)
 	}
-	return ev
+	return event
 }
 
-func (s *harness) write(journal string) {
-	s.t.Helper()
-	known, err := json.Marshal(feed.Known{Pos: 1, Entries: []feed.Event{s.list(1, true, s.offices...)}})
+// writeConfig writes the configuration file of the node, with the address of a discovery service.
+func (h *harness) writeConfig(journal string) {
+	h.t.Helper()
+	known, err := json.Marshal(feed.Known{Pos: 1, Entries: []feed.Event{h.discoveryEvent(1, true, h.offices...)}})
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","journal":%q,"seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
-		journal, known, s.set.Replace(settingsText))
-	if err := os.WriteFile(s.path, []byte(text), 0o600); err != nil {
-		s.t.Fatal(err)
+		journal, known, h.settingsEdits.Replace(settingsText))
+	if err := os.WriteFile(h.configPath, []byte(text), 0o600); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-func (s *harness) dial() *platform.Caller {
-	s.t.Helper()
-	c, err := s.env.Dial(s.addr)
+// dial opens a caller's connection to the node.
+func (h *harness) dial() *platform.Caller {
+	h.t.Helper()
+	caller, err := h.env.Dial(h.addr)
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return c
+	return caller
 }
 
 // invite sends a set-up; the answer comes on the connection.
-func (s *harness) invite(c *platform.Caller, call uint64, dest int, patience time.Duration) {
-	s.t.Helper()
-	if err := c.Invite(call, dest, patience); err != nil {
-		s.t.Fatal(err)
+func (h *harness) invite(caller *platform.Caller, call uint64, dest int, patience time.Duration) {
+	h.t.Helper()
+	if err := caller.Invite(call, dest, patience); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-// await waits for something on a caller's connection.
-func (s *harness) await(c *platform.Caller, what string, is func(platform.Heard) bool) platform.Heard {
-	s.t.Helper()
+// await waits for a message on a caller's connection and skips those that do not match.
+func (h *harness) await(caller *platform.Caller, what string, matches func(platform.Heard) bool) platform.Heard {
+	h.t.Helper()
 	limit := time.After(8 * time.Second)
 	for {
 		select {
-		case h, ok := <-c.Heard:
+		case msg, ok := <-caller.Heard:
 			if !ok {
-				s.t.Fatalf("the connection ended before %s", what)
+				h.t.Fatalf("the connection ended before %s", what)
 			}
-			if is(h) {
-				return h
+			if matches(msg) {
+				return msg
 			}
 		case <-limit:
-			s.t.Fatalf("no %s", what)
+			h.t.Fatalf("no %s", what)
 		}
 	}
 }
 
-func (s *harness) judge() {
-	s.t.Helper()
-	s.env.Judge(func(at time.Duration, p *rulecheck.Platform) {
-		for _, b := range p.Breaches(at) {
-			s.t.Error(b)
+// checkRules reports every violation of a rule up to now.
+func (h *harness) checkRules() {
+	h.t.Helper()
+	h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+		for _, violation := range checker.Breaches(at) {
+			h.t.Error(violation)
 		}
 	})
 }
 
-func final(call uint64) func(platform.Heard) bool {
-	return func(h platform.Heard) bool { return h.Call == call && h.Method == "INVITE" && h.Status >= 200 }
+// isFinalAnswer matches the final answer of a call.
+func isFinalAnswer(call uint64) func(platform.Heard) bool {
+	return func(msg platform.Heard) bool { return msg.Call == call && msg.Method == "INVITE" && msg.Status >= 200 }
 }
 
-// Offices do all that offices do; each call gets one answer in time, and no rule breaks.
+// With offices of every behavior each call gets exactly one answer in time, and no rule is broken.
 func TestCallsThroughAllBehaviors(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(call uint64, attempt int) platform.Behavior {
+	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 		if attempt > 1 {
 			return platform.Stand
 		}
 		return platform.Behavior(call) % platform.Behaviors
 	})
 	const calls = 10 * uint64(platform.Behaviors)
-	callers := []*platform.Caller{s.dial(), s.dial(), s.dial()}
-	pace := time.NewTicker(15 * time.Millisecond)
-	defer pace.Stop()
+	callers := []*platform.Caller{h.dial(), h.dial(), h.dial()}
+	ticker := time.NewTicker(15 * time.Millisecond)
+	defer ticker.Stop()
 	for id := uint64(1); id <= calls; id++ {
-		<-pace.C
-		s.invite(callers[id%3], id, 1+int(id)%2, 2500*time.Millisecond)
+		<-ticker.C
+		h.invite(callers[id%3], id, 1+int(id)%2, 2500*time.Millisecond)
 		if id%17 == 0 {
 			if err := callers[id%3].Cancel(id); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	stood, byes := 0, 0
-	for i, c := range callers {
-		left := 0
+	established, byes := 0, 0
+	for i, caller := range callers {
+		unanswered := 0
 		for id := uint64(1); id <= calls; id++ {
 			if id%3 == uint64(i) && id%17 != 0 {
-				left++
+				unanswered++
 			}
 		}
-		for left > 0 || byes < stood {
-			h := s.await(c, fmt.Sprintf("%d answers", left), func(h platform.Heard) bool { return true })
+		for unanswered > 0 || byes < established {
+			msg := h.await(caller, fmt.Sprintf("%d answers", unanswered), func(msg platform.Heard) bool { return true })
 			switch {
-			case h.Method == "BYE" && h.Status == 0:
+			case msg.Method == "BYE" && msg.Status == 0:
 				byes++
-			case h.Method == "INVITE" && h.Call%17 != 0:
-				left--
-				if h.Status == 200 {
-					stood++
-					if h.Body != platform.Description {
-						t.Errorf("call %d: description %q", h.Call, h.Body)
+			case msg.Method == "INVITE" && msg.Call%17 != 0:
+				unanswered--
+				if msg.Status == 200 {
+					established++
+					if msg.Body != platform.Description {
+						t.Errorf("call %d: description %q", msg.Call, msg.Body)
 					}
 				}
 			}
 		}
 	}
-	if stood < int(calls)/3 {
-		t.Errorf("only %d of %d calls stood", stood, calls)
+	if established < int(calls)/3 {
+		t.Errorf("only %d of %d calls were established", established, calls)
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// The journal breaks off, falls silent and moves; what it tells in the end is kept.
-func TestJournalBreaksAndMoves(t *testing.T) {
+// The connection to the discovery service breaks, the service falls silent and its address changes: events that arrive
+// afterwards are still applied.
+func TestDiscoveryBreaksAndMoves(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	asked := func(j *platform.Journal) uint64 {
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	awaitRequest := func(journal *platform.Journal) uint64 {
 		select {
-		case pos := <-j.Asked:
+		case pos := <-journal.Asked:
 			return pos
 		case <-time.After(5 * time.Second):
-			t.Fatal("the journal is not asked")
+			t.Fatal("the discovery service gets no request")
 			return 0
 		}
 	}
-	if pos := asked(s.journal); pos != 1 {
-		t.Fatalf("first asked for what came after %d", pos)
+	if pos := awaitRequest(h.journal); pos != 1 {
+		t.Fatalf("the first request asks for events after %d", pos)
 	}
-	broken, err := s.env.Break()
+	broken, err := h.env.Break()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.write(broken.Addr)
-	s.node.Reload()
-	if pos := asked(broken); pos != 1 {
-		t.Fatalf("the new address is asked for what came after %d", pos)
+	h.writeConfig(broken.Addr)
+	h.node.Reload()
+	if pos := awaitRequest(broken); pos != 1 {
+		t.Fatalf("the request to the new address asks for events after %d", pos)
 	}
-	if pos := asked(broken); pos != 1 {
-		t.Fatalf("after half an event: asked for what came after %d", pos)
+	if pos := awaitRequest(broken); pos != 1 {
+		t.Fatalf("the request after half an event asks for events after %d", pos)
 	}
-	if err := os.WriteFile(s.path, []byte("{"), 0o600); err != nil {
+	if err := os.WriteFile(h.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.node.Reload() // a bad file is told, and the old one kept
-	asked(broken)
-	second, err := s.env.NewJournal(s.list(1, true, s.offices...))
+	h.node.Reload() // an invalid file is logged, and the current configuration stays
+	awaitRequest(broken)
+	second, err := h.env.NewJournal(h.discoveryEvent(1, true, h.offices...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.write(second.Addr)
-	s.node.Reload()
-	if pos := asked(second); pos != 1 {
-		t.Fatalf("the last address is asked for what came after %d", pos)
+	h.writeConfig(second.Addr)
+	h.node.Reload()
+	if pos := awaitRequest(second); pos != 1 {
+		t.Fatalf("the request to the last address asks for events after %d", pos)
 	}
 	second.Hush(true)
-	if pos := asked(second); pos != 1 { // silence is a break
-		t.Fatalf("after a silence: asked for what came after %d", pos)
+	if pos := awaitRequest(second); pos != 1 { // silence counts as a broken connection
+		t.Fatalf("the request after a silence asks for events after %d", pos)
 	}
 	second.Hush(false)
-	s.offices[1].Member.Phase = feed.Draining
-	s.env.Judge(func(at time.Duration, p *rulecheck.Platform) { p.Told(at, "s-a") })
-	second.Tell(s.list(2, false, s.offices[1]))
-	c := s.dial()
+	h.offices[1].Member.Phase = feed.Draining
+	h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at, "s-a") })
+	second.Tell(h.discoveryEvent(2, false, h.offices[1]))
+	caller := h.dial()
 	limit := time.After(5 * time.Second)
-	for id := uint64(1); ; id++ { // until the drain has come through
-		s.invite(c, id, 1, time.Second)
-		if h := s.await(c, "an answer", final(id)); h.Status == 503 {
+	for id := uint64(1); ; id++ { // until the node knows that the office drains
+		h.invite(caller, id, 1, time.Second)
+		if msg := h.await(caller, "an answer", isFinalAnswer(id)); msg.Status == 503 {
 			break
 		}
 		select {
@@ -271,556 +278,565 @@
 		default:
 		}
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// A drain answers what was taken before it and meanwhile, serves calls in transit until shortly before it may be
-// killed, and then ends.
+// A drain answers the calls that were accepted before and during it, serves calls in transit until shortly before the
+// process may be killed, and then ends.
 func TestDrainAnswersWhatWasTaken(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(call uint64, _ int) platform.Behavior {
+	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if call == 1 {
 			return platform.Mute
 		}
 		return platform.Stand
-	}, func(s *harness) { s.set = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":1500000000`) })
-	c := s.dial()
-	s.invite(c, 1, 1, 1500*time.Millisecond)
-	kill := time.Now().Add(1500*time.Millisecond + drainServeTime)
-	s.node.Leave()
-	s.invite(c, 2, 2, time.Second)
-	d := s.dial()
-	s.invite(d, 3, 2, time.Second)
-	if h := s.await(c, "the answer of call 2", final(2)); h.Status != 200 {
-		t.Errorf("call 2: %d", h.Status)
-	}
-	if h := s.await(d, "the answer of call 3", final(3)); h.Status != 200 {
-		t.Errorf("call 3: %d", h.Status)
-	}
-	s.await(c, "the answer of call 1", final(1)) // after 1.5 s
-	s.env.Judge(func(at time.Duration, p *rulecheck.Platform) { p.Taken(at, 4, 9*time.Second) })
-	if _, err := io.WriteString(d, platform.Invitation(4, 9*time.Second, "dest:2;width:1;via:1;transit:1")); err != nil {
+	}, func(h *harness) {
+		h.settingsEdits = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":1500000000`)
+	})
+	caller := h.dial()
+	h.invite(caller, 1, 1, 1500*time.Millisecond)
+	killTime := time.Now().Add(1500*time.Millisecond + drainServeTime)
+	h.node.Leave()
+	h.invite(caller, 2, 2, time.Second)
+	lateCaller := h.dial()
+	h.invite(lateCaller, 3, 2, time.Second)
+	if msg := h.await(caller, "the answer of call 2", isFinalAnswer(2)); msg.Status != 200 {
+		t.Errorf("call 2: %d", msg.Status)
+	}
+	if msg := h.await(lateCaller, "the answer of call 3", isFinalAnswer(3)); msg.Status != 200 {
+		t.Errorf("call 3: %d", msg.Status)
+	}
+	h.await(caller, "the answer of call 1", isFinalAnswer(1)) // after 1.5 s
+	h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, 4, 9*time.Second) })
+	if _, err := io.WriteString(lateCaller, platform.Invitation(4, 9*time.Second, "dest:2;width:1;via:1;transit:1")); err != nil {
 		t.Fatal(err)
 	}
-	if h := s.await(d, "the answer of call 4", final(4)); h.Status != 200 {
-		t.Errorf("call 4, in transit: %d", h.Status)
+	if msg := h.await(lateCaller, "the answer of call 4", isFinalAnswer(4)); msg.Status != 200 {
+		t.Errorf("call 4, in transit: %d", msg.Status)
 	}
-	s.invite(d, 5, 2, 9*time.Second)
-	if h := s.await(d, "the answer of call 5", final(5)); h.Status != 503 {
-		t.Errorf("call 5, a new one: %d", h.Status)
+	h.invite(lateCaller, 5, 2, 9*time.Second)
+	if msg := h.await(lateCaller, "the answer of call 5", isFinalAnswer(5)); msg.Status != 503 {
+		t.Errorf("call 5, a new one: %d", msg.Status)
 	}
-	s.await(d, "the release of call 4, which stands on this connection", func(h platform.Heard) bool {
-		return h.Method == "BYE" && h.Call == 4 && h.Status == 0
+	h.await(lateCaller, "the release of call 4, which is established on this connection", func(msg platform.Heard) bool {
+		return msg.Method == "BYE" && msg.Call == 4 && msg.Status == 0
 	})
 	select {
-	case err := <-s.ended:
-		s.ended <- err
+	case err := <-h.ended:
+		h.ended <- err
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(time.Until(kill)):
+	case <-time.After(time.Until(killTime)):
 		t.Fatal("the drain does not end before it may be killed")
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// The danger: a release that crosses the end of an idle connection, which is closed to make room for a fresh one.
-// pause is a log that holds up the loop on a line, as a process that gets no core is held up; its readers go on.
-type pause struct {
+// loopBlocker is a log handler that blocks the event loop at a record, as a process that gets no CPU time is blocked. The
+// readers of connections go on.
+type loopBlocker struct {
 	slog.Handler
-	on   atomic.Value  // the text of the line; other goroutines log, too
-	held chan struct{} // the loop is held up
-	free chan struct{}
-	over chan struct{} // the test has ended
+	message   atomic.Value  // of the record; atomic since other goroutines log, too
+	blocked   chan struct{} // receives once the loop is blocked
+	resume    chan struct{} // a value lets the loop go on
+	testEnded chan struct{} // closed at the end of the test
 }
 
-func newPause(on string) *pause {
-	p := &pause{Handler: slog.NewTextHandler(io.Discard, nil), held: make(chan struct{}), free: make(chan struct{}),
-		over: make(chan struct{})}
-	p.on.Store(on)
-	return p
+func newLoopBlocker(message string) *loopBlocker {
+	blocker := &loopBlocker{Handler: slog.NewTextHandler(io.Discard, nil), blocked: make(chan struct{}), resume: make(chan struct{}),
+		testEnded: make(chan struct{})}
+	blocker.message.Store(message)
+	return blocker
 }
 
-func (p *pause) WithAttrs([]slog.Attr) slog.Handler { return p }
+func (b *loopBlocker) WithAttrs([]slog.Attr) slog.Handler { return b }
 
-func (p *pause) Handle(_ context.Context, r slog.Record) error {
-	if r.Message != p.on.Load() {
+func (b *loopBlocker) Handle(_ context.Context, record slog.Record) error {
+	if record.Message != b.message.Load() {
 		return nil
 	}
 	select {
-	case p.held <- struct{}{}:
-	case <-p.over:
+	case b.blocked <- struct{}{}:
+	case <-b.testEnded:
 		return nil
 	}
 	select {
-	case <-p.free:
-	case <-p.over:
+	case <-b.resume:
+	case <-b.testEnded:
 	}
 	return nil
 }
 
-// hold has the loop held up by a message that cannot be read.
-func (s *harness) hold(p *pause) {
-	s.t.Helper()
-	if _, err := io.WriteString(s.dial(), "INVITE\r\n\r\n"); err != nil {
-		s.t.Fatal(err)
+// blockLoop blocks the loop: it sends a malformed message, at whose log record the blocker waits.
+func (h *harness) blockLoop(blocker *loopBlocker) {
+	h.t.Helper()
+	if _, err := io.WriteString(h.dial(), "INVITE\r\n\r\n"); err != nil {
+		h.t.Fatal(err)
 	}
-	<-p.held
+	<-blocker.blocked
 }
 
-// until waits for something that goroutines do on their own.
-func (s *harness) until(what string, is func() bool) {
-	s.t.Helper()
-	for end := time.Now().Add(8 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			s.t.Fatalf("never: %s", what)
+// waitFor waits for a condition that other goroutines bring about.
+func (h *harness) waitFor(what string, condition func() bool) {
+	h.t.Helper()
+	for limit := time.Now().Add(8 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
+			h.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-// The danger: after a pause of the process the time for another attempt and the word that the caller has gone are due
-// together, and the attempt begins.
+// Guards against an attempt for a caller who has gone: after a pause of the process, the timer of the next attempt and the end
+// of the caller's connection are due together.
 func TestACallerWhoLeftDuringAPauseIsNotTriedAgain(t *testing.T) {
 	t.Parallel()
-	p := newPause("caller's message refused")
-	s := newHarness(t, func(call uint64, attempt int) platform.Behavior {
+	blocker := newLoopBlocker("caller's message refused")
+	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 		if call < 100 {
 			return platform.Reset
 		}
 		return platform.Stand
-	}, func(s *harness) { s.log = p })
-	t.Cleanup(func() { close(p.over) })
+	}, func(h *harness) { h.logHandler = blocker })
+	t.Cleanup(func() { close(blocker.testEnded) })
 	for call := uint64(1); call <= 8; call++ {
-		c := s.dial()
-		s.invite(c, call, 1, 2500*time.Millisecond)
-		s.until("the first attempt", func() bool { return s.offices[1].SetUps(call) == 1 })
-		reset := time.Now()
-		s.hold(p)
-		c.Leave(call)
-		s.until("the end is read", func() bool { return len(s.node.inputs) > 0 })
-		<-time.After(time.Until(reset.Add(300 * time.Millisecond))) // the release time is over
-		p.free <- struct{}{}
-	}
-	d := s.dial()
-	s.invite(d, 100, 1, 2500*time.Millisecond)
-	s.await(d, "the answer of the last call", final(100))
+		caller := h.dial()
+		h.invite(caller, call, 1, 2500*time.Millisecond)
+		h.waitFor("the first attempt", func() bool { return h.offices[1].SetUps(call) == 1 })
+		resetAt := time.Now()
+		h.blockLoop(blocker)
+		caller.Leave(call)
+		h.waitFor("the end of the connection is read", func() bool { return len(h.node.inputs) > 0 })
+		<-time.After(time.Until(resetAt.Add(300 * time.Millisecond))) // the release time is over
+		blocker.resume <- struct{}{}
+	}
+	lastCaller := h.dial()
+	h.invite(lastCaller, 100, 1, 2500*time.Millisecond)
+	h.await(lastCaller, "the answer of the last call", isFinalAnswer(100))
 	for call := uint64(1); call <= 8; call++ {
-		if n := s.offices[1].SetUps(call); n != 1 {
-			t.Errorf("call %d: %d attempts, and its caller left after the first", call, n)
+		if attempts := h.offices[1].SetUps(call); attempts != 1 {
+			t.Errorf("call %d: %d attempts, and its caller left after the first", call, attempts)
 		}
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// The danger: a flood of connections takes the descriptors that offices and the journal need before the loop can close one.
-func TestAFloodOfConnectionsWaitsOutside(t *testing.T) {
+// Guards against a flood of connections that takes the descriptors that offices and the discovery service need, before the
+// loop can close one.
+func TestConnectionFloodWaitsInTheKernel(t *testing.T) {
 	t.Parallel()
-	p := newPause("caller's message refused")
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(s *harness) { s.log = p })
-	t.Cleanup(func() { close(p.over) })
-	s.hold(p)
+	blocker := newLoopBlocker("caller's message refused")
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(h *harness) { h.logHandler = blocker })
+	t.Cleanup(func() { close(blocker.testEnded) })
+	h.blockLoop(blocker)
 	for range 60 {
-		s.dial()
+		h.dial()
 	}
-	s.until("the loop's inputs are full of connections", func() bool { return len(s.node.unhandled) == maxUnhandled })
+	h.waitFor("the loop's input queue holds as many connections as it may", func() bool { return len(h.node.unhandled) == maxUnhandled })
 	for range 100 {
-		if n := len(s.node.inputs); n > maxUnhandled+8 { // a little of the journal's and the offices'
-			t.Fatalf("%d connections are accepted that the loop has not seen", n)
+		if n := len(h.node.inputs); n > maxUnhandled+8 { // and a few inputs from the discovery service and offices
+			t.Fatalf("%d inputs wait for the loop, more than the accepted connections may be", n)
 		}
 		runtime.Gosched()
 	}
-	p.free <- struct{}{}
-	c := s.dial()
-	s.invite(c, 1, 1, 2500*time.Millisecond)
-	if h := s.await(c, "an answer behind the flood", final(1)); h.Status != 200 {
-		t.Errorf("behind the flood: %d", h.Status)
+	blocker.resume <- struct{}{}
+	caller := h.dial()
+	h.invite(caller, 1, 1, 2500*time.Millisecond)
+	if msg := h.await(caller, "an answer behind the flood", isFinalAnswer(1)); msg.Status != 200 {
+		t.Errorf("behind the flood: %d", msg.Status)
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// A caller leaves by every way that a socket has, while its call waits for the release time: there is no other attempt.
+// A caller leaves in each way that a socket allows while its call waits for the release time: no other attempt follows.
 func TestEveryWayToLeaveEndsTheCall(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(call uint64, _ int) platform.Behavior {
+	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if call < 100 {
 			return platform.Reset
 		}
 		return platform.Stand
 	})
-	ways := []func(c *platform.Caller, call uint64){
-		func(c *platform.Caller, call uint64) { c.Leave(call) },
-		func(c *platform.Caller, call uint64) {
-			if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil { // a reset
+	ways := []func(caller *platform.Caller, call uint64){
+		func(caller *platform.Caller, call uint64) { caller.Leave(call) },
+		func(caller *platform.Caller, call uint64) {
+			if err := caller.Conn.(*net.TCPConn).SetLinger(0); err != nil { // a reset
 				t.Error(err)
 			}
-			c.Leave(call)
+			caller.Leave(call)
 		},
-		func(c *platform.Caller, call uint64) {
-			s.env.Judge(func(at time.Duration, p *rulecheck.Platform) { p.GivenUp(at, call) })
-			if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil { // half of it
+		func(caller *platform.Caller, call uint64) {
+			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
+			if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil { // half-closed
 				t.Error(err)
 			}
 		},
-		func(c *platform.Caller, call uint64) {
-			if err := c.Cancel(call); err != nil {
+		func(caller *platform.Caller, call uint64) {
+			if err := caller.Cancel(call); err != nil {
 				t.Error(err)
 			}
 		},
 	}
 	for i, leave := range ways {
 		call := uint64(i) + 1
-		c := s.dial()
-		s.invite(c, call, 1, 2500*time.Millisecond)
-		s.until("the first attempt", func() bool { return s.offices[1].SetUps(call) == 1 })
-		leave(c, call)
+		caller := h.dial()
+		h.invite(caller, call, 1, 2500*time.Millisecond)
+		h.waitFor("the first attempt", func() bool { return h.offices[1].SetUps(call) == 1 })
+		leave(caller, call)
 	}
 	<-time.After(400 * time.Millisecond) // two release times
-	d := s.dial()
-	s.invite(d, 100, 1, 2500*time.Millisecond)
-	s.await(d, "the answer of the last call", final(100))
+	lastCaller := h.dial()
+	h.invite(lastCaller, 100, 1, 2500*time.Millisecond)
+	h.await(lastCaller, "the answer of the last call", isFinalAnswer(100))
 	for i := range ways {
-		if n := s.offices[1].SetUps(uint64(i) + 1); n != 1 {
-			t.Errorf("way %d: %d attempts", i, n)
+		if attempts := h.offices[1].SetUps(uint64(i) + 1); attempts != 1 {
+			t.Errorf("way %d: %d attempts", i, attempts)
 		}
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// Signals come in any order, also before the first list, twice, and together; what was taken is answered and Run ends in time.
+// Signals arrive in any order, before the first event of service discovery, twice, and together: accepted calls are answered
+// and Run returns in time.
 func TestSignalsInAnyOrder(t *testing.T) {
 	t.Parallel()
-	reload, leave := (*Node).Reload, (*Node).Leave
-	bad := func(s *harness) {
-		if err := os.WriteFile(s.path, []byte(`{"name":"n0","lis`), 0o600); err != nil {
-			s.t.Error(err)
+	reload, drain := (*Node).Reload, (*Node).Leave
+	truncateConfig := func(h *harness) {
+		if err := os.WriteFile(h.configPath, []byte(`{"name":"n0","lis`), 0o600); err != nil {
+			h.t.Error(err)
 		}
 	}
-	for name, c := range map[string]struct {
-		before  func(s *harness)
+	for name, testCase := range map[string]struct {
+		before  func(h *harness)
 		signals []func(*Node)
 	}{
-		"leave at once":             {signals: []func(*Node){leave}},
-		"leave twice":               {signals: []func(*Node){leave, leave}},
-		"reload, leave":             {signals: []func(*Node){reload, leave}},
-		"reload twice, leave":       {signals: []func(*Node){reload, reload, leave}},
-		"leave, reload":             {signals: []func(*Node){leave, reload}},
-		"half a file, leave":        {before: bad, signals: []func(*Node){reload, leave}},
-		"leave with a dead journal": {before: func(s *harness) { s.journal.Hush(true) }, signals: []func(*Node){leave, reload, leave}},
+		"drain at once":                         {signals: []func(*Node){drain}},
+		"drain twice":                           {signals: []func(*Node){drain, drain}},
+		"reload, drain":                         {signals: []func(*Node){reload, drain}},
+		"reload twice, drain":                   {signals: []func(*Node){reload, reload, drain}},
+		"drain, reload":                         {signals: []func(*Node){drain, reload}},
+		"half a file, drain":                    {before: truncateConfig, signals: []func(*Node){reload, drain}},
+		"drain with a silent discovery service": {before: func(h *harness) { h.journal.Hush(true) }, signals: []func(*Node){drain, reload, drain}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(s *harness) {
-				s.set = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":300000000`)
+			h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(h *harness) {
+				h.settingsEdits = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":300000000`)
 			})
-			if c.before != nil {
-				c.before(s)
+			if testCase.before != nil {
+				testCase.before(h)
 			}
-			for _, signal := range c.signals {
-				signal(s.node)
+			for _, signal := range testCase.signals {
+				signal(h.node)
 			}
-			kill := time.After(300*time.Millisecond + drainServeTime)
-			caller := s.dial()
-			s.invite(caller, 1, 1, 300*time.Millisecond)
-			if h := s.await(caller, "the answer", final(1)); h.Status != 200 {
-				t.Errorf("answered with %d", h.Status)
+			killed := time.After(300*time.Millisecond + drainServeTime)
+			caller := h.dial()
+			h.invite(caller, 1, 1, 300*time.Millisecond)
+			if msg := h.await(caller, "the answer", isFinalAnswer(1)); msg.Status != 200 {
+				t.Errorf("answered with %d", msg.Status)
 			}
 			select {
-			case err := <-s.ended:
-				s.ended <- err
+			case err := <-h.ended:
+				h.ended <- err
 				if err != nil {
 					t.Error(err)
 				}
-			case <-kill:
+			case <-killed:
 				t.Error("the drain does not end before it may be killed")
 			}
-			s.judge()
+			h.checkRules()
 		})
 	}
 }
 
-// closed counts the connections that the node has ended.
-func closed(all []*platform.Caller) (n int) {
-	for _, c := range all {
+// countClosed counts the connections that the node has closed.
+func countClosed(callers []*platform.Caller) (count int) {
+	for _, caller := range callers {
 		for open := true; open; {
 			select {
-			case _, ok := <-c.Heard:
+			case _, ok := <-caller.Heard:
 				if open = ok; !ok {
-					n++
+					count++
 				}
 			default:
 				open = false
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// The danger: idle clients hold all descriptors while the journal is silent and an office's connections must be opened anew.
-func TestIdleClientsLeaveOfficesAndJournalTheirShare(t *testing.T) {
+// Guards against idle clients that hold all descriptors while the discovery service is silent and connections to an office must
+// be opened again.
+func TestIdleClientsLeaveDescriptorsForOfficesAndDiscovery(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(call uint64, attempt int) platform.Behavior {
+	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 		if attempt == 1 {
 			return platform.Drop
 		}
 		return platform.Stand
 	})
-	const share = (256 - 24) * 5 / 9
+	const callerShare = (256 - 24) * 5 / 9
 	var idle []*platform.Caller
-	<-s.journal.Asked
-	s.journal.Hush(true)
-	for range 2 * share {
-		c := s.dial()
-		if err := c.Test(); err != nil {
+	<-h.journal.Asked
+	h.journal.Hush(true)
+	for range 2 * callerShare {
+		caller := h.dial()
+		if err := caller.Test(); err != nil {
 			t.Fatal(err)
 		}
-		idle = append(idle, c)
+		idle = append(idle, caller)
 	}
-	s.until("the idle clients are within their share", func() bool { return closed(idle) >= share })
-	c := s.dial()
+	h.waitFor("the idle clients are within their share", func() bool { return countClosed(idle) >= callerShare })
+	caller := h.dial()
 	for call := uint64(1); call <= 10; call++ {
-		s.invite(c, call, 1+int(call)%2, 2500*time.Millisecond)
-		if h := s.await(c, "the answer", final(call)); h.Status != 200 {
-			t.Errorf("call %d: %d", call, h.Status)
+		h.invite(caller, call, 1+int(call)%2, 2500*time.Millisecond)
+		if msg := h.await(caller, "the answer", isFinalAnswer(call)); msg.Status != 200 {
+			t.Errorf("call %d: %d", call, msg.Status)
 		}
 	}
-	<-s.journal.Asked
-	s.journal.Hush(false)
-	s.judge()
+	<-h.journal.Asked
+	h.journal.Hush(false)
+	h.checkRules()
 }
 
-// Set-ups come a byte at a time, several in a piece, half and then nothing, half and then an end: the whole ones are answered.
+// Set-ups arrive one byte at a time, several in one chunk, half and then nothing, half and then the end of the connection: the
+// complete ones are answered.
 func TestSetUpsInPieces(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
 	const legs = "dest:1;width:1;via:-1"
-	taken := func(calls ...uint64) {
+	recordCalls := func(calls ...uint64) {
 		for _, call := range calls {
-			s.env.Judge(func(at time.Duration, p *rulecheck.Platform) { p.Taken(at, call, 2500*time.Millisecond) })
+			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, call, 2500*time.Millisecond) })
 		}
 	}
-	write := func(c *platform.Caller, text string) {
-		if _, err := io.WriteString(c, text); err != nil {
+	write := func(caller *platform.Caller, text string) {
+		if _, err := io.WriteString(caller, text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	slow := s.dial()
-	taken(1)
-	for _, b := range []byte(platform.Invitation(1, 2500*time.Millisecond, legs)) {
-		write(slow, string(b))
+	slowWriter := h.dial()
+	recordCalls(1)
+	for _, octet := range []byte(platform.Invitation(1, 2500*time.Millisecond, legs)) {
+		write(slowWriter, string(octet))
 	}
-	s.await(slow, "the answer to a set-up in bytes", final(1))
-	many := s.dial()
-	half := platform.Invitation(4, 2500*time.Millisecond, legs)
-	taken(2, 3)
-	write(many, platform.Invitation(2, 2500*time.Millisecond, legs)+platform.Invitation(3, 2500*time.Millisecond, legs)+half[:len(half)/2])
+	h.await(slowWriter, "the answer to a set-up in single bytes", isFinalAnswer(1))
+	batchWriter := h.dial()
+	incomplete := platform.Invitation(4, 2500*time.Millisecond, legs)
+	recordCalls(2, 3)
+	write(batchWriter, platform.Invitation(2, 2500*time.Millisecond, legs)+platform.Invitation(3, 2500*time.Millisecond, legs)+incomplete[:len(incomplete)/2])
 	for range 2 {
-		s.await(many, "the answer to one of several", func(h platform.Heard) bool { return final(2)(h) || final(3)(h) })
+		h.await(batchWriter, "the answer to one of several", func(msg platform.Heard) bool { return isFinalAnswer(2)(msg) || isFinalAnswer(3)(msg) })
 	}
-	cut := s.dial()
-	write(cut, half[:len(half)-1])
-	cut.Close()
-	for range many.Heard { // until the node has ended it: nothing more came
+	closedEarly := h.dial()
+	write(closedEarly, incomplete[:len(incomplete)-1])
+	closedEarly.Close()
+	for range batchWriter.Heard { // until the node closes the connection, on which nothing more arrives
 	}
-	if n := s.offices[1].SetUps(4); n != 0 {
-		t.Errorf("half a set-up went out %d times", n)
+	if setUps := h.offices[1].SetUps(4); setUps != 0 {
+		t.Errorf("an incomplete set-up was sent to the office %d times", setUps)
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// The danger: a connection that is accepted in the very moment in which a drain ends, and its request, are never seen.
+// Guards against a connection that is accepted at the moment a drain ends and whose request is never handled.
 func TestWhatIsAcceptedLastIsAnswered(t *testing.T) {
 	t.Parallel()
-	p := newPause("draining")
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(s *harness) {
-		s.log = p
-		s.set = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":300000000`)
+	blocker := newLoopBlocker("draining")
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(h *harness) {
+		h.logHandler = blocker
+		h.settingsEdits = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":300000000`)
 	})
-	t.Cleanup(func() { close(p.over) })
-	s.node.Leave()
-	<-p.held
-	ends := time.Now().Add(drainServeTime + 50*time.Millisecond)
-	p.on.Store("caller's message refused")
-	p.free <- struct{}{}
-	s.hold(p)
-	<-time.After(time.Until(ends))
-	c := s.dial()
-	s.invite(c, 1, 1, 300*time.Millisecond)
-	s.until("the connection is accepted", func() bool { return len(s.node.unhandled) > 0 })
-	p.free <- struct{}{}
-	s.await(c, "the answer", final(1))
-	if err := <-s.ended; err != nil {
+	t.Cleanup(func() { close(blocker.testEnded) })
+	h.node.Leave()
+	<-blocker.blocked
+	acceptStop := time.Now().Add(drainServeTime + 50*time.Millisecond)
+	blocker.message.Store("caller's message refused")
+	blocker.resume <- struct{}{}
+	h.blockLoop(blocker)
+	<-time.After(time.Until(acceptStop))
+	caller := h.dial()
+	h.invite(caller, 1, 1, 300*time.Millisecond)
+	h.waitFor("the connection is accepted", func() bool { return len(h.node.unhandled) > 0 })
+	blocker.resume <- struct{}{}
+	h.await(caller, "the answer", isFinalAnswer(1))
+	if err := <-h.ended; err != nil {
 		t.Error(err)
 	}
-	s.ended <- nil
-	s.judge()
+	h.ended <- nil
+	h.checkRules()
 }
 
-// What the journal would have told counts as told 4 s after it fell silent.
-func TestTheJournalIsAskedAgainBeforeItsWordCountsAsTold(t *testing.T) {
+// A call server counts as notified of changes 4 s after the discovery service fell silent, so it must have reconnected by then.
+func TestSilentDiscoveryIsReconnectedInTime(t *testing.T) {
 	if sum := discoveryReadTimeout + minBackoff + discoveryConnectTimeout + discoveryHedgeDelay; sum >= 4*time.Second {
-		t.Errorf("a silent journal and one dead connection after it take %v", sum)
+		t.Errorf("a silent connection and a failed connection attempt after it take %v", sum)
 	}
 	t.Parallel()
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	<-s.journal.Asked
-	s.journal.Hush(true)
-	quiet := time.Now()
-	if pos := <-s.journal.Asked; pos != 1 || time.Since(quiet) >= discoveryReadTimeout+time.Second {
-		t.Errorf("asked from %d after %v", pos, time.Since(quiet))
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	<-h.journal.Asked
+	h.journal.Hush(true)
+	silentSince := time.Now()
+	if pos := <-h.journal.Asked; pos != 1 || time.Since(silentSince) >= discoveryReadTimeout+time.Second {
+		t.Errorf("asked for events after %d, %v after the silence began", pos, time.Since(silentSince))
 	}
 }
 
-// The danger: a journal that answers later than it is asked again would never be heard.
-func TestASlowJournalIsHeard(t *testing.T) {
+// Guards against never reading from a discovery service that answers later than the next request is sent.
+func TestSlowDiscoveryAnswerIsUsed(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	<-s.journal.Asked
-	slow, err := s.env.NewJournal(s.list(1, true, s.offices...))
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	<-h.journal.Asked
+	slow, err := h.env.NewJournal(h.discoveryEvent(1, true, h.offices...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	slow.Fail(platform.JournalFault{Slow: 2 * discoveryHedgeDelay})
-	s.write(slow.Addr)
-	s.node.Reload()
+	h.writeConfig(slow.Addr)
+	h.node.Reload()
 	<-slow.Asked
-	began := time.Now()
-	s.offices[1].Member.Phase = feed.Draining
-	slow.Tell(s.list(2, false, s.offices[1]))
-	s.until("the change is heard", func() bool { return s.node.discoveryPos.Load() == 2 })
-	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("heard after %v", took)
+	requestedAt := time.Now()
+	h.offices[1].Member.Phase = feed.Draining
+	slow.Tell(h.discoveryEvent(2, false, h.offices[1]))
+	h.waitFor("the change is applied", func() bool { return h.node.discoveryPos.Load() == 2 })
+	if took := time.Since(requestedAt); took > 6*time.Second {
+		t.Errorf("applied after %v", took)
 	}
-	s.judge()
+	h.checkRules()
 }
 
+// Guards against the loss of a release that crosses the end of an idle connection, which is closed to make room for a new one.
 func TestReleaseThatCrossesTheEndOfAnIdleConnection(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(call uint64, _ int) platform.Behavior {
+	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if call == 1 {
 			return platform.Stand
 		}
-		return platform.Mute // while an answer is missing, idle connections make room
-	}, func(s *harness) { s.offices[1].Hold, s.offices[1].Crosses = 0, true })
-	c := s.dial()
-	s.invite(c, 1, 1, 3*time.Second)
-	s.await(c, "the answer of call 1", func(h platform.Heard) bool { return h.Call == 1 && h.Status == 200 })
-	s.invite(c, 2, 1, 3*time.Second)
-	s.await(c, "the release of call 1", func(h platform.Heard) bool { return h.Method == "BYE" && h.Call == 1 && h.Status == 0 })
-	s.await(c, "the end of call 2", func(h platform.Heard) bool { return h.Call == 2 && h.Status >= 300 })
-	s.judge()
+		return platform.Mute // while an answer is outstanding, idle connections are closed to make room
+	}, func(h *harness) { h.offices[1].Hold, h.offices[1].Crosses = 0, true })
+	caller := h.dial()
+	h.invite(caller, 1, 1, 3*time.Second)
+	h.await(caller, "the answer of call 1", func(msg platform.Heard) bool { return msg.Call == 1 && msg.Status == 200 })
+	h.invite(caller, 2, 1, 3*time.Second)
+	h.await(caller, "the release of call 1", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 1 && msg.Status == 0 })
+	h.await(caller, "the end of call 2", func(msg platform.Heard) bool { return msg.Call == 2 && msg.Status >= 300 })
+	h.checkRules()
 }
 
-// What stood before this process began is taken up without an answer, and released at both ends.
-func TestCallsThatStandAlready(t *testing.T) {
+// Calls that were established before this process started are adopted without an answer, and released at both ends.
+func TestCallsEstablishedBeforeTheStart(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	s.offices[1].Take(1, 2)
-	c := s.dial()
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	h.offices[1].Take(1, 2)
+	caller := h.dial()
 	for id := uint64(1); id <= 2; id++ {
-		if _, err := io.WriteString(c, platform.Invitation(id, time.Second, "dest:1;width:1;via:-1;at:s-a")); err != nil {
+		if _, err := io.WriteString(caller, platform.Invitation(id, time.Second, "dest:1;width:1;via:-1;at:s-a")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.invite(c, 3, 1, time.Second) // a connection to the office is up once this one stands
-	s.await(c, "the answer of call 3, and none before", func(h platform.Heard) bool {
-		if h.Call != 3 {
-			t.Errorf("call %d, which stands, hears %+v", h.Call, h)
+	h.invite(caller, 3, 1, time.Second) // a connection to the office is open once this call is established
+	h.await(caller, "the answer of call 3, and none before", func(msg platform.Heard) bool {
+		if msg.Call != 3 {
+			t.Errorf("established call %d gets %+v", msg.Call, msg)
 		}
-		return h.Status == 200
+		return msg.Status == 200
 	})
-	s.offices[1].End(1)
-	s.await(c, "the release of call 1", func(h platform.Heard) bool { return h.Method == "BYE" && h.Call == 1 && h.Status == 0 })
-	if err := c.Bye(2); err != nil {
+	h.offices[1].End(1)
+	h.await(caller, "the release of call 1", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 1 && msg.Status == 0 })
+	if err := caller.Bye(2); err != nil {
 		t.Fatal(err)
 	}
-	s.await(c, "that the release of call 2 is heard", func(h platform.Heard) bool { return h.Method == "BYE" && h.Call == 2 && h.Status == 200 })
-	s.await(c, "the release of call 3", func(h platform.Heard) bool { return h.Method == "BYE" && h.Call == 3 })
-	if n := s.offices[1].Standing(); n != 0 { // call 3 has ended, and the release of call 2 came long before
-		t.Errorf("%d calls still stand at the office", n)
+	h.await(caller, "the response to the release of call 2", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 2 && msg.Status == 200 })
+	h.await(caller, "the release of call 3", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 3 })
+	if established := h.offices[1].Standing(); established != 0 { // call 3 has ended, and call 2 was released long before
+		t.Errorf("%d calls are still established at the office", established)
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// A machine that says nothing any more harms no call to another one; when it is back it gets calls again. And an id that
-// is in use is refused to others, and its call untouched.
-func TestSilentMachineAndIDsInUse(t *testing.T) {
+// An unresponsive office does not affect calls to another one, and gets calls again once it responds. A set-up with the id
+// of an open call is refused, and the open call is not affected.
+func TestUnresponsiveOfficeAndIDsInUse(t *testing.T) {
 	t.Parallel()
-	var silent atomic.Bool
-	silent.Store(true)
-	s := newHarness(t, func(call uint64, _ int) platform.Behavior {
-		if silent.Load() && call%2 == 0 { // those to s-a
+	var unresponsive atomic.Bool
+	unresponsive.Store(true)
+	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
+		if unresponsive.Load() && call%2 == 0 { // calls to s-a
 			return platform.Mute
 		}
 		return platform.Stand
 	})
-	c := s.dial()
+	caller := h.dial()
 	for id := uint64(1); id <= 20; id++ {
-		s.invite(c, id, 2-int(id+1)%2, 1500*time.Millisecond)
+		h.invite(caller, id, 2-int(id+1)%2, 1500*time.Millisecond)
 	}
 	limit := time.Now().Add(time.Second)
-	for s.offices[1].SetUps(2) == 0 && time.Now().Before(limit) { // the first call is there
+	for h.offices[1].SetUps(2) == 0 && time.Now().Before(limit) { // until the first call has reached the office
 		runtime.Gosched()
 	}
-	other, err := net.Dial("tcp", s.addr)
+	otherConn, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	_ = other.SetDeadline(time.Now().Add(time.Second))
+	defer otherConn.Close()
+	_ = otherConn.SetDeadline(time.Now().Add(time.Second))
 	answer := make([]byte, len("SIP/2.0 482"))
-	if _, err = io.WriteString(other, platform.Invitation(2, time.Second, "dest:2;width:1;via:-1")); err == nil {
-		_, err = io.ReadFull(other, answer)
+	if _, err = io.WriteString(otherConn, platform.Invitation(2, time.Second, "dest:2;width:1;via:-1")); err == nil {
+		_, err = io.ReadFull(otherConn, answer)
 	}
 	if err != nil || string(answer) != "SIP/2.0 482" {
 		t.Errorf("an id in use: %q, %v", answer, err)
 	}
-	for left := 20; left > 0; {
-		h := s.await(c, "the answers", func(h platform.Heard) bool { return h.Method == "INVITE" })
-		left--
-		if stands := h.Status == 200; stands != (h.Call%2 == 1) {
-			t.Errorf("call %d: %d", h.Call, h.Status)
+	for unanswered := 20; unanswered > 0; {
+		msg := h.await(caller, "the answers", func(msg platform.Heard) bool { return msg.Method == "INVITE" })
+		unanswered--
+		if established := msg.Status == 200; established != (msg.Call%2 == 1) {
+			t.Errorf("call %d: %d", msg.Call, msg.Status)
 		}
 	}
-	silent.Store(false)
+	unresponsive.Store(false)
 	limit = time.Now().Add(6 * time.Second)
-	for id := uint64(22); ; id += 2 { // a trial finds it, at growing gaps
-		s.invite(c, id, 1, time.Second)
-		if h := s.await(c, "an answer", final(id)); h.Status == 200 {
+	for id := uint64(22); ; id += 2 { // until a trial attempt succeeds; their backoff grows
+		h.invite(caller, id, 1, time.Second)
+		if msg := h.await(caller, "an answer", isFinalAnswer(id)); msg.Status == 200 {
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatal("a machine that is back gets no calls")
+			t.Fatal("an office that responds again gets no calls")
 		}
 	}
-	s.judge()
+	h.checkRules()
 }
 
-// The checker finds a node that breaks a rule on the sockets: through settings that are not the platform's, behind relays
-// that say things twice, or kept from what was told.
-func TestBreachesOfANodeAreFound(t *testing.T) {
+// The rule checker finds violations of a node on its sockets. The node violates rules because its settings differ from those of
+// the checker, because relays duplicate messages, or because the checker is given news that the node does not get.
+func TestRuleViolationsAreFound(t *testing.T) {
 	t.Parallel()
-	for rule, play := range map[string]struct {
+	for rule, testCase := range map[string]struct {
 		change func(*harness)
 		before func(*harness)
 	}{
-		"rule 1": {before: func(s *harness) { s.addr = s.relay(s.addr, "", true) }},
-		"rule 2": {change: func(s *harness) {
-			s.offices[1].Member.Addr = s.relay(s.offices[1].Member.Addr, s.offices[2].Member.Addr, false)
+		"rule 1": {before: func(h *harness) { h.addr = h.relay(h.addr, "", true) }},
+		"rule 2": {change: func(h *harness) {
+			h.offices[1].Member.Addr = h.relay(h.offices[1].Member.Addr, h.offices[2].Member.Addr, false)
 		}},
-		"rule 3": {before: func(s *harness) {
-			s.env.Judge(func(at time.Duration, p *rulecheck.Platform) { p.Told(at-2*time.Second, "s-a") })
+		"rule 3": {before: func(h *harness) {
+			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at-2*time.Second, "s-a") })
 		}},
-		"rule 4": {before: func(s *harness) {
-			s.env.Judge(func(at time.Duration, p *rulecheck.Platform) {
-				p.TipAfter, p.Cold = 3*time.Second, 3
-				p.Started(at, "s-a")
+		"rule 4": {before: func(h *harness) {
+			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+				checker.TipAfter, checker.Cold = 3*time.Second, 3
+				checker.Started(at, "s-a")
 			})
 		}},
-		"rule 5": {change: func(s *harness) { s.set = strings.NewReplacer(`"release_ns":200000000`, `"release_ns":1000000`) }},
+		"rule 5": {change: func(h *harness) {
+			h.settingsEdits = strings.NewReplacer(`"release_ns":200000000`, `"release_ns":1000000`)
+		}},
 	} {
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
-			s := newHarness(t, func(call uint64, attempt int) platform.Behavior {
+			h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 				switch {
 				case rule == "rule 2":
 					return platform.Mute
@@ -828,30 +844,30 @@
 					return platform.Reset
 				}
 				return platform.Stand
-			}, func(s *harness) {
-				if play.change != nil {
-					play.change(s)
+			}, func(h *harness) {
+				if testCase.change != nil {
+					testCase.change(h)
 				}
 			})
-			if play.before != nil {
-				play.before(s)
+			if testCase.before != nil {
+				testCase.before(h)
 			}
-			c := s.dial()
+			caller := h.dial()
 			for id := uint64(1); id <= 8; id++ {
-				s.invite(c, id, 1, time.Second)
+				h.invite(caller, id, 1, time.Second)
 			}
 			for range 8 {
-				s.await(c, "an answer", func(h platform.Heard) bool { return h.Method == "INVITE" })
+				h.await(caller, "an answer", func(msg platform.Heard) bool { return msg.Method == "INVITE" })
 			}
 			limit := time.Now().Add(2 * time.Second)
-			for { // what a relay says the second time comes a moment later
-				var got []string
-				s.env.Judge(func(at time.Duration, p *rulecheck.Platform) { got = p.Breaches(at) })
-				if slices.ContainsFunc(got, func(b string) bool { return strings.Contains(b, rule) }) {
+			for { // the second copy of a message arrives a little later
+				var violations []string
+				h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { violations = checker.Breaches(at) })
+				if slices.ContainsFunc(violations, func(violation string) bool { return strings.Contains(violation, rule) }) {
 					break
 				}
 				if time.Now().After(limit) {
-					t.Fatalf("found %q", got)
+					t.Fatalf("found %q", violations)
 				}
 				runtime.Gosched()
 			}
@@ -859,63 +875,64 @@
 	}
 }
 
-// relay stands before an address.
-func (s *harness) relay(addr, also string, twice bool) string {
-	s.t.Helper()
-	relay, err := s.env.Relay(addr, also, twice)
+// relay starts a relay in front of an address and returns its own address. Requests are also copied to duplicateAddr where it is
+// set, and replies are duplicated on demand.
+func (h *harness) relay(addr, duplicateAddr string, duplicateReplies bool) string {
+	h.t.Helper()
+	relayAddr, err := h.env.Relay(addr, duplicateAddr, duplicateReplies)
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return relay
+	return relayAddr
 }
 
-// Strangers get a refusal, an error or a close within 3 s, and callers do not notice them.
-func TestStrangers(t *testing.T) {
+// Unknown clients get a refusal, an error or the end of the connection within 3 s, and callers are not affected.
+func TestUnknownClients(t *testing.T) {
 	t.Parallel()
-	s := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	begun := time.Now()
-	var strangers []net.Conn
-	head := "INVITE sip:1@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nX-Cos: status-check\r\nX-Timer-Ms: 900\r\n"
-	for _, text := range []string{"", "\x00\x01\x02\r\n\r\n", head, head + "Content-Length: 60000000\r\n\r\nabc", head + "Content-Length: -1\r\n\r\n",
-		head + "Content-Length: 4\r\n\r\nhalf", head + "X-Legs: dest:1e99\r\nContent-Length: 0\r\n\r\n",
-		strings.Replace(head, "status-check", "gold", 1) + "Content-Length: 0\r\n\r\n", strings.Replace(head, "900", "NaN", 1) + "Content-Length: 0\r\n\r\n",
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	startedAt := time.Now()
+	var unknownClients []net.Conn
+	header := "INVITE sip:1@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nX-Cos: status-check\r\nX-Timer-Ms: 900\r\n"
+	for _, text := range []string{"", "\x00\x01\x02\r\n\r\n", header, header + "Content-Length: 60000000\r\n\r\nabc", header + "Content-Length: -1\r\n\r\n",
+		header + "Content-Length: 4\r\n\r\nhalf", header + "X-Legs: dest:1e99\r\nContent-Length: 0\r\n\r\n",
+		strings.Replace(header, "status-check", "gold", 1) + "Content-Length: 0\r\n\r\n", strings.Replace(header, "900", "NaN", 1) + "Content-Length: 0\r\n\r\n",
 		strings.Repeat("x", 40000), "BREW sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 BREW\r\nContent-Length: 0\r\n\r\n"} {
 		for range 8 {
-			conn, err := net.Dial("tcp", s.addr)
+			conn, err := net.Dial("tcp", h.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			_ = conn.SetDeadline(begun.Add(3 * time.Second))
+			_ = conn.SetDeadline(startedAt.Add(3 * time.Second))
 			_, _ = io.WriteString(conn, text)
-			strangers = append(strangers, conn)
+			unknownClients = append(unknownClients, conn)
 		}
 	}
-	c := s.dial()
+	caller := h.dial()
 	for id := uint64(1); id <= 50; id++ {
-		s.invite(c, id, 1+int(id)%2, 2*time.Second)
+		h.invite(caller, id, 1+int(id)%2, 2*time.Second)
 	}
 	for id := uint64(1); id <= 50; id++ {
-		if h := s.await(c, "an answer", func(h platform.Heard) bool { return h.Method == "INVITE" }); h.Status != 200 {
-			t.Errorf("call %d: %d", h.Call, h.Status)
+		if msg := h.await(caller, "an answer", func(msg platform.Heard) bool { return msg.Method == "INVITE" }); msg.Status != 200 {
+			t.Errorf("call %d: %d", msg.Call, msg.Status)
 		}
 	}
-	for i, conn := range strangers {
+	for i, conn := range unknownClients {
 		got, err := io.ReadAll(io.LimitReader(conn, 12))
 		if len(got) == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("stranger %d got nothing in 3 s", i)
+			t.Errorf("unknown client %d got nothing within 3 s", i)
 		}
 		if strings.Contains(string(got), " 200") {
-			t.Errorf("stranger %d was served", i)
+			t.Errorf("unknown client %d was served", i)
 		}
 	}
-	s.judge()
+	h.checkRules()
 }
 
 func TestConfigurationFaultsNameFileAndPath(t *testing.T) {
-	good := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","journal":"127.0.0.1:1","seed":"8c1f","limits":{"cores":0.25,"memory_mb":64,"sockets":256},`+
+	valid := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","journal":"127.0.0.1:1","seed":"8c1f","limits":{"cores":0.25,"memory_mb":64,"sockets":256},`+
 		`"known":{"pos":1,"entries":[{"pos":1,"hosts":{"complete":true,"members":[]}}]},"settings":%s}`, settingsText)
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := Parse([]byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for change, want := range map[string]string{
@@ -935,8 +952,8 @@
 		`{"name"|["name"`:                             "not JSON",
 	} {
 		from, to, _ := strings.Cut(change, "|")
-		text := strings.Replace(good, from, to, 1)
-		if text == good {
+		text := strings.Replace(valid, from, to, 1)
+		if text == valid {
 			t.Fatalf("%q changes nothing", change)
 		}
 		path := filepath.Join(t.TempDir(), "c.json")
@@ -944,8 +961,8 @@
 			t.Fatal(err)
 		}
 		_, err := Load(path)
-		var bad *ConfigError
-		if !errors.As(err, &bad) || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
+		var configErr *ConfigError
+		if !errors.As(err, &configErr) || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", change, err)
 		}
 	}
