--- a/node/config.go
+++ b/node/config.go
@@ -18,18 +18,18 @@
 type Config struct {
 	Name     string
 	Listen   string
-	Journal  string
+	Journal  string // address of the discovery service
 	Seed     int64
 	Limits   Limits
-	Known    feed.Known
+	Known    feed.Known // events of service discovery up to the start
 	Settings wire.Settings
 }
 
 // Limits are the limits of the machine.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores    float64 `json:"cores"`     // may be a fraction
+	MemoryMB int     `json:"memory_mb"` // MiB
+	Sockets  int     `json:"sockets"`   // file descriptors
 }
 
 // maxConfigSize is the largest accepted configuration, in bytes.
--- a/node/node.go
+++ b/node/node.go
@@ -96,7 +96,8 @@
 	return n, nil
 }
 
-// Fit sets GOMAXPROCS and the memory limit of the Go runtime, of the whole process, to the limits of the machine.
+// Fit adapts the Go runtime of the whole process to the limits of the machine: it sets GOMAXPROCS to the number of cores and
+// the memory limit to three quarters of the memory.
 func (n *Node) Fit() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.cfg.Limits.Cores))))
 	debug.SetMemoryLimit(int64(n.cfg.Limits.MemoryMB) << 20 * 3 / 4)
