--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -1,7 +1,5 @@
 package logic
 
-// Attempts: sending, what follows each ending, and the one final answer (rules 1, 2, 5).
-
 import (
 	"slices"
 	"strconv"
@@ -9,167 +7,175 @@
 	"time"
 )
 
-// send starts an attempt; there is never another one out (rule 2).
-func (c *Controller) send(k *call, e *exchange, twoLeg bool) {
-	left := k.due - c.now
-	if k.out || left <= 0 {
+// send starts an attempt, unless another attempt of the call is open (rule 2) or its time is over.
+func (c *Controller) send(call *callRecord, exchange *exchangeRecord, twoLeg bool) {
+	timeout := call.answerBy - c.now
+	if call.attemptOpen || timeout <= 0 {
 		return
 	}
-	k.out, k.waiting, k.at, k.office, k.sent, k.twoLeg = true, false, e, e.office.ID, c.now, twoLeg
-	k.attempts, k.part, k.passed = k.attempts+1, k.Class, 0
+	call.attemptOpen, call.isWaiting, call.target, call.officeID, call.sentAt, call.twoLeg = true, false, exchange,
+		exchange.serving.ID, c.now, twoLeg
+	call.attempts, call.usageClass, call.overtakes = call.attempts+1, call.Class, 0
 	if twoLeg {
-		k.part = len(c.set.Classes)
-	}
-	k.tried = append(k.tried, e)
-	e.free = max(e.free-k.Width, -1)
-	e.used[k.part], e.held = e.used[k.part]+k.Width, e.held+k.Width
-	e.out = append(e.out, k)
-	c.waiting++
-	e.tokens--
-	if home := c.exchange(c.set.Home, false); home != nil && home.cold {
+		call.usageClass = len(c.settings.Classes)
+	}
+	call.tried = append(call.tried, exchange)
+	exchange.free = max(exchange.free-call.Width, -1)
+	exchange.ownInUseByClass[call.usageClass], exchange.ownInUse = exchange.ownInUseByClass[call.usageClass]+call.Width,
+		exchange.ownInUse+call.Width
+	exchange.outstanding = append(exchange.outstanding, call)
+	c.outstanding++
+	exchange.tokens--
+	if home := c.exchangeByNumber(c.settings.Home, false); home != nil && home.isCold {
 		home.tokens--
 	}
-	if e.silent {
-		e.nextTrial = c.now + e.trialGap
-		e.trialGap = min(2*e.trialGap, time.Duration(lastTrial*float64(c.aim)))
+	if exchange.unresponsive {
+		exchange.nextTrial = c.now + exchange.trialInterval
+		exchange.trialInterval = min(2*exchange.trialInterval, time.Duration(maxTrialFactor*float64(c.shortestAim)))
 	}
-	c.host.Send(k.ID, k.office, left)
+	c.host.Send(call.ID, call.officeID, timeout)
 }
 
-// settle takes an attempt off the books of the attempts that wait for an answer.
-func (c *Controller) settle(k *call) {
-	c.waiting--
-	k.at.out = slices.DeleteFunc(k.at.out, func(o *call) bool { return o == k })
+// removeOutstanding removes the attempt of a call from those without an answer.
+func (c *Controller) removeOutstanding(call *callRecord) {
+	c.outstanding--
+	call.target.outstanding = slices.DeleteFunc(call.target.outstanding, func(other *callRecord) bool { return other == call })
 }
 
-// current finds the call whose latest attempt an outcome belongs to.
-func (c *Controller) current(o Outcome) *call {
-	if k := c.calls[o.Call]; k != nil && k.out && o.Attempt == k.attempts-1 && o.Office == k.office {
-		return k
+// callOfOutcome finds the call whose open attempt an outcome belongs to; nil: none.
+func (c *Controller) callOfOutcome(outcome Outcome) *callRecord {
+	if call := c.calls[outcome.Call]; call != nil && call.attemptOpen && outcome.Attempt == call.attempts-1 &&
+		outcome.Office == call.officeID {
+		return call
 	}
 	return nil
 }
 
-// Stands takes the news that a call stands.
-func (c *Controller) Stands(now time.Duration, o Outcome) {
-	c.at(now)
-	k := c.current(o)
-	if k == nil || k.stands {
+// Stands is called when an attempt was answered, so that its call is established.
+func (c *Controller) Stands(now time.Duration, outcome Outcome) {
+	c.advanceClock(now)
+	call := c.callOfOutcome(outcome)
+	if call == nil || call.established {
 		return
 	}
-	k.stands, k.answered = true, true
-	c.settle(k)
-	c.hear(k.at)
-	k.dest.sound += pool * (1 - k.dest.sound)
-	if n := c.numbers[k.Number]; n != nil {
-		n.gap, n.first = 0, 0
+	call.established, call.answered = true, true
+	c.removeOutstanding(call)
+	c.recordActivity(call.target)
+	call.dest.signallingSuccessRate += slowSampleWeight * (1 - call.dest.signallingSuccessRate)
+	if number := c.numbers[call.Number]; number != nil {
+		number.busyBackoff, number.firstTryAt = 0, 0
 	}
-	if !k.twoLeg || k.Transit || c.set.Pools {
-		c.observe(k.at, o.Took, true)
-		c.overtaken(k)
+	if !call.twoLeg || call.Transit || c.settings.Pools {
+		c.recordSetUpDelay(call.target, outcome.Took, true)
+		c.cancelOvertaken(call)
 	}
-	if k.twoLeg && !k.Transit {
-		c.reweigh(k, raise)
+	if call.twoLeg && !call.Transit {
+		c.updateTandemWeight(call, tandemSuccessFactor)
 	}
 }
 
-// Outcome takes the end of an attempt.
-func (c *Controller) Outcome(now time.Duration, o Outcome) {
-	c.at(now)
-	k := c.current(o)
-	if k == nil {
+// Outcome is called when an attempt has failed or its established call has ended.
+func (c *Controller) Outcome(now time.Duration, outcome Outcome) {
+	c.advanceClock(now)
+	call := c.callOfOutcome(outcome)
+	if call == nil {
 		return
 	}
-	k.out = false
-	k.at.used[k.part], k.at.held = k.at.used[k.part]-k.Width, k.at.held-k.Width
-	c.learn(k.at, o.Load)
-	if !k.stands {
-		c.settle(k)
-		c.blame(k, o)
+	call.attemptOpen = false
+	call.target.ownInUseByClass[call.usageClass], call.target.ownInUse = call.target.ownInUseByClass[call.usageClass]-call.Width,
+		call.target.ownInUse-call.Width
+	c.applyReportValues(call.target, outcome.Load)
+	if !call.established {
+		c.removeOutstanding(call)
+		c.recordFailure(call, outcome)
 	}
-	if o.Over || k.answered {
-		delete(c.calls, k.ID)
+	if outcome.Over || call.answered {
+		delete(c.calls, call.ID)
 		return
 	}
-	c.again(k, o)
+	c.retryOrAnswer(call, outcome)
 }
 
-// again decides what follows a failed attempt: another, later or at once, or the final answer.
-func (c *Controller) again(k *call, o Outcome) {
-	switch o.Status {
+// retryOrAnswer decides what follows a failed attempt: another one, at once or later, or the final answer.
+func (c *Controller) retryOrAnswer(call *callRecord, outcome Outcome) {
+	switch outcome.Status {
 	case TimedOut, Reset, Cancelled:
-		// The release is awaited (rule 5): what the attempt held may stay taken until then.
-		k.mayRun, k.tried = true, k.tried[:len(k.tried)-1]
-		k.notBefore = c.now + c.set.Release + time.Millisecond
-		if !k.Transit && k.notBefore < k.due {
-			c.host.Timer(k.notBefore-c.now, "c"+strconv.FormatUint(k.ID, 10))
+		// The release time is waited for (rule 5): until then the circuits of the attempt may still be in use.
+		call.mayHaveRun, call.tried = true, call.tried[:len(call.tried)-1]
+		call.notBefore = c.now + c.settings.Release + time.Millisecond
+		if !call.Transit && call.notBefore < call.answerBy {
+			c.host.Timer(call.notBefore-c.now, "c"+strconv.FormatUint(call.ID, 10))
 			return
 		}
 	case Full, NoConnect, NotSent:
-		atEnd := o.Note%16 == NoteProcessor && k.at == k.dest
-		if !atEnd && (o.Status != NotSent || o.Note%16 == NoteCircuit) {
-			c.route(k)
+		destFull := outcome.Note%noteModulus == NoteProcessor && call.target == call.dest
+		if !destFull && (outcome.Status != NotSent || outcome.Note%noteModulus == NoteCircuit) {
+			c.route(call)
 			return
 		}
 	default:
-		// Faults of signalling strike one set-up and spare the next. The danger: an exchange that fails most
-		// of them quickly; its callers would dial again and stand late. It hurts where nothing stands.
-		k.mayRun = true
-		if k.struck++; o.Note != NoteBusy && k.dest.sound > floor {
-			k.tried = k.tried[:len(k.tried)-1]
-			c.route(k)
+		// A signalling fault often affects one set-up and not the next. If an exchange fails most of them quickly, a
+		// refused caller would redial and be established late, so the call is attempted again at once. That is wasted where
+		// no call is established at all.
+		call.mayHaveRun = true
+		if call.signallingFaults++; outcome.Note != NoteBusy && call.dest.signallingSuccessRate > minRate {
+			call.tried = call.tried[:len(call.tried)-1]
+			c.route(call)
 			return
 		}
 	}
-	c.turnAway(k)
+	c.giveFinalAnswer(call)
 }
 
-// turnAway gives the final answer. A call that may have run where that is not safe is failed, never refused.
-func (c *Controller) turnAway(k *call) {
-	k.answered = true
-	c.drop(k)
-	if k.mayRun && !c.set.Classes[k.Class].Safe || k.out {
-		c.host.Fail(k.ID)
+// giveFinalAnswer refuses or fails a call. One that may have taken effect is failed unless another attempt is safe, since a
+// refused caller tries again.
+func (c *Controller) giveFinalAnswer(call *callRecord) {
+	call.answered = true
+	c.removeOrCancel(call)
+	if call.mayHaveRun && !c.settings.Classes[call.Class].Safe || call.attemptOpen {
+		c.host.Fail(call.ID)
 		return
 	}
-	if !k.Transit && k.Number != "" {
-		n := c.note(k)
-		n.class, n.first = k.Class, k.born
+	if !call.Transit && call.Number != "" {
+		number := c.numberRecordOf(call)
+		number.class, number.firstTryAt = call.Class, call.firstTryAt
 	}
-	c.host.Refuse(k.ID, min(c.set.MaxWait, time.Duration(comeBack*float64(c.set.Classes[k.Class].Aim))))
+	c.host.Refuse(call.ID, min(c.settings.MaxWait, time.Duration(retryAfterFactor*float64(c.settings.Classes[call.Class].Aim))))
 }
 
-// HungUp takes the news that the caller has gone.
+// HungUp is called when the caller has hung up.
 func (c *Controller) HungUp(now time.Duration, id uint64) {
-	c.at(now)
-	if k := c.calls[id]; k != nil && !k.stands {
-		k.answered = true
-		c.drop(k)
+	c.advanceClock(now)
+	if call := c.calls[id]; call != nil && !call.established {
+		call.answered = true
+		c.removeOrCancel(call)
 	}
 }
 
-// drop forgets an answered call; an attempt still out is called off and kept until its outcome.
-func (c *Controller) drop(k *call) {
-	if !k.out {
-		delete(c.calls, k.ID)
-	} else if c.set.CanCancel {
-		c.host.Cancel(k.ID, k.attempts-1)
+// removeOrCancel deletes an answered call. If its attempt is open, that is cancelled and the call is kept until the
+// outcome.
+func (c *Controller) removeOrCancel(call *callRecord) {
+	if !call.attemptOpen {
+		delete(c.calls, call.ID)
+	} else if c.settings.CanCancel {
+		c.host.Cancel(call.ID, call.attempts-1)
 	}
 }
 
-// Timer takes a timer that was asked for.
+// Timer is called when a timer that was asked for expires. The mark "p" stands for the periodic work, "w" for another
+// request for the office list, and "c" with a call number for a call whose wait or time is over.
 func (c *Controller) Timer(now time.Duration, mark string) {
-	c.at(now)
+	c.advanceClock(now)
 	id, err := strconv.ParseUint(strings.TrimPrefix(mark, "c"), 10, 64)
-	switch k := c.calls[id]; {
+	switch call := c.calls[id]; {
 	case mark == "p":
-		c.tick()
+		c.runPeriodicWork()
 	case mark == "w":
 		c.host.Watch(true)
-	case err != nil || k == nil || k.answered:
-	case now >= k.due:
-		c.turnAway(k)
-	case !k.out && now >= k.notBefore:
-		c.route(k)
+	case err != nil || call == nil || call.answered:
+	case now >= call.answerBy:
+		c.giveFinalAnswer(call)
+	case !call.attemptOpen && now >= call.notBefore:
+		c.route(call)
 	}
 }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -7,7 +7,7 @@
 	"finchlatch/logic"
 )
 
-// printer is a Host that prints the sends and refusals.
+// printer is a Host that prints attempts, refusals and failures.
 type printer struct{}
 
 func (printer) Send(call uint64, office string, timeout time.Duration) {
@@ -38,7 +38,7 @@
 	c.Report(now, logic.Report{Office: "there", OK: true, Load: []float64{1, 10}})
 	c.Offered(now, logic.Call{ID: 1, Dest: 1, Via: -1, Number: "5551", TimeLeft: 3 * time.Second})
 	c.Offered(now, logic.Call{ID: 2, Dest: 1, Via: -1, Number: "5552", TimeLeft: 3 * time.Second})
-	c.Timer(now+time.Second, "c2") // the end of its wait for a circuit, which it had asked for
+	c.Timer(now+time.Second, "c2") // the timer that ends the wait for a circuit
 	// Output:
 	// send call 1 to there
 	// refuse call 2
--- a/logic/interface.go
+++ b/logic/interface.go
@@ -2,150 +2,159 @@
 
 import "time"
 
-// Settings is what an instance is handed at its start. All times are spans.
+// Settings configures a Controller.
 type Settings struct {
-	Host          Host    // where actions go
-	Me            int     // number of this call server among Instances
-	Instances     int     // call servers that share the exchanges
-	Home          int     // number of the own exchange; -1 with pools
-	Pools         bool    // the exchanges are pools of agents: no transit, second choices in place of tandems
-	Classes       []Class // classes of call, in the order that Call.Class counts in
-	MaxAttempts   int     // most attempts for one call; 0: no limit
-	CanCancel     bool    // Host.Cancel is allowed
-	CanProbe      bool    // Host.Probe is allowed
-	CanTell       bool    // Host.Tell is allowed
-	TellsWait     bool    // callers are given the wait of Host.Refuse
-	MaxWait       time.Duration
-	ListOnRequest bool          // the list comes only when asked for
-	AskWithin     time.Duration // longest time without asking for it
-	Advice        bool          // calls carry a centre's advice
+	Host          Host          // carries out the actions
+	Me            int           // index of this call server among Instances
+	Instances     int           // number of call servers that share the exchanges
+	Home          int           // number of the own exchange; -1 with pools
+	Pools         bool          // the exchanges are pools of agents: no transit, pools of second choice in place of tandems
+	Classes       []Class       // classes of calls; Call.Class is an index into them
+	MaxAttempts   int           // most attempts for one call; 0: no limit
+	CanCancel     bool          // Host.Cancel may be called
+	CanProbe      bool          // Host.Probe may be called
+	CanTell       bool          // Host.Tell may be called
+	TellsWait     bool          // callers are given the retry-after of Host.Refuse
+	MaxWait       time.Duration // longest retry-after
+	ListOnRequest bool          // service discovery lists offices only on request
+	AskWithin     time.Duration // longest time without such a request
+	Advice        bool          // calls carry the advice of a routing centre
 	ReportFields  []string      // names of the values in Report.Load
 	Tick          time.Duration // shortest time between two batches of events
-	Release       time.Duration // rule 5: wait after a time-out, reset or cancel
-	DrainGrace    time.Duration // rule 3
-	TipAfter      time.Duration // rule 4: a cold office overloaded for this long falls over
-	Overload      float64       // rule 4: the multiple of its present capacity
-	ColdFrom      float64       // rule 4: share of its capacity that an office starts with, or more
-	ColdFor       time.Duration // rule 4: it is warm after this
+	Release       time.Duration // rule 5: release time after a time-out, reset or cancel
+	DrainGrace    time.Duration // rule 3: grace time for offices that drain or are gone
+	TipAfter      time.Duration // rule 4: a cold office fails when it is overloaded for this long
+	Overload      float64       // rule 4: overload begins at this multiple of the present capacity
+	ColdFrom      float64       // rule 4: least share of its capacity that an office starts with
+	ColdFor       time.Duration // rule 4: an office has its full capacity after this time
 }
 
-// Class is one class of call.
+// Class is a class of calls.
 type Class struct {
 	Name      string
-	Worth     float64
-	LateShare float64       // part of the worth earned after Aim
+	Worth     float64       // what a call earns that is established within Aim
+	LateShare float64       // share of Worth that a later call earns
 	Aim       time.Duration // wanted set-up time
 	Deadline  time.Duration // how long a caller keeps trying
 	Hold      time.Duration // mean hold time
 	Width     int           // circuits on each trunk group
-	Safe      bool          // a further attempt can do no harm
-	Pools     []int         // with Settings.Pools: where it may go; empty: anywhere
+	Safe      bool          // another attempt does no harm after one that may have taken effect
+	Pools     []int         // with Settings.Pools: the pools that serve the class; empty: all
 }
 
 // Call is a call offered to this call server.
 type Call struct {
 	ID       uint64
-	Class    int // place in Settings.Classes; others are refused
-	Dest     int // number of the destination exchange, or of the pool of first choice
-	Width    int // circuits it takes; 0: as its class
-	Via      int // advised tandem or pool, -1 none; in transit: where it comes from
-	Transit  bool
-	Again    bool          // dialled again, where callers say so
-	WasCut   bool          // it was cut and comes again
-	Number   string        // the number called
-	TimeLeft time.Duration // until the caller gives up this try
+	Class    int           // index into Settings.Classes; a call of any other is refused
+	Dest     int           // number of the destination exchange, or of the pool of first choice
+	Width    int           // circuits that it takes; 0: those of its class
+	Via      int           // advised tandem or pool, -1: none; in transit: the exchange that it comes from
+	Transit  bool          // this call server is the tandem of a two-leg call
+	Again    bool          // a redial, where callers say so
+	WasCut   bool          // the caller redials after a dropped call
+	Number   string        // called number
+	TimeLeft time.Duration // time until the caller gives up this try
 }
 
-// Status tells how an attempt ended.
+// Status is how an attempt ended.
 type Status byte
 
-// The endings of an attempt.
+// The ends of an attempt.
 const (
-	Ended     Status = 'S' // the call is at its end
-	Faulted   Status = 'E' // the number is busy, or signalling failed
-	Full      Status = 'F' // sent back, or a processor or pool was full; it never ran
-	TimedOut  Status = 'T'
-	NoConnect Status = 'C' // it never ran
-	Reset     Status = 'R' // cut
-	Cancelled Status = 'X'
-	NotSent   Status = 'N' // no free circuit, or not allowed; it never ran
+	Ended     Status = 'S' // the established call has ended
+	Faulted   Status = 'E' // the number is busy, or there was a signalling fault
+	Full      Status = 'F' // sent back, or a processor or pool was full; it had no effect
+	TimedOut  Status = 'T' // there was no answer in time
+	NoConnect Status = 'C' // there was no connection to the office; it had no effect
+	Reset     Status = 'R' // it was broken off: the connection was lost or the office failed
+	Cancelled Status = 'X' // cancelled by Host.Cancel
+	NotSent   Status = 'N' // there was no free circuit, or it was not allowed; it had no effect
 )
 
-// The notes of an outcome, without the wait that some processors add to NoteProcessor.
+// The notes of an outcome. Some processors add a wait, in multiples of 16, to NoteProcessor.
 const (
-	NoteCircuit    = 1  // no circuit or agent
-	NoteTurnedBack = 2  // the tandem sent it back
-	NoteProcessor  = 3  // processor full; with NotSent the own one is down
+	NoteCircuit    = 1  // no circuit or agent was free
+	NoteTurnedBack = 2  // the tandem sent the call back
+	NoteProcessor  = 3  // the processor was full; with NotSent the own one is down
 	NoteBusy       = 4  // all lines of the number are busy
-	NoteBeyondFull = 18 // sent back, since the processor after the tandem was full
+	NoteBeyondFull = 18 // the tandem sent the call back because the processor after it was full
 )
 
-// Outcome is the end of an attempt.
+// Outcome is the answer to an attempt or its end.
 type Outcome struct {
-	Call    uint64
-	Attempt int
-	Office  string
-	Status  Status
-	Took    time.Duration
-	Over    bool // the call is over; no final answer is owed
-	Note    int
-	Load    []float64 // as Settings.ReportFields
+	Call    uint64        // number of the call
+	Attempt int           // number of the attempt, from 0
+	Office  string        // ID of the office that the attempt went to
+	Status  Status        // how the attempt ended
+	Took    time.Duration // time from sending until the answer or failure
+	Over    bool          // the call is over; no final answer is owed
+	Note    int           // details of a failure; 0: none
+	Load    []float64     // report values, as named by Settings.ReportFields
 }
 
-// Report tells of the trunk group toward an office, and perhaps of its processor.
+// Report is the state of the trunk group toward an office and, where it is known, of the processor there.
 type Report struct {
-	Office string
-	OK     bool
-	Took   time.Duration // 0: it came unasked
-	Load   []float64
+	Office string        // ID of the office
+	OK     bool          // the values are valid
+	Took   time.Duration // time from the probe until the report; 0: it was not asked for
+	Load   []float64     // values, as named by Settings.ReportFields
 }
 
-// ListKind tells how a list changes what is known.
+// ListKind is how a list of offices changes what is known of them.
 type ListKind int
 
 // The kinds of list.
 const (
-	ListUpdate ListKind = iota
-	ListReplace
-	ListRestored
-	ListUnavailable
+	ListUpdate      ListKind = iota // names the offices that changed
+	ListReplace                     // names all offices
+	ListRestored                    // names all offices, after a start or a time without service discovery
+	ListUnavailable                 // service discovery can't be reached
 )
 
-// OfficeState is the state of an office in the list.
+// OfficeState is the state of an office in service discovery.
 type OfficeState int
 
 // The states of an office.
 const (
-	Ready OfficeState = iota
-	Draining
-	Gone
+	Ready    OfficeState = iota // takes calls
+	Draining                    // takes no new calls
+	Gone                        // has ended or is not listed
 )
 
-// Office is an entry of the exchange list: the process that works for an exchange.
+// Office is an entry of service discovery: a process that serves an exchange.
 type Office struct {
 	ID       string
-	Exchange int
-	State    OfficeState
-	Started  time.Duration // clock time of its last start; 0: long ago
+	Exchange int           // number of the exchange that it serves
+	State    OfficeState   // whether it takes calls
+	Started  time.Duration // clock time of its latest start; 0: long ago
 }
 
 // Host carries out the actions of a Controller.
 type Host interface {
+	// Send starts an attempt of a call, which ends with TimedOut after timeout without an answer.
 	Send(call uint64, office string, timeout time.Duration)
+	// Refuse gives the final answer that the call can't be set up; the caller may try again after wait.
 	Refuse(call uint64, wait time.Duration)
+	// Fail gives the final answer of a call that failed and may have taken effect.
 	Fail(call uint64)
+	// Cancel cancels an attempt. Its outcome still follows.
 	Cancel(call uint64, attempt int)
+	// Probe asks an office for a report.
 	Probe(office string)
+	// Tell sends a message to another call server.
 	Tell(peer int, data []byte)
+	// Timer asks for a call of Controller.Timer with mark after wait.
 	Timer(wait time.Duration, mark string)
-	Watch(on bool) // ask for list changes, where ListOnRequest
+	// Watch asks for the list of offices and its changes, where Settings.ListOnRequest is set; off ends that.
+	Watch(on bool)
+	// Log writes a line of text to the log.
 	Log(text string)
 }
 
-// Act names what a Host is asked to do about a call, for those who look on.
+// Act is the kind of an action that a Host carries out on a call. Implementations of Host report what was decided with it.
 type Act byte
 
-// The acts.
+// The actions.
 const (
 	ActSend Act = iota
 	ActRefuse
@@ -153,5 +162,5 @@
 	ActCancel
 )
 
-// String names the act.
+// String returns the name of the action.
 func (a Act) String() string { return [...]string{"send", "refuse", "fail", "cancel"}[a] }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,8 +1,9 @@
-// Package logic decides for one call server: admit a call, send it direct or over a tandem, wait, try again,
-// or refuse it. Settings, events and actions are in interface.go; every decision and tuned value is here.
+// Package logic decides for one call server what becomes of each call: it is sent direct or over a tandem, waits for a
+// circuit, is attempted again, or is refused. Settings, events and actions are declared in interface.go.
 //
-// The ordinary path is the dynamic-threshold rule of Chen and Chen (sections 3.3, 3.4) on each own group:
-// parts split anew each period by Equation 6. Guards stand around it. docs/DESIGN.md tells what is kept.
+// The main rule is the dynamic-threshold routing of Chen and Chen (sections 3.3, 3.4), applied to each own trunk group: its
+// circuits are partitioned anew at fixed intervals by Equation 6. Further checks limit what it sends to exchanges that have
+// just started, are overloaded or don't answer. docs/DESIGN.md describes the state that is kept.
 package logic
 
 import (
@@ -11,149 +12,289 @@
 	"time"
 )
 
-// Tuned values. Spans that belong to the traffic come from the settings; these are plain ratios.
+// Limits and weights of the decision rules. Times that depend on the traffic are given as multiples of an aim, which is the
+// wanted set-up time of a class of calls.
 const (
-	period      = 5 * time.Second  // how often splits are scored
-	window      = 30 * time.Second // counts that they are scored on
-	buckets     = int(window / period)
-	twoLegWorth = 0.5  // worth of a two-leg call, which holds circuits on two groups
-	clearWin    = 0.02 // a new split must gain this part of the worth offered to the group
-	prior       = 4.0  // calls that the common picture counts for: traffic misses its plan by about half
-	raise       = 1.2  // tandem weight on a stand
-	cut         = 0.3  // tandem weight on a turn-back or a full processor
-	floor       = 0.05 // least tandem weight: every tandem is tried now and then
-	pool        = 0.1  // weight of a new outcome in what is learnt of all pairs together
-	draws       = 16.0 // tandems looked at for a blocked call, where all are usable and processors idle
-	smooth      = 0.3  // weight of a new set-up delay in the running mean
-	fadePart    = 0.8  // half of what is known of a delay fades in this part of the shortest aim
-	shedBase    = 0.2  // a two-leg call or one of no worth is shed past this part of its aim,
-	shedWorth   = 0.5  // and the worthiest at this much more
-	silentPart  = 0.5  // an exchange is silent after this part of the shortest aim without any answer
-	nearFaults  = 2    // faults of signalling before a call tries a tandem; 1 and 2 were measured
-	enough      = 3    // later answers that show that one is lost
-	firstTrial  = 0.8  // first and longest gap between trials of a silent exchange, in shortest aims
-	lastTrial   = 3.2
-	waitPart    = 0.7                    // a blocked call waits for a circuit for this part of its aim
-	comeBack    = 0.25                   // a refused caller is asked to come again after this part of the aim
-	coldUse     = 0.75                   // part of the cold budget that is used steadily,
-	coldBurst   = 0.2                    // and the part that may go at once
-	headroom    = 4.0 / 3                // a processor turns over its groups in three quarters of its time
-	busyGap     = 250 * time.Millisecond // first pause for a busy number; doubles
-	busyGapMost = 2 * time.Second
+	// partitionInterval is the time between two updates of the partitions.
+	partitionInterval = 5 * time.Second
+	// countWindow is the time over which offered calls are counted for the partitions.
+	countWindow = 30 * time.Second
+	// countBuckets is the number of partition intervals in the window.
+	countBuckets = int(countWindow / partitionInterval)
+	// twoLegWorthFactor is the part of its worth that a two-leg call counts for: it holds circuits of two trunk groups.
+	twoLegWorthFactor = 0.5
+	// minPayoffGain is what a new partition must gain to replace the present one, as a share of the worth offered to the
+	// group.
+	minPayoffGain = 0.02
+	// fleetPriorCalls is the number of calls that the traffic mix of all groups counts for beside the counts of one group.
+	// The traffic of a single group misses its plan by about half.
+	fleetPriorCalls = 4.0
+	// tandemSuccessFactor multiplies the weight of a tandem over which a call was established.
+	tandemSuccessFactor = 1.2
+	// tandemFailureFactor multiplies the weight of a tandem that sent a call back or had a full processor.
+	tandemFailureFactor = 0.3
+	// minRate is the lower limit of tandem weights and of the success rates of tandems, so that every tandem is tried now
+	// and then. After a signalling fault a call is attempted again while the success rate of its destination is above it.
+	minRate = 0.05
+	// slowSampleWeight is the weight of a new sample in the moving averages of success rates and of the own delay.
+	slowSampleWeight = 0.1
+	// maxTandemDraws is the number of tandems drawn for a blocked call while every tandem succeeds and processors are idle.
+	maxTandemDraws = 16.0
+	// fastSampleWeight is the weight of a new sample in the moving averages of an exchange's set-up delay and of foreign
+	// circuit use.
+	fastSampleWeight = 0.3
+	// delayHalfLifeFactor is the half-life of a measured delay, in shortest aims.
+	delayHalfLifeFactor = 0.8
+	// shedDelayFactor is the delay, in aims of its class, above which a two-leg call or one without worth is shed.
+	shedDelayFactor = 0.2
+	// shedWorthFactor is what is added to shedDelayFactor for a direct call of the worthiest class; others get less, by
+	// their worth.
+	shedWorthFactor = 0.5
+	// answerTimeoutFactor is the time without any answer after which an exchange is unresponsive, in shortest aims.
+	answerTimeoutFactor = 0.5
+	// directFaultLimit is the number of signalling faults of a call after which it tries a tandem.
+	directFaultLimit = 2
+	// overtakeLimit is the number of later attempts answered first that shows that the answer to an attempt is lost.
+	overtakeLimit = 3
+	// firstTrialFactor is the first interval between trial attempts to an unresponsive exchange, in shortest aims.
+	firstTrialFactor = 0.8
+	// maxTrialFactor is the longest interval between trial attempts, in shortest aims.
+	maxTrialFactor = 3.2
+	// circuitWaitFactor is how long a blocked call waits for a circuit, in aims of its class.
+	circuitWaitFactor = 0.7
+	// retryAfterFactor is the retry-after of a refused caller, in aims of its class.
+	retryAfterFactor = 0.25
+	// slowStartSteadyShare is the share of the slow-start budget that is spread evenly over time.
+	slowStartSteadyShare = 0.75
+	// slowStartBurstShare is the share of the slow-start budget that may be used at once.
+	slowStartBurstShare = 0.2
+	// processorHeadroom is the set-up rate of a processor relative to that of its trunk groups when they are full: those
+	// occupy it for three quarters of its time.
+	processorHeadroom = 4.0 / 3
+	// minBusyBackoff is the first backoff for a busy number; it doubles with each busy answer.
+	minBusyBackoff = 250 * time.Millisecond
+	// maxBusyBackoff is the longest backoff for a busy number.
+	maxBusyBackoff = 2 * time.Second
+	// defaultAim stands for the shortest aim where the settings give no aim.
+	defaultAim = time.Second
 )
 
-// Controller decides for one call server. It has no clock, shares nothing and is not safe for concurrent use.
+// Controller decides for one call server. It has no clock of its own, shares nothing and is not safe for concurrent use.
 type Controller struct {
-	set               Settings
-	host              Host
-	rng               *rand.Rand
-	now, birth, seen  time.Duration // seen: time of the batch before this one
-	begun, listed     bool
-	calls             map[uint64]*call
-	exchanges         []*exchange // in order of their numbers
-	offices           map[string]*office
-	numbers           map[string]*number
-	top               int // the worthiest class
-	topWorth          float64
-	aim, fade         time.Duration // the shortest aim, and the half-life of delays
-	spare, sz, eps    int           // places in reports; -1 absent
-	counts            counts        // of all groups; the last class is blocked calls that looked for a tandem
-	own, ownAt        time.Duration
-	waiting, circuits int     // attempts out without an answer; circuits of all own groups
-	trust, ease       float64 // shares of the advised and of the drawn tandems that stood
+	settings Settings
+	host     Host
+	rng      *rand.Rand
+	// now is the time of the latest batch of events.
+	now time.Duration
+	// startedAt is the time of the first event.
+	startedAt time.Duration
+	// previousBatchAt is the time of the batch of events before the latest one.
+	previousBatchAt time.Duration
+	// started is set with the first event.
+	started bool
+	// hasSnapshot is set once service discovery has listed offices. An office first named later is taken for one that just
+	// started.
+	hasSnapshot bool
+	// calls holds, by call number, the calls that have no final answer, have an attempt outstanding or are established.
+	calls map[uint64]*callRecord
+	// exchanges is sorted by exchange number.
+	exchanges []*exchangeRecord
+	// offices holds the offices that service discovery has named, by ID.
+	offices map[string]*officeRecord
+	// numbers holds the called numbers that were busy or whose calls were refused.
+	numbers map[string]*numberRecord
+	// topClass is the index of the class with the greatest worth.
+	topClass int
+	// topWorth is the worth of topClass.
+	topWorth float64
+	// shortestAim is the shortest aim of all classes.
+	shortestAim time.Duration
+	// delayHalfLife is the half-life of measured delays.
+	delayHalfLife time.Duration
+	// freeField is the place in reports of the number of free circuits; -1: absent.
+	freeField int
+	// totalField is the place in reports of the number of circuits of the group; -1: absent.
+	totalField int
+	// reductionField is the place in reports of the share of set-ups that the exchange asks to be shed; -1: absent.
+	reductionField int
+	// offeredCalls counts the first tries offered to all groups, by class. Its last entry counts blocked calls for which a
+	// tandem was looked for.
+	offeredCalls offeredCounts
+	// ownDelayAverage is the moving average of the delay common to all answers, most likely that of the own processor.
+	ownDelayAverage time.Duration
+	// ownDelayAt is when ownDelayAverage was updated.
+	ownDelayAt time.Duration
+	// outstanding is the number of attempts without an answer.
+	outstanding int
+	// totalCircuits is the number of circuits of all own groups.
+	totalCircuits int
+	// adviceSuccessRate is the share of attempts over an advised tandem that were established, as a moving average.
+	adviceSuccessRate float64
+	// tandemSuccessRate is the same for tandems that were drawn.
+	tandemSuccessRate float64
 }
 
-type call struct {
+// callRecord is a call with the state of its attempts.
+type callRecord struct {
 	Call
-	born, due time.Duration // born: first try; due: last moment for an answer
-	notBefore time.Duration // rule 5
-	dest, at  *exchange     // at: where the attempt went
-	office    string
-	sent      time.Duration
-	attempts  int
-	struck    int // faults of signalling that it has met
-	passed    int // later attempts at the same exchange that were answered before this one
-	part      int // what it counts in of the group's use: its class, or the lowest for two-leg calls
-	// an attempt is out; it stands; the final answer is given; it goes over a tandem; it may have run
-	out, stands, answered, twoLeg, mayRun, waited, waiting bool
-	tried                                                  []*exchange
+	// firstTryAt is when the caller first tried; for a redial that is before this call was offered.
+	firstTryAt time.Duration
+	// answerBy is the last moment for a final answer.
+	answerBy time.Duration
+	// notBefore is the earliest time of the next attempt: the end of the release time (rule 5) or of the wait for a
+	// circuit.
+	notBefore time.Duration
+	// dest is the destination exchange.
+	dest *exchangeRecord
+	// target is where the latest attempt went: the destination or a tandem.
+	target *exchangeRecord
+	// officeID is the office that the latest attempt was sent to.
+	officeID string
+	// sentAt is when the latest attempt was sent.
+	sentAt time.Duration
+	// attempts is the number of attempts sent.
+	attempts int
+	// signallingFaults is the number of signalling faults that the call has met.
+	signallingFaults int
+	// overtakes is the number of later attempts at the same exchange that were answered before the latest attempt of this
+	// call.
+	overtakes int
+	// usageClass is the place of the latest attempt in exchangeRecord.ownInUseByClass.
+	usageClass int
+	// attemptOpen is set from the sending of an attempt until its outcome, so also while the call is established.
+	attemptOpen bool
+	// established is set once an attempt was answered.
+	established bool
+	// answered is set once no final answer is owed: it was given, or the caller has hung up.
+	answered bool
+	// twoLeg is set if the latest attempt is one leg of a two-leg call: it goes over a tandem, or the call is in transit.
+	twoLeg bool
+	// mayHaveRun is set once an attempt may have taken effect although it failed.
+	mayHaveRun bool
+	// hasWaited is set once the call has waited for a circuit; it doesn't wait again.
+	hasWaited bool
+	// isWaiting is set while the call waits for a circuit.
+	isWaiting bool
+	// tried holds the exchanges that the call must not be sent to again.
+	tried []*exchangeRecord
 }
 
-// exchange is what is known of one exchange and of the own trunk group toward it.
-type exchange struct {
-	number                  int
-	offices                 []*office
-	office                  *office // gets new calls; nil: none
-	free, total             int     // circuits of the group; -1 unknown
-	held                    int     // of them by own calls
-	used                    []int   // circuits of own calls by class; the last for two-leg calls
-	counts                  counts
-	reserve, direct         int             // parts for the worthiest class, and for direct calls
-	others                  float64         // mean circuits in use that are not of own calls
-	weight                  map[int]float64 // of tandems by number, once tried
-	out, queue              []*call
-	silent, cold            bool
-	heard, silentFrom       time.Duration
-	passed                  time.Duration // when the latest direct attempt that was answered was sent
-	nextTrial, trialGap     time.Duration
-	delay, delayAt          time.Duration
-	eps, tokens             float64
-	sound                   float64 // share of set-ups toward it that met no fault of signalling, lately
-	epsAt, coldAt, tokensAt time.Duration
+// exchangeRecord is what is known of an exchange and of the own trunk group toward it.
+type exchangeRecord struct {
+	number  int
+	offices []*officeRecord
+	// serving is the office that gets new calls; nil: none.
+	serving *officeRecord
+	// free is the number of free circuits of the group; -1: unknown.
+	free int
+	// total is the number of circuits of the group; -1: unknown.
+	total int
+	// ownInUse is the number of circuits that own calls hold.
+	ownInUse int
+	// ownInUseByClass is ownInUse by class; the last entry is for two-leg calls.
+	ownInUseByClass []int
+	// offeredCalls counts the calls offered toward the exchange by class; redials and calls in transit count in the last
+	// entry.
+	offeredCalls offeredCounts
+	// reserved is the number of circuits kept for the worthiest class.
+	reserved int
+	// directOnly is the number of circuits closed to two-leg calls.
+	directOnly int
+	// foreignInUse is the moving average of the circuits in use that own calls don't hold.
+	foreignInUse float64
+	// tandemWeights holds the weights, by number, of the tandems that were tried on the way to this exchange.
+	tandemWeights map[int]float64
+	// outstanding holds the attempts without an answer, in the order of sending.
+	outstanding []*callRecord
+	// waitingCalls holds the calls that wait for a circuit, worthiest first.
+	waitingCalls []*callRecord
+	// unresponsive is set after a time without an answer or a failed connection; only trial attempts are sent then.
+	unresponsive bool
+	// isCold is set while the slow-start budget limits what is sent.
+	isCold bool
+	// lastActivity is when an answer last came.
+	lastActivity time.Duration
+	// unresponsiveSince is the beginning of the time without an answer.
+	unresponsiveSince time.Duration
+	// latestAnsweredSentAt is when the latest of the direct attempts that were answered had been sent.
+	latestAnsweredSentAt time.Duration
+	// nextTrial is the earliest time of the next trial attempt.
+	nextTrial time.Duration
+	// trialInterval is the time between trial attempts; it doubles with each.
+	trialInterval time.Duration
+	// setUpDelay is the moving average of the set-up delay.
+	setUpDelay time.Duration
+	// setUpDelayAt is when setUpDelay was updated.
+	setUpDelayAt time.Duration
+	// reduction is the share of set-ups that the exchange asks to be shed.
+	reduction float64
+	// tokens is the unused part of the slow-start budget, in attempts.
+	tokens float64
+	// signallingSuccessRate is the share of set-ups toward it without a signalling fault, as a moving average.
+	signallingSuccessRate float64
+	// reductionAt is when reduction was reported.
+	reductionAt time.Duration
+	// coldSince is the beginning of the slow start.
+	coldSince time.Duration
+	// tokensAt is when tokens were last added.
+	tokensAt time.Duration
 }
 
-// New makes a Controller, or tells which setting is wrong.
-func New(s Settings, seed int64) (*Controller, error) {
-	if err := validate(&s); err != nil {
+// New creates a Controller. Its error names the setting that is invalid.
+func New(settings Settings, seed int64) (*Controller, error) {
+	if err := validate(&settings); err != nil {
 		return nil, err
 	}
-	s.Classes = slices.Clone(s.Classes) // the caller may share them
-	c := &Controller{set: s, host: s.Host, rng: rand.New(rand.NewSource(seed)), calls: map[uint64]*call{},
-		offices: map[string]*office{}, numbers: map[string]*number{}, counts: newCounts(len(s.Classes)),
-		trust: 1, ease: 0.5}
-	for i, k := range s.Classes {
-		s.Classes[i].Pools = slices.Clone(k.Pools)
-		if k.Worth > c.topWorth {
-			c.top, c.topWorth = i, k.Worth
+	settings.Classes = slices.Clone(settings.Classes) // the caller may share them
+	c := &Controller{settings: settings, host: settings.Host, rng: rand.New(rand.NewSource(seed)), calls: map[uint64]*callRecord{},
+		offices: map[string]*officeRecord{}, numbers: map[string]*numberRecord{},
+		offeredCalls:      newOfferedCounts(len(settings.Classes)),
+		adviceSuccessRate: 1, tandemSuccessRate: 0.5}
+	for i, class := range settings.Classes {
+		settings.Classes[i].Pools = slices.Clone(class.Pools)
+		if class.Worth > c.topWorth {
+			c.topClass, c.topWorth = i, class.Worth
 		}
-		if c.aim == 0 || k.Aim < c.aim {
-			c.aim = k.Aim
+		if c.shortestAim == 0 || class.Aim < c.shortestAim {
+			c.shortestAim = class.Aim
 		}
 	}
-	if c.aim == 0 {
-		c.aim = time.Second // the settings tell of no haste
+	if c.shortestAim == 0 {
+		c.shortestAim = defaultAim
 	}
-	c.fade = time.Duration(fadePart * float64(c.aim))
-	c.spare, c.sz, c.eps = slices.Index(s.ReportFields, "spare"), slices.Index(s.ReportFields, "total"),
-		slices.Index(s.ReportFields, "cut_by")
+	c.delayHalfLife = time.Duration(delayHalfLifeFactor * float64(c.shortestAim))
+	c.freeField, c.totalField, c.reductionField = slices.Index(settings.ReportFields, "spare"),
+		slices.Index(settings.ReportFields, "total"), slices.Index(settings.ReportFields, "cut_by")
 	return c, nil
 }
 
-// at moves the clock of the instance to an event.
-func (c *Controller) at(now time.Duration) {
-	if now > c.now { // what came since the last batch may have waited for this server, not for others
-		c.seen, c.now = c.now, now
+// advanceClock sets the time to that of an event.
+func (c *Controller) advanceClock(now time.Duration) {
+	if now > c.now { // what came since the previous batch may have waited for this call server, not for others
+		c.previousBatchAt, c.now = c.now, now
 	}
-	if !c.begun {
-		c.begun, c.birth, c.seen = true, now, now
-		c.host.Timer(period, "p")
-		if c.set.ListOnRequest {
+	if !c.started {
+		c.started, c.startedAt, c.previousBatchAt = true, now, now
+		c.host.Timer(partitionInterval, "p")
+		if c.settings.ListOnRequest {
 			c.host.Watch(true)
 		}
 	}
 }
 
-// exchange finds an exchange by number; with add it is made.
-func (c *Controller) exchange(n int, add bool) *exchange {
-	i, found := slices.BinarySearchFunc(c.exchanges, n, func(e *exchange, n int) int { return e.number - n })
+// exchangeByNumber finds an exchange. An unknown one is created if create is set, else the result is nil.
+func (c *Controller) exchangeByNumber(number int, create bool) *exchangeRecord {
+	i, found := slices.BinarySearchFunc(c.exchanges, number, func(exchange *exchangeRecord, number int) int {
+		return exchange.number - number
+	})
 	if found {
 		return c.exchanges[i]
-	} else if !add {
+	} else if !create {
 		return nil
 	}
-	e := &exchange{number: n, free: -1, total: -1, sound: 1, used: make([]int, len(c.set.Classes)+1),
-		counts: newCounts(len(c.set.Classes)), heard: -time.Hour,
-		delayAt: -time.Hour, epsAt: -time.Hour}
-	c.exchanges = slices.Insert(c.exchanges, i, e)
-	return e
+	exchange := &exchangeRecord{number: number, free: -1, total: -1, signallingSuccessRate: 1,
+		ownInUseByClass: make([]int, len(c.settings.Classes)+1), offeredCalls: newOfferedCounts(len(c.settings.Classes)),
+		lastActivity: -time.Hour, setUpDelayAt: -time.Hour, reductionAt: -time.Hour}
+	c.exchanges = slices.Insert(c.exchanges, i, exchange)
+	return exchange
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -10,865 +10,893 @@
 )
 
 func TestNewNamesTheBadSetting(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"Host": func(s *Settings) { s.Host = nil }, "Classes": func(s *Settings) { s.Classes = nil },
-		"Release": func(s *Settings) { s.Release = -1 }, "ColdFrom": func(s *Settings) { s.ColdFrom = 1.5 },
-		"Overload": func(s *Settings) { s.Overload = -1 }, "MaxAttempts": func(s *Settings) { s.MaxAttempts = -1 },
+	for name, breakSetting := range map[string]func(*Settings){
+		"Host": func(settings *Settings) { settings.Host = nil }, "Classes": func(settings *Settings) { settings.Classes = nil },
+		"Release":     func(settings *Settings) { settings.Release = -1 },
+		"ColdFrom":    func(settings *Settings) { settings.ColdFrom = 1.5 },
+		"Overload":    func(settings *Settings) { settings.Overload = -1 },
+		"MaxAttempts": func(settings *Settings) { settings.MaxAttempts = -1 },
 	} {
-		s := testSettings()
-		s.Host = newChecker(s)
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
+		settings := testSettings()
+		settings.Host = newRuleChecker(settings)
+		breakSetting(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
 
-func TestNewRejectsAbsurdClasses(t *testing.T) {
-	for name, spoil := range map[string]func(*Class){
-		"NaN worth": func(k *Class) { k.Worth = math.NaN() }, "infinite worth": func(k *Class) { k.Worth = math.Inf(1) },
-		"negative worth": func(k *Class) { k.Worth = -1 }, "late share": func(k *Class) { k.LateShare = 1.5 },
-		"NaN share": func(k *Class) { k.LateShare = math.NaN() }, "hold": func(k *Class) { k.Hold = -1 },
+func TestNewRejectsInvalidClasses(t *testing.T) {
+	for name, breakClass := range map[string]func(*Class){
+		"NaN worth":      func(class *Class) { class.Worth = math.NaN() },
+		"infinite worth": func(class *Class) { class.Worth = math.Inf(1) },
+		"negative worth": func(class *Class) { class.Worth = -1 }, "late share": func(class *Class) { class.LateShare = 1.5 },
+		"NaN share": func(class *Class) { class.LateShare = math.NaN() }, "hold": func(class *Class) { class.Hold = -1 },
 	} {
-		s := testSettings()
-		s.Host = newChecker(s)
-		spoil(&s.Classes[1])
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), "Classes") {
+		settings := testSettings()
+		settings.Host = newRuleChecker(settings)
+		breakClass(&settings.Classes[1])
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), "Classes") {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
 
-// Guards against groups that are absent, empty or unknown, and numbers of instances that do not fit the list.
-func TestPairsWithoutAGroup(t *testing.T) {
+// Guards against failures with groups that are absent, empty or unknown, and with a number of instances that differs from
+// the number of offices listed.
+func TestGroupsAbsentEmptyOrUnknown(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"as listed": func(s *Settings) {}, "one instance": func(s *Settings) { s.Instances = 1 },
-		"none": func(s *Settings) { s.Instances = 0 },
+		"as listed": func(settings *Settings) {}, "one instance": func(settings *Settings) { settings.Instances = 1 },
+		"none": func(settings *Settings) { settings.Instances = 0 },
 	} {
-		s := testSettings()
-		change(&s)
-		h := newChecker(s)
-		s.Host = h
-		c, err := New(s, 1)
+		settings := testSettings()
+		change(&settings)
+		checker := newRuleChecker(settings)
+		settings.Host = checker
+		c, err := New(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for x := 0; x < 6; x++ {
-			id := fmt.Sprint("o", x)
-			h.office[id] = &watchedOffice{exchange: x, stopped: -1, coldSince: -1}
-			c.List(h.now, ListUpdate, []Office{{ID: id, Exchange: x}})
+		for number := 0; number < 6; number++ {
+			id := fmt.Sprint("o", number)
+			checker.offices[id] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: -1}
+			c.List(checker.now, ListUpdate, []Office{{ID: id, Exchange: number}})
 		}
-		c.Report(h.now, Report{Office: "o1", OK: true, Load: []float64{0, 0, -1}})
-		c.Report(h.now, Report{Office: "o2", OK: true, Load: []float64{5, 9, -1}}) // the others stay unknown
+		c.Report(checker.now, Report{Office: "o1", OK: true, Load: []float64{0, 0, -1}})
+		c.Report(checker.now, Report{Office: "o2", OK: true, Load: []float64{5, 9, -1}}) // the others stay unknown
 		for id := uint64(1); id < 60; id++ {
-			dest, left := int(id%8), time.Duration(int64(id)-5)*50*time.Millisecond
-			h.calls[id] = &watched{dest: dest, due: h.now + max(left, 0)}
-			c.Offered(h.now, Call{ID: id, Dest: dest, Via: int(id%9) - 1, TimeLeft: left, Number: fmt.Sprint(id)})
+			dest, timeLeft := int(id%8), time.Duration(int64(id)-5)*50*time.Millisecond
+			checker.calls[id] = &checkedCall{dest: dest, answerBy: checker.now + max(timeLeft, 0)}
+			c.Offered(checker.now, Call{ID: id, Dest: dest, Via: int(id%9) - 1, TimeLeft: timeLeft, Number: fmt.Sprint(id)})
 			if id%10 == 0 {
-				h.now += 5 * time.Second
-				c.Timer(h.now, "p")
+				checker.now += 5 * time.Second
+				c.Timer(checker.now, "p")
 			}
-			for n := range h.calls {
-				if k := h.calls[n]; !k.out && !k.over {
-					k.due = max(k.due, h.now)
-					c.Timer(h.now+10*time.Second, fmt.Sprint("c", n))
+			for id := range checker.calls {
+				if call := checker.calls[id]; !call.attemptOpen && !call.answered {
+					call.answerBy = max(call.answerBy, checker.now)
+					c.Timer(checker.now+10*time.Second, fmt.Sprint("c", id))
 				}
 			}
 		}
-		for n, k := range h.calls {
-			if !k.out && !k.over {
-				t.Errorf("%s: call %d has no answer", name, n)
+		for id, call := range checker.calls {
+			if !call.attemptOpen && !call.answered {
+				t.Errorf("%s: call %d has no answer", name, id)
 			}
 		}
-		for _, p := range h.problems {
-			t.Errorf("%s: %s", name, p)
+		for _, violation := range checker.violations {
+			t.Errorf("%s: %s", name, violation)
 		}
 	}
 }
 
-// quietBed has no random events; calls are placed by hand.
-func quietBed(t *testing.T, change func(*Settings)) *bed {
-	s := testSettings()
+// newManualFixture makes a fixture for tests that offer and end each call themselves.
+func newManualFixture(t *testing.T, change func(*Settings)) *fixture {
+	settings := testSettings()
 	if change != nil {
-		change(&s)
-	}
-	return newBed(t, s, 1)
-}
-
-func (b *bed) call(class, dest int, number string) string {
-	b.next++
-	b.h.calls[b.next] = &watched{dest: dest, due: b.h.now + 3*time.Second}
-	from := len(b.h.acts)
-	b.c.Offered(b.h.now, Call{ID: b.next, Class: class, Dest: dest, Via: -1, TimeLeft: 3 * time.Second, Number: number})
-	first := func() string {
-		for _, a := range b.h.acts[from:] {
-			if !strings.HasPrefix(a, "log") {
-				return strings.Fields(a)[0] + " " + strings.TrimPrefix(b.h.calls[b.next].office, "o")
+		change(&settings)
+	}
+	return newFixture(t, settings, 1)
+}
+
+// offerAndAwait offers a call and returns the first action for it with the exchange it was sent to, if any. A call that
+// waits for a circuit waits until its time is over.
+func (f *fixture) offerAndAwait(class, dest int, number string) string {
+	f.lastID++
+	f.host.calls[f.lastID] = &checkedCall{dest: dest, answerBy: f.host.now + 3*time.Second}
+	from := len(f.host.actions)
+	f.controller.Offered(f.host.now, Call{ID: f.lastID, Class: class, Dest: dest, Via: -1, TimeLeft: 3 * time.Second,
+		Number: number})
+	firstAction := func() string {
+		for _, action := range f.host.actions[from:] {
+			if !strings.HasPrefix(action, "log") {
+				return strings.Fields(action)[0] + " " + strings.TrimPrefix(f.host.calls[f.lastID].office, "o")
 			}
 		}
 		return ""
 	}
-	if mark := fmt.Sprint("c", b.next); first() == "" { // it waits: until its time is over
-		for _, tm := range b.h.timers {
-			if tm.mark == mark {
-				b.h.now = tm.at
+	if mark := fmt.Sprint("c", f.lastID); firstAction() == "" { // it waits for a circuit
+		for _, request := range f.host.timers {
+			if request.mark == mark {
+				f.host.now = request.at
 			}
 		}
-		b.c.Timer(b.h.now, mark)
+		f.controller.Timer(f.host.now, mark)
 	}
-	return first()
+	return firstAction()
 }
 
-func (b *bed) stand(id uint64) {
-	k := b.h.calls[id]
-	k.stands = true
-	b.c.Stands(b.h.now, Outcome{Call: id, Attempt: k.attempts - 1, Office: k.office, Took: 50 * time.Millisecond})
+// establish answers the open attempt of a call.
+func (f *fixture) establish(id uint64) {
+	call := f.host.calls[id]
+	call.established = true
+	f.controller.Stands(f.host.now, Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office,
+		Took: 50 * time.Millisecond})
 }
 
-func (b *bed) fails(id uint64, s Status, note int) {
-	k := b.h.calls[id]
-	k.out = false
-	b.c.Outcome(b.h.now, Outcome{Call: id, Attempt: k.attempts - 1, Office: k.office, Status: s, Note: note,
-		Took: b.h.now})
+// endAttempt ends the open attempt of a call.
+func (f *fixture) endAttempt(id uint64, status Status, note int) {
+	call := f.host.calls[id]
+	call.attemptOpen = false
+	f.controller.Outcome(f.host.now, Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office, Status: status, Note: note,
+		Took: f.host.now})
 }
 
 func TestReserveIsClosedToOthers(t *testing.T) {
-	b := quietBed(t, nil)
-	e := b.c.exchange(1, false)
-	e.reserve, e.direct = 3, 0
-	b.report("o1", 3)
-	for x := 2; x < 6; x++ {
-		b.report(fmt.Sprintf("o%d", x), 0)
-	}
-	if got := b.call(0, 1, "x"); got != "refuse " {
+	f := newManualFixture(t, nil)
+	exchange := f.controller.exchangeByNumber(1, false)
+	exchange.reserved, exchange.directOnly = 3, 0
+	f.report("o1", 3)
+	for number := 2; number < 6; number++ {
+		f.report(fmt.Sprintf("o%d", number), 0)
+	}
+	if got := f.offerAndAwait(0, 1, "x"); got != "refuse " {
 		t.Errorf("common call: %q", got)
 	}
-	if got := b.call(1, 1, "y"); got != "send 1" {
+	if got := f.offerAndAwait(1, 1, "y"); got != "send 1" {
 		t.Errorf("worthiest call: %q", got)
 	}
 }
 
-func TestDirectPartIsClosedToTwoLegCallsOnly(t *testing.T) {
-	b := quietBed(t, nil)
-	e := b.c.exchange(1, false)
-	e.direct = 4
-	b.report("o1", 4)
-	k := &call{Call: Call{Width: 1}, dest: e}
-	if b.c.fits(e, k, true) || !b.c.fits(e, k, false) {
-		t.Error("four free of a direct part of four: two-leg calls must stay out, direct ones go in")
+func TestDirectOnlyCircuitsAreClosedToTwoLegCallsOnly(t *testing.T) {
+	f := newManualFixture(t, nil)
+	exchange := f.controller.exchangeByNumber(1, false)
+	exchange.directOnly = 4
+	f.report("o1", 4)
+	call := &callRecord{Call: Call{Width: 1}, dest: exchange}
+	if f.controller.hasRoom(exchange, call, true) || !f.controller.hasRoom(exchange, call, false) {
+		t.Error("four direct-only circuits free: they must be closed to two-leg calls and open to direct ones")
 	}
 }
 
-// Guards against redials past their aim: they take circuits from calls that would stand in time.
-func TestLateRedialIsLowest(t *testing.T) {
-	b := quietBed(t, nil)
-	for x := 1; x < 6; x++ {
-		b.report(fmt.Sprintf("o%d", x), 0)
+// Guards against redials past their aim that take circuits from calls which would be established in time.
+func TestLateRedialHasLowestPriority(t *testing.T) {
+	f := newManualFixture(t, nil)
+	for number := 1; number < 6; number++ {
+		f.report(fmt.Sprintf("o%d", number), 0)
 	}
-	if got := b.call(0, 1, "n"); got != "refuse " {
+	if got := f.offerAndAwait(0, 1, "n"); got != "refuse " {
 		t.Fatalf("no circuits: %q", got)
 	}
-	b.h.now += 1100 * time.Millisecond
-	b.report("o1", 4)
-	b.c.exchange(1, false).direct = 4
-	if got := b.call(0, 1, "n"); got != "refuse " {
+	f.host.now += 1100 * time.Millisecond
+	f.report("o1", 4)
+	f.controller.exchangeByNumber(1, false).directOnly = 4
+	if got := f.offerAndAwait(0, 1, "n"); got != "refuse " {
 		t.Errorf("redial past its aim: %q", got)
 	}
-	if got := b.call(0, 1, "m"); got != "send 1" {
+	if got := f.offerAndAwait(0, 1, "m"); got != "send 1" {
 		t.Errorf("fresh call: %q", got)
 	}
-	if got := b.c.exchange(1, false).counts[0][0]; got != 2 {
+	if got := f.controller.exchangeByNumber(1, false).offeredCalls[0][0]; got != 2 {
 		t.Errorf("%v fresh calls counted, want 2", got)
 	}
 }
 
-// Guards against calls and circuits piling up behind an exchange that answers nothing.
-func TestSilentExchangeGetsSingleTrials(t *testing.T) {
-	b := quietBed(t, nil)
-	b.call(0, 1, "a")
-	b.h.now += 700 * time.Millisecond
+// Guards against calls and circuits piling up behind an exchange that doesn't answer.
+func TestUnresponsiveExchangeGetsSingleTrials(t *testing.T) {
+	f := newManualFixture(t, nil)
+	f.offerAndAwait(0, 1, "a")
+	f.host.now += 700 * time.Millisecond
 	sent := 0
 	for i := 0; i < 400; i++ {
-		b.h.now += 10 * time.Millisecond
-		if b.call(0, 1, fmt.Sprint("s", i)) == "send 1" {
+		f.host.now += 10 * time.Millisecond
+		if f.offerAndAwait(0, 1, fmt.Sprint("s", i)) == "send 1" {
 			sent++
 		}
 	}
 	if sent < 1 || sent > 4 {
-		t.Errorf("%d calls at risk in 4 s of silence, want 1 to 4", sent)
+		t.Errorf("%d trial attempts in 4 s without an answer, want 1 to 4", sent)
 	}
-	b.stand(b.h.out[len(b.h.out)-1])
-	if b.c.exchange(1, false).silent {
-		t.Error("still taken for silent after an answer")
+	f.establish(f.host.openAttempts[len(f.host.openAttempts)-1])
+	if f.controller.exchangeByNumber(1, false).unresponsive {
+		t.Error("still unresponsive after an answer")
 	}
 }
 
-func TestTurnBacksQuietenATandem(t *testing.T) {
-	b := quietBed(t, nil)
-	b.report("o1", 0)
-	tries := 0
+func TestTurnBacksLowerTheTandemWeight(t *testing.T) {
+	f := newManualFixture(t, nil)
+	f.report("o1", 0)
+	attempts := 0
 	for i := 0; i < 400; i++ {
-		if strings.HasPrefix(b.call(0, 1, fmt.Sprint(i)), "send") {
-			for tries++; b.h.calls[b.next].out; tries++ {
-				b.fails(b.next, Full, NoteTurnedBack)
+		if strings.HasPrefix(f.offerAndAwait(0, 1, fmt.Sprint(i)), "send") {
+			for attempts++; f.host.calls[f.lastID].attemptOpen; attempts++ {
+				f.endAttempt(f.lastID, Full, NoteTurnedBack)
 			}
 		}
 	}
-	if tries == 0 || tries > 200 {
-		t.Errorf("%d tandem tries in 400 blocked calls that are all turned back", tries)
+	if attempts == 0 || attempts > 200 {
+		t.Errorf("%d attempts over tandems for 400 blocked calls that are all sent back", attempts)
 	}
 }
 
 func TestUnsafeCallIsNotRefusedOnceItMayHaveRun(t *testing.T) {
-	b := quietBed(t, func(s *Settings) { s.Classes[0].Safe = false })
-	b.call(0, 1, "a")
-	b.fails(1, Faulted, 0)
-	if last := b.h.acts[len(b.h.acts)-1]; last != "fail 1" {
+	f := newManualFixture(t, func(settings *Settings) { settings.Classes[0].Safe = false })
+	f.offerAndAwait(0, 1, "a")
+	f.endAttempt(1, Faulted, 0)
+	if last := f.host.actions[len(f.host.actions)-1]; last != "fail 1" {
 		t.Errorf("last action %q", last)
 	}
 }
 
 func TestBusyNumberIsTriedOneAtATime(t *testing.T) {
-	b := quietBed(t, nil)
-	b.call(0, 1, "hot")
-	b.fails(1, Faulted, NoteBusy)
-	if got := b.call(0, 1, "hot"); got != "refuse " {
+	f := newManualFixture(t, nil)
+	f.offerAndAwait(0, 1, "hot")
+	f.endAttempt(1, Faulted, NoteBusy)
+	if got := f.offerAndAwait(0, 1, "hot"); got != "refuse " {
 		t.Errorf("second call at once: %q", got)
 	}
-	if got := b.call(0, 1, "cool"); got != "send 1" {
+	if got := f.offerAndAwait(0, 1, "cool"); got != "send 1" {
 		t.Errorf("another number: %q", got)
 	}
 }
 
 func TestPoolsTakeTheSecondChoice(t *testing.T) {
-	b := quietBed(t, func(s *Settings) { s.Pools, s.Home = true, -1; s.Classes[0].Pools = []int{1, 3} })
-	b.report("o1", 0)
+	f := newManualFixture(t, func(settings *Settings) {
+		settings.Pools, settings.Home = true, -1
+		settings.Classes[0].Pools = []int{1, 3}
+	})
+	f.report("o1", 0)
 	for i := 0; i < 50; i++ {
-		if got := b.call(0, 1, fmt.Sprint(i)); got != "send 3" && got != "refuse " {
+		if got := f.offerAndAwait(0, 1, fmt.Sprint(i)); got != "send 3" && got != "refuse " {
 			t.Fatalf("call went %q", got)
 		}
 	}
-	if b.c.exchange(3, false).used[2] == 0 {
+	if f.controller.exchangeByNumber(3, false).ownInUseByClass[2] == 0 {
 		t.Error("the second choice took nothing")
 	}
 }
 
 func TestOddSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no reports":   func(s *Settings) { s.ReportFields = nil },
-		"zero release": func(s *Settings) { s.Release = 0 },
-		"too wide":     func(s *Settings) { s.Classes[0].Width = 40 },
-		"zero holds":   func(s *Settings) { s.Classes[0].Hold, s.Classes[1].Hold = 0, 0 },
-		"no worth":     func(s *Settings) { s.Classes[0].Worth, s.Classes[1].Worth = 0, 0 },
-		"no cold rule": func(s *Settings) { s.ColdFor, s.TipAfter = 0, 0 },
+		"no reports":   func(settings *Settings) { settings.ReportFields = nil },
+		"zero release": func(settings *Settings) { settings.Release = 0 },
+		"too wide":     func(settings *Settings) { settings.Classes[0].Width = 40 },
+		"zero holds":   func(settings *Settings) { settings.Classes[0].Hold, settings.Classes[1].Hold = 0, 0 },
+		"no worth":     func(settings *Settings) { settings.Classes[0].Worth, settings.Classes[1].Worth = 0, 0 },
+		"no cold rule": func(settings *Settings) { settings.ColdFor, settings.TipAfter = 0, 0 },
 	} {
-		b := quietBed(t, change)
+		f := newManualFixture(t, change)
 		for i := 0; i < 3000; i++ {
-			b.step()
+			f.step()
 		}
-		for _, p := range b.h.problems {
-			if !strings.Contains(p, "cold") {
-				t.Errorf("%s: %s", name, p)
+		for _, violation := range f.host.violations {
+			if !strings.Contains(violation, "cold") {
+				t.Errorf("%s: %s", name, violation)
 				break
 			}
 		}
 	}
-	if got := quietBed(t, nil).call(5, 1, "x"); got != "refuse " {
+	if got := newManualFixture(t, nil).offerAndAwait(5, 1, "x"); got != "refuse " {
 		t.Errorf("unknown class: %q", got)
 	}
 }
 
-func TestAbsurdReportsAreUnknown(t *testing.T) {
-	b := quietBed(t, nil)
-	e := b.c.exchange(1, false)
-	b.c.Report(0, Report{Office: "o1", OK: true, Load: []float64{-1, -1, -1}})
-	b.c.Report(0, Report{Office: "o1", OK: true, Load: []float64{1e300, 1e300, 7}})
-	if e.free != 30 || e.total != 30 || e.eps != 0 {
-		t.Errorf("free %d total %d eps %v", e.free, e.total, e.eps)
+func TestInvalidReportValuesAreIgnored(t *testing.T) {
+	f := newManualFixture(t, nil)
+	exchange := f.controller.exchangeByNumber(1, false)
+	f.controller.Report(0, Report{Office: "o1", OK: true, Load: []float64{-1, -1, -1}})
+	f.controller.Report(0, Report{Office: "o1", OK: true, Load: []float64{1e300, 1e300, 7}})
+	if exchange.free != 30 || exchange.total != 30 || exchange.reduction != 0 {
+		t.Errorf("free %d total %d reduction %v", exchange.free, exchange.total, exchange.reduction)
 	}
 }
 
-// Guards against a herd of calls toward an office that is down while the list still names it.
-// Its trials come as fast as the traffic is: a second is nothing to a class of one aim and an outage to another.
+// Guards against many calls being sent to an office that is down while service discovery still lists it. The interval
+// between trial attempts must follow the shortest aim: how long an outage of a second is depends on the traffic.
 func TestNoConnectionLeavesSingleTrials(t *testing.T) {
 	for _, aim := range []time.Duration{0, time.Second, 200 * time.Millisecond} {
-		b := quietBed(t, func(s *Settings) { s.Classes[0].Aim, s.Classes[1].Aim = aim, aim })
+		f := newManualFixture(t, func(settings *Settings) { settings.Classes[0].Aim, settings.Classes[1].Aim = aim, aim })
 		aim = cmp.Or(aim, time.Second) // none set
-		gap := time.Duration(firstTrial * float64(aim))
-		b.call(0, 1, "a")
-		b.fails(1, NoConnect, 0)
-		b.h.now += gap - 10*time.Millisecond
-		if got := b.call(0, 1, "b"); got != "refuse " {
+		interval := time.Duration(firstTrialFactor * float64(aim))
+		f.offerAndAwait(0, 1, "a")
+		f.endAttempt(1, NoConnect, 0)
+		f.host.now += interval - 10*time.Millisecond
+		if got := f.offerAndAwait(0, 1, "b"); got != "refuse " {
 			t.Errorf("aim %v: soon after a failed connection: %q", aim, got)
 		}
-		b.h.now += 20 * time.Millisecond
-		if got := b.call(0, 1, "c"); got != "send 1" {
-			t.Errorf("aim %v: trial after %v: %q", aim, gap, got)
+		f.host.now += 20 * time.Millisecond
+		if got := f.offerAndAwait(0, 1, "c"); got != "send 1" {
+			t.Errorf("aim %v: trial after %v: %q", aim, interval, got)
 		}
 	}
 }
 
-// A delay learnt from a queue is forgotten as fast as callers are impatient.
-func TestDelaysFadeWithTheAims(t *testing.T) {
+// A measured delay decays with a half-life that follows the shortest aim.
+func TestDelayHalfLifeFollowsTheAims(t *testing.T) {
 	for _, aim := range []time.Duration{0, time.Second, 200 * time.Millisecond} {
-		b := quietBed(t, func(s *Settings) { s.Classes[0].Aim, s.Classes[1].Aim = aim, aim })
-		e, full := b.c.exchange(1, false), time.Second
-		e.delay, e.delayAt = full, b.c.now
-		if d := b.c.delayOf(e); d != full {
-			t.Errorf("aim %v: %v at once", aim, d)
+		f := newManualFixture(t, func(settings *Settings) { settings.Classes[0].Aim, settings.Classes[1].Aim = aim, aim })
+		exchange, full := f.controller.exchangeByNumber(1, false), time.Second
+		exchange.setUpDelay, exchange.setUpDelayAt = full, f.controller.now
+		if delay := f.controller.expectedDelay(exchange); delay != full {
+			t.Errorf("aim %v: %v at once", aim, delay)
 		}
-		b.c.now += time.Duration(fadePart * float64(cmp.Or(aim, time.Second)))
-		if d := b.c.delayOf(e); d != full/2 {
-			t.Errorf("aim %v: %v after a half-life", aim, d)
+		f.controller.now += time.Duration(delayHalfLifeFactor * float64(cmp.Or(aim, time.Second)))
+		if delay := f.controller.expectedDelay(exchange); delay != full/2 {
+			t.Errorf("aim %v: %v after a half-life", aim, delay)
 		}
 	}
 }
 
-// Guards against shedding that outlives the jam: one call at a time finds out.
-func TestPressedExchangeIsTriedOneAtATime(t *testing.T) {
-	b := quietBed(t, nil)
-	e := b.c.exchange(1, false)
-	b.c.observe(e, 3*time.Second, false)
-	if got := b.call(0, 1, "a"); got != "send 1" {
+// Guards against load shedding that outlasts the overload: one call at a time must be let through to notice its end.
+func TestSlowExchangeIsTriedOneAtATime(t *testing.T) {
+	f := newManualFixture(t, nil)
+	exchange := f.controller.exchangeByNumber(1, false)
+	f.controller.recordSetUpDelay(exchange, 3*time.Second, false)
+	if got := f.offerAndAwait(0, 1, "a"); got != "send 1" {
 		t.Errorf("first call: %q", got)
 	}
-	if got := b.call(0, 1, "b"); got != "refuse " {
+	if got := f.offerAndAwait(0, 1, "b"); got != "refuse " {
 		t.Errorf("second call: %q", got)
 	}
 }
 
-// Guards against callers who come back only when their aim is past.
-func TestAdvisedWaitLeavesTheAim(t *testing.T) {
+// Guards against a retry-after so long that callers redial only when their aim is past.
+func TestRetryAfterIsShorterThanTheAim(t *testing.T) {
 	for _, class := range []int{0, 1} {
-		b := quietBed(t, func(s *Settings) { s.MaxWait = 2 * time.Second })
-		for x := 1; x < 6; x++ {
-			b.report(fmt.Sprintf("o%d", x), 0)
+		f := newManualFixture(t, func(settings *Settings) { settings.MaxWait = 2 * time.Second })
+		for number := 1; number < 6; number++ {
+			f.report(fmt.Sprintf("o%d", number), 0)
 		}
-		b.call(class, 1, "a")
-		if aim := b.h.set.Classes[class].Aim; b.h.wait <= 0 || b.h.wait > aim/2 {
-			t.Errorf("class %d: advised wait %v, aim %v", class, b.h.wait, aim)
+		f.offerAndAwait(class, 1, "a")
+		if aim := f.host.settings.Classes[class].Aim; f.host.lastRetryAfter <= 0 || f.host.lastRetryAfter > aim/2 {
+			t.Errorf("class %d: retry-after %v, aim %v", class, f.host.lastRetryAfter, aim)
 		}
 	}
 }
 
-// Guards against a reserve sized as if short calls of the worthiest class held circuits as long as the others.
+// Guards against a reservation as if calls of the worthiest class held circuits as long as others when theirs are shorter.
 func TestShortHoldsNeedLessReserve(t *testing.T) {
-	reserve := func(hold time.Duration) int {
-		b := quietBed(t, func(s *Settings) { s.Classes[1].Hold = hold })
-		e := b.c.exchange(1, false)
-		e.counts[0][0], e.counts[0][1] = 60, 24
-		b.c.counts[0][0], b.c.counts[0][1] = 300, 120
-		b.h.now = b.c.birth + window
-		b.c.now = b.h.now
-		b.c.rescore(e)
-		return e.reserve
-	}
-	if long, short := reserve(10*time.Second), reserve(3*time.Second); short >= long || short == 0 {
-		t.Errorf("reserve %d with short holds, %d with long ones", short, long)
-	}
-}
-
-// Guards against advice lost in the draw of a large fleet, and against a centre that is wrong for long.
-func TestAdvisedTandemGoesFirstWhileItStands(t *testing.T) {
-	b := quietBed(t, nil)
-	b.report("o1", 0)
-	tries := func(end func(id uint64)) (n int) {
+	reservedFor := func(hold time.Duration) int {
+		f := newManualFixture(t, func(settings *Settings) { settings.Classes[1].Hold = hold })
+		exchange := f.controller.exchangeByNumber(1, false)
+		exchange.offeredCalls[0][0], exchange.offeredCalls[0][1] = 60, 24
+		f.controller.offeredCalls[0][0], f.controller.offeredCalls[0][1] = 300, 120
+		f.host.now = f.controller.startedAt + countWindow
+		f.controller.now = f.host.now
+		f.controller.updatePartition(exchange)
+		return exchange.reserved
+	}
+	if long, short := reservedFor(10*time.Second), reservedFor(3*time.Second); short >= long || short == 0 {
+		t.Errorf("%d circuits reserved with short holds, %d with long ones", short, long)
+	}
+}
+
+// Guards against advised tandems that are hardly used in a large fleet, and against following advice that fails again and
+// again.
+func TestAdvisedTandemGoesFirstWhileItSucceeds(t *testing.T) {
+	f := newManualFixture(t, nil)
+	f.report("o1", 0)
+	advisedCount := func(endCall func(id uint64)) (count int) {
 		for i := 0; i < 100; i++ {
-			b.next++
-			b.h.calls[b.next] = &watched{dest: 1, due: b.h.now + 3*time.Second}
-			b.c.Offered(b.h.now, Call{ID: b.next, Dest: 1, Via: 3, TimeLeft: 3 * time.Second, Number: fmt.Sprint(b.next)})
-			if k := b.h.calls[b.next]; k.out && k.office == "o3" {
-				n++
+			f.lastID++
+			f.host.calls[f.lastID] = &checkedCall{dest: 1, answerBy: f.host.now + 3*time.Second}
+			f.controller.Offered(f.host.now, Call{ID: f.lastID, Dest: 1, Via: 3, TimeLeft: 3 * time.Second,
+				Number: fmt.Sprint(f.lastID)})
+			if call := f.host.calls[f.lastID]; call.attemptOpen && call.office == "o3" {
+				count++
 			}
-			for b.h.calls[b.next].out && !b.h.calls[b.next].stands {
-				end(b.next)
+			for f.host.calls[f.lastID].attemptOpen && !f.host.calls[f.lastID].established {
+				endCall(f.lastID)
 			}
 		}
-		return n
+		return count
 	}
-	if n := tries(b.stand); n < 15 {
-		t.Errorf("advised tandem first in %d of the calls that find room there", n)
+	if count := advisedCount(f.establish); count < 15 {
+		t.Errorf("advised tandem first in %d of the calls that find room there, want 15 or more", count)
 	}
-	b.report("o3", 30)
-	tries(func(id uint64) { b.fails(id, Full, NoteTurnedBack) })
-	if b.c.trust > 0.1 {
-		t.Errorf("trust %v after 100 turn-backs", b.c.trust)
+	f.report("o3", 30)
+	advisedCount(func(id uint64) { f.endAttempt(id, Full, NoteTurnedBack) })
+	if f.controller.adviceSuccessRate > 0.1 {
+		t.Errorf("success rate of advice %v after 100 calls were sent back", f.controller.adviceSuccessRate)
 	}
 }
 
-// Guards against splits that jump on the noise of a handful of calls: in a thin group the two calls that came
-// are weighed against what all groups saw, in a thick one its own counts decide.
-func TestThinGroupsPoolTheirCounts(t *testing.T) {
-	b := quietBed(t, nil)
-	thin, thick := b.c.exchange(1, false), b.c.exchange(2, false)
-	b.c.circuits += 3 - thin.total
-	thin.total, thin.free = 3, 1
-	b.h.now = b.c.birth + window
-	b.c.now = b.h.now
-	b.c.counts[0][0], b.c.counts[0][1] = 180, 20
-	thin.counts[0][1] = 2 // both of the worthiest class
-	if l := b.c.loads(thin); l[0].erlangs >= l[1].erlangs {
-		t.Errorf("thin group: worthiest %.2f, others %.2f", l[0].erlangs, l[1].erlangs)
+// Guards against partitions that follow the noise of a few calls: in a small group two calls are weighted against the
+// traffic mix of all groups, in a large one its own counts decide.
+func TestSmallGroupsUseTheCountsOfAllGroups(t *testing.T) {
+	f := newManualFixture(t, nil)
+	small, large := f.controller.exchangeByNumber(1, false), f.controller.exchangeByNumber(2, false)
+	f.controller.totalCircuits += 3 - small.total
+	small.total, small.free = 3, 1
+	f.host.now = f.controller.startedAt + countWindow
+	f.controller.now = f.host.now
+	f.controller.offeredCalls[0][0], f.controller.offeredCalls[0][1] = 180, 20
+	small.offeredCalls[0][1] = 2 // both of the worthiest class
+	if loads := f.controller.offeredLoads(small); loads[0].erlangs >= loads[1].erlangs {
+		t.Errorf("small group: worthiest %.2f, others %.2f", loads[0].erlangs, loads[1].erlangs)
 	}
-	thick.counts[0][1] = 60
-	if l := b.c.loads(thick); l[0].erlangs < 5*l[1].erlangs {
-		t.Errorf("thick group: worthiest %.2f, others %.2f", l[0].erlangs, l[1].erlangs)
+	large.offeredCalls[0][1] = 60
+	if loads := f.controller.offeredLoads(large); loads[0].erlangs < 5*loads[1].erlangs {
+		t.Errorf("large group: worthiest %.2f, others %.2f", loads[0].erlangs, loads[1].erlangs)
 	}
 }
 
-// Guards against equal buckets: 90 call servers with less than a call each in the whole cold span would send
-// nothing for seconds, and then all at once. Together they use the budget early and stay under it.
-func TestColdBudgetOfManyCallServers(t *testing.T) {
+// Guards against slow-start budgets that accrue in step: 90 call servers, each with a budget of less than one call, would
+// send nothing for seconds and then all at once. Together they must use the budget early and not exceed it.
+func TestSlowStartBudgetOfManyCallServers(t *testing.T) {
 	const servers = 90
 	for _, tt := range []struct {
-		demand float64 // calls a second of each call server
-		least  float64 // part of the budget used in the first TipAfter
+		demand float64 // calls per second of each call server
+		least  float64 // least share of the budget used in the first TipAfter
 	}{{0.1, 0.05}, {50, 0.5}} {
 		sent, budget := 0, 0.0
 		for i := 0; i < servers; i++ {
-			s := testSettings()
-			s.Me, s.Instances, s.ColdFor, s.Host = i, servers, time.Minute, newChecker(s)
-			c, err := New(s, int64(i))
+			settings := testSettings()
+			settings.Me, settings.Instances, settings.ColdFor, settings.Host = i, servers, time.Minute, newRuleChecker(settings)
+			c, err := New(settings, int64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.circuits = 150
-			e := c.exchange(1, true)
-			e.total = 2 // of them
+			c.totalCircuits = 150
+			exchange := c.exchangeByNumber(1, true)
+			exchange.total = 2 // of them
 			c.now = time.Second
-			c.chill(e, c.now)
-			budget = c.share(e) * servers
-			for ; c.now < time.Second+s.TipAfter; c.now += 20 * time.Millisecond {
-				if c.rng.Float64() < tt.demand*0.02 && c.warm(e) {
-					e.tokens--
+			c.startSlowStart(exchange, c.now)
+			budget = c.slowStartBudget(exchange) * servers
+			for ; c.now < time.Second+settings.TipAfter; c.now += 20 * time.Millisecond {
+				if c.rng.Float64() < tt.demand*0.02 && c.slowStartAllows(exchange) {
+					exchange.tokens--
 					sent++
 				}
 			}
 		}
-		if part := float64(sent) / budget; part < tt.least || part > 1 {
-			t.Errorf("demand %v: %.2f of the budget used in the first window", tt.demand, part)
+		if share := float64(sent) / budget; share < tt.least || share > 1 {
+			t.Errorf("demand %v: %.2f of the budget used in the first window", tt.demand, share)
 		}
 	}
 }
 
-// coldFleet is call servers of very unequal size around one cold exchange, each with its own group toward it.
-type coldFleet struct {
-	t       *testing.T
-	all     []*Controller
-	size    []float64
-	started time.Duration
-	budget  float64 // what all of them may send within TipAfter while it is coldest
-	sends   []time.Duration
+// slowStartFleet is a set of call servers of very different sizes, each with a trunk group toward the same cold exchange.
+type slowStartFleet struct {
+	t           *testing.T
+	controllers []*Controller
+	sizes       []float64       // circuits of each call server
+	started     time.Duration   // start of the exchange
+	budget      float64         // attempts that all together may send in the first TipAfter
+	sentAt      []time.Duration // times of the attempts sent
 }
 
-// newColdFleet makes call servers of whose circuits the largest has ten times as many as the smallest; the cold
-// exchange is as small as the smallest. Groups are as traffic is: by the sizes of both ends.
-func newColdFleet(t *testing.T, servers int) *coldFleet {
-	f := &coldFleet{t: t, size: make([]float64, servers), started: time.Minute}
+// newSlowStartFleet makes call servers of which the largest has ten times as many circuits as the smallest. The cold
+// exchange is as small as the smallest. Trunk groups are proportional to the sizes of both ends.
+func newSlowStartFleet(t *testing.T, servers int) *slowStartFleet {
+	f := &slowStartFleet{t: t, sizes: make([]float64, servers), started: time.Minute}
 	sum := 0.0
-	for i := range f.size {
-		f.size[i] = 68 * math.Pow(10, float64(i)/float64(servers-1))
-		sum += f.size[i]
+	for i := range f.sizes {
+		f.sizes[i] = 68 * math.Pow(10, float64(i)/float64(servers-1))
+		sum += f.sizes[i]
 	}
 	circuits := 0
-	for i := range f.size {
-		g := max(1, int(f.size[i]*f.size[0]/sum+0.5))
-		circuits += g
-		f.all = append(f.all, f.born(i, g, f.started))
-	}
-	c := f.all[0]
-	f.budget = c.set.Overload * c.set.ColdFrom * headroom * float64(circuits) / (c.meanHold().Seconds() * c.meanWidth()) *
-		c.set.TipAfter.Seconds()
+	for i := range f.sizes {
+		group := max(1, int(f.sizes[i]*f.sizes[0]/sum+0.5))
+		circuits += group
+		f.controllers = append(f.controllers, f.newController(i, group, f.started))
+	}
+	c := f.controllers[0]
+	f.budget = c.settings.Overload * c.settings.ColdFrom * processorHeadroom * float64(circuits) /
+		(c.meanHold().Seconds() * c.meanWidth()) * c.settings.TipAfter.Seconds()
 	return f
 }
 
-// born makes a call server that hears of the cold exchange now.
-func (f *coldFleet) born(i, group int, now time.Duration) *Controller {
-	s := testSettings()
-	s.Me, s.Instances, s.ColdFor, s.Host = i, len(f.size), 15*time.Second, newChecker(s)
-	c, err := New(s, int64(i)+int64(now))
+// newController makes a call server that learns now that the exchange has started.
+func (f *slowStartFleet) newController(number, group int, now time.Duration) *Controller {
+	settings := testSettings()
+	settings.Me, settings.Instances, settings.ColdFor, settings.Host = number, len(f.sizes), 15*time.Second,
+		newRuleChecker(settings)
+	c, err := New(settings, int64(number)+int64(now))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	c.circuits = int(f.size[i])
-	e := c.exchange(1, true)
-	e.total, c.now = group, now
-	c.chill(e, f.started)
+	c.totalCircuits = int(f.sizes[number])
+	exchange := c.exchangeByNumber(1, true)
+	exchange.total, c.now = group, now
+	c.startSlowStart(exchange, f.started)
 	return c
 }
 
-// play has calls for the cold exchange come at a rate in each call server, from a time after its start on; allow is the
-// rule under test.
-func (f *coldFleet) play(from, until time.Duration, rate float64, allow func(*Controller, *exchange) bool) {
+// run offers calls for the cold exchange to each call server, rate per second, between two times after its start; allow is
+// the rule under test.
+func (f *slowStartFleet) run(from, until time.Duration, rate float64, allow func(*Controller, *exchangeRecord) bool) {
 	const step = 20 * time.Millisecond
 	for now := f.started + from; now < f.started+until; now += step {
-		for _, c := range f.all {
+		for _, c := range f.controllers {
 			c.now = now
-			if e := c.exchange(1, false); c.rng.Float64() < rate*step.Seconds() && allow(c, e) {
-				e.tokens--
-				f.sends = append(f.sends, now)
+			if exchange := c.exchangeByNumber(1, false); c.rng.Float64() < rate*step.Seconds() && allow(c, exchange) {
+				exchange.tokens--
+				f.sentAt = append(f.sentAt, now)
 			}
 		}
 	}
 }
 
-// worst is the most that was sent within TipAfter beside what a cold exchange bears then: its budget N and, by chance,
-// twice the root of N and two more.
-func (f *coldFleet) worst() (part float64, sent int) {
-	s := f.all[0].set
-	for last, first := 0, 0; last < len(f.sends); last++ {
-		for f.sends[last]-f.sends[first] >= s.TipAfter {
+// worstWindow is the greatest load within TipAfter, as a share of what a cold exchange can take, and the attempts sent in
+// it. With a budget N that is N and, for random variation, twice the root of N and two more.
+func (f *slowStartFleet) worstWindow() (share float64, sent int) {
+	settings := f.controllers[0].settings
+	for latest, first := 0, 0; latest < len(f.sentAt); latest++ {
+		for f.sentAt[latest]-f.sentAt[first] >= settings.TipAfter {
 			first++
 		}
-		age := float64(f.sends[last] - f.started)
-		n := f.budget * (s.ColdFrom + (1-s.ColdFrom)*math.Min(1, age/float64(s.ColdFor))) / s.ColdFrom
-		if p := float64(last-first+1) / (n + 2*math.Sqrt(n) + 2); p > part {
-			part, sent = p, last-first+1
+		age := float64(f.sentAt[latest] - f.started)
+		allowed := f.budget * (settings.ColdFrom + (1-settings.ColdFrom)*math.Min(1, age/float64(settings.ColdFor))) /
+			settings.ColdFrom
+		if excess := float64(latest-first+1) / (allowed + 2*math.Sqrt(allowed) + 2); excess > share {
+			share, sent = excess, latest-first+1
 		}
 	}
-	return part, sent
+	return share, sent
 }
 
-// Guards against a cold exchange that falls under what all call servers send together, each of which keeps to a share of
-// under one call: whenever they are wanted all at once, after any silence, and when most of them start anew.
-func TestColdBudgetOfAFleet(t *testing.T) {
-	ready := func(c *Controller, e *exchange) bool { return c.warm(e) }
-	saved := func(c *Controller, e *exchange) bool { // the breach: each holds a whole call when all are wanted
-		if c.now-e.tokensAt < c.set.TipAfter {
+// Guards against a cold exchange that fails under what all call servers send together although each keeps to its share of
+// less than one call: when all have calls for it at once, after any time without calls, and when most of them restart.
+func TestSlowStartBudgetOfAFleet(t *testing.T) {
+	withinBudget := func(c *Controller, exchange *exchangeRecord) bool { return c.slowStartAllows(exchange) }
+	// The faulty rule, which the test must find: each call server saves up a whole call.
+	saveWholeCall := func(c *Controller, exchange *exchangeRecord) bool {
+		if c.now-exchange.tokensAt < c.settings.TipAfter {
 			return false
 		}
-		e.tokens, e.tokensAt = 1, c.now
+		exchange.tokens, exchange.tokensAt = 1, c.now
 		return true
 	}
 	for _, servers := range []int{30, 48, 90} {
 		for _, silence := range []time.Duration{0, time.Second, 3 * time.Second, 6 * time.Second} {
-			f := newColdFleet(t, servers)
-			f.play(silence, 10*time.Second, 20, ready)
-			part, sent := f.worst()
-			t.Logf("%d call servers, wanted after %v: %d sent in a window, %.2f of what it bears, %d in all, budget %.1f", servers, silence, sent, part, len(f.sends), f.budget)
-			if part > 1 {
-				t.Errorf("%d call servers, all wanted after %v: %d sent, %.2f of what it bears", servers, silence, sent, part)
-			} else if float64(len(f.sends)) < 0.3*f.budget {
-				t.Errorf("%d call servers, all wanted after %v: only %d sent, budget %.1f", servers, silence, len(f.sends), f.budget)
+			f := newSlowStartFleet(t, servers)
+			f.run(silence, 10*time.Second, 20, withinBudget)
+			share, sent := f.worstWindow()
+			t.Logf("%d call servers, first calls after %v: %d sent in a window, %.2f of the capacity, %d in all, budget %.1f",
+				servers, silence, sent, share, len(f.sentAt), f.budget)
+			if share > 1 {
+				t.Errorf("%d call servers, first calls after %v: %d sent, %.2f of the capacity", servers, silence, sent, share)
+			} else if float64(len(f.sentAt)) < 0.3*f.budget {
+				t.Errorf("%d call servers, first calls after %v: only %d sent, budget %.1f", servers, silence, len(f.sentAt), f.budget)
 			}
 		}
-		f := newColdFleet(t, servers)
-		f.play(0, 2*time.Second, 20, ready)
-		for i := range f.all {
+		f := newSlowStartFleet(t, servers)
+		f.run(0, 2*time.Second, 20, withinBudget)
+		for i := range f.controllers {
 			if i%10 < 7 {
-				f.all[i] = f.born(i, f.all[i].exchange(1, false).total, f.started+2*time.Second)
+				f.controllers[i] = f.newController(i, f.controllers[i].exchangeByNumber(1, false).total, f.started+2*time.Second)
 			}
 		}
-		f.play(2*time.Second, 10*time.Second, 20, ready)
-		if part, sent := f.worst(); part > 1 {
-			t.Errorf("%d call servers, seven in ten started anew: %d sent, %.2f of what it bears", servers, sent, part)
+		f.run(2*time.Second, 10*time.Second, 20, withinBudget)
+		if share, sent := f.worstWindow(); share > 1 {
+			t.Errorf("%d call servers, seven in ten restarted: %d sent, %.2f of the capacity", servers, sent, share)
 		}
 	}
 	for _, servers := range []int{48, 90} {
-		f := newColdFleet(t, servers)
-		f.play(3*time.Second, 6*time.Second, 20, saved)
-		if part, sent := f.worst(); part <= 1 {
-			t.Errorf("the check does not find %d call servers that save up a call each: %d sent, %.2f", servers, sent, part)
+		f := newSlowStartFleet(t, servers)
+		f.run(3*time.Second, 6*time.Second, 20, saveWholeCall)
+		if share, sent := f.worstWindow(); share <= 1 {
+			t.Errorf("the test does not find that %d call servers save up a call each: %d sent, %.2f of the capacity",
+				servers, sent, share)
 		}
 	}
 }
 
-// Guards against refusing for want of a circuit that frees in a moment, and against a second attempt for a call
-// that waited, was sent by its timer and then timed out: it must leave the queue before the group is told free.
+// Guards against refusing a call for which a circuit would soon be free, and against a second attempt of a call that
+// waited, was sent by its timer and then timed out: it must leave the waiting calls before free circuits are reported.
 func TestBlockedCallWaitsForItsGroup(t *testing.T) {
-	b := quietBed(t, nil)
-	for x := 1; x < 6; x++ {
-		b.report(fmt.Sprintf("o%d", x), 0)
+	f := newManualFixture(t, nil)
+	for number := 1; number < 6; number++ {
+		f.report(fmt.Sprintf("o%d", number), 0)
 	}
 	for id := uint64(1); id < 4; id++ {
-		b.h.calls[id] = &watched{dest: 1, due: b.h.now + 3*time.Second}
-		b.c.Offered(b.h.now, Call{ID: id, Dest: 1, Via: -1, TimeLeft: 3 * time.Second, Number: fmt.Sprint(id)})
+		f.host.calls[id] = &checkedCall{dest: 1, answerBy: f.host.now + 3*time.Second}
+		f.controller.Offered(f.host.now, Call{ID: id, Dest: 1, Via: -1, TimeLeft: 3 * time.Second, Number: fmt.Sprint(id)})
 	}
-	b.h.now += 100 * time.Millisecond
-	b.report("o1", 1)
-	if !b.h.calls[1].out || b.h.calls[2].out || b.h.calls[2].over {
+	f.host.now += 100 * time.Millisecond
+	f.report("o1", 1)
+	if !f.host.calls[1].attemptOpen || f.host.calls[2].attemptOpen || f.host.calls[2].answered {
 		t.Fatal("one circuit freed: the first call takes it, the others wait")
 	}
-	b.stand(1)
-	b.c.exchange(1, false).free = 1 // as the timer finds it
-	b.h.now += 650 * time.Millisecond
-	b.c.Timer(b.h.now, "c2")
-	b.c.Timer(b.h.now, "c3")
-	if !b.h.calls[2].out || !b.h.calls[3].over {
+	f.establish(1)
+	f.controller.exchangeByNumber(1, false).free = 1 // as the timer finds it
+	f.host.now += 650 * time.Millisecond
+	f.controller.Timer(f.host.now, "c2")
+	f.controller.Timer(f.host.now, "c3")
+	if !f.host.calls[2].attemptOpen || !f.host.calls[3].answered {
 		t.Fatal("at the end of the wait: one is sent, the other refused")
 	}
-	k := b.h.calls[2]
-	k.out, k.notBefore = false, b.h.now+b.h.set.Release
-	b.c.Outcome(b.h.now, Outcome{Call: 2, Office: "o1", Status: TimedOut, Load: []float64{5, 30, -1}})
-	if k.attempts != 1 || k.over || len(b.h.problems) > 0 {
-		t.Errorf("%d attempts, over %v, %v", k.attempts, k.over, b.h.problems)
+	call := f.host.calls[2]
+	call.attemptOpen, call.notBefore = false, f.host.now+f.host.settings.Release
+	f.controller.Outcome(f.host.now, Outcome{Call: 2, Office: "o1", Status: TimedOut, Load: []float64{5, 30, -1}})
+	if call.attempts != 1 || call.answered || len(f.host.violations) > 0 {
+		t.Errorf("%d attempts, answered %v, %v", call.attempts, call.answered, f.host.violations)
 	}
 }
 
-// Guards against a call server that stood still and takes its own pause for the silence or the delay of others.
-func TestOwnPauseIsNotOthersSilence(t *testing.T) {
-	b := quietBed(t, nil)
-	b.call(0, 1, "a")
-	b.call(0, 2, "b")
-	b.h.now += 2 * time.Second // nothing came meanwhile: then all comes at once
-	if got := b.call(0, 3, "c"); got != "send 3" {
+// Guards against a call server that takes a pause of its own process for a delay or failure of exchanges.
+func TestOwnPauseDoesNotMakeExchangesUnresponsive(t *testing.T) {
+	f := newManualFixture(t, nil)
+	f.offerAndAwait(0, 1, "a")
+	f.offerAndAwait(0, 2, "b")
+	f.host.now += 2 * time.Second // a pause, after which all events come at once
+	if got := f.offerAndAwait(0, 3, "c"); got != "send 3" {
 		t.Errorf("call after the pause: %q", got)
 	}
-	if b.c.quiet(b.c.exchange(1, false)) {
-		t.Error("an exchange is taken for silent before its answers are read")
+	if f.controller.detectUnresponsive(f.controller.exchangeByNumber(1, false)) {
+		t.Error("an exchange is unresponsive before its answers are read")
 	}
-	b.c.Stands(b.h.now, Outcome{Call: 1, Office: "o1", Took: 2 * time.Second})
-	if d := b.c.delayOf(b.c.exchange(1, false)); d > 100*time.Millisecond {
-		t.Errorf("delay %v learnt from an answer that waited here", d)
+	f.controller.Stands(f.host.now, Outcome{Call: 1, Office: "o1", Took: 2 * time.Second})
+	if delay := f.controller.expectedDelay(f.controller.exchangeByNumber(1, false)); delay > 100*time.Millisecond {
+		t.Errorf("delay %v from an answer that waited for this process", delay)
 	}
-	b.h.now += 700 * time.Millisecond
-	b.c.Timer(b.h.now, "none")
-	b.h.now += 5 * time.Millisecond
-	b.c.Timer(b.h.now, "none")
-	if !b.c.quiet(b.c.exchange(2, false)) {
-		t.Error("an exchange that answers nothing while others are heard is not taken for silent")
+	f.host.now += 700 * time.Millisecond
+	f.controller.Timer(f.host.now, "none")
+	f.host.now += 5 * time.Millisecond
+	f.controller.Timer(f.host.now, "none")
+	if !f.controller.detectUnresponsive(f.controller.exchangeByNumber(2, false)) {
+		t.Error("an exchange without answers is not unresponsive while events of others come")
 	}
 }
 
-// Guards against shedding everything because some exchanges are dead: once they are known to be silent, their
-// time-outs are not the own delay.
-func TestDeadExchangesDoNotPressOthers(t *testing.T) {
-	b := quietBed(t, nil)
-	var dead []uint64
-	for x := 1; x < 4; x++ {
-		b.call(0, x, fmt.Sprint("dead", x))
-		dead = append(dead, b.next)
+// Guards against shedding all calls because some exchanges have failed: once they are unresponsive, their time-outs must
+// not count as own delay.
+func TestUnresponsiveExchangesDoNotShedOtherCalls(t *testing.T) {
+	f := newManualFixture(t, nil)
+	var unresponsive []uint64
+	for number := 1; number < 4; number++ {
+		f.offerAndAwait(0, number, fmt.Sprint("dead", number))
+		unresponsive = append(unresponsive, f.lastID)
 	}
 	for i := 0; i < 4; i++ {
-		b.h.now += 300 * time.Millisecond
-		b.c.Timer(b.h.now, "none")
+		f.host.now += 300 * time.Millisecond
+		f.controller.Timer(f.host.now, "none")
 	}
-	for x := 1; x < 4; x++ {
-		b.c.quiet(b.c.exchange(x, false)) // as the next call to it finds
+	for number := 1; number < 4; number++ {
+		f.controller.detectUnresponsive(f.controller.exchangeByNumber(number, false)) // as for the next call to it
 	}
-	b.call(0, 4, "fine")
-	b.stand(b.next)
-	b.call(0, 4, "open")
-	for _, id := range dead {
-		k := b.h.calls[id]
-		k.out = false
-		b.c.Outcome(b.h.now, Outcome{Call: id, Attempt: k.attempts - 1, Office: k.office, Status: TimedOut, Took: 4 * time.Second})
+	f.offerAndAwait(0, 4, "fine")
+	f.establish(f.lastID)
+	f.offerAndAwait(0, 4, "open")
+	for _, id := range unresponsive {
+		call := f.host.calls[id]
+		call.attemptOpen = false
+		f.controller.Outcome(f.host.now, Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office,
+			Status: TimedOut, Took: 4 * time.Second})
 	}
-	if got := b.call(0, 5, "other"); got != "send 5" {
-		t.Errorf("call to a live exchange: %q, own delay %v", got, b.c.ownDelay())
+	if got := f.offerAndAwait(0, 5, "other"); got != "send 5" {
+		t.Errorf("call to a live exchange: %q, own delay %v", got, f.controller.ownDelay())
 	}
 }
 
-// Guards against one trial an exchange where the own processor is slow: among many exchanges that sheds nothing.
-func TestSlowOwnProcessorTriesOneInAll(t *testing.T) {
-	b := quietBed(t, nil)
+// Guards against one attempt for each exchange while the own processor is slow: with many exchanges that would shed
+// nothing.
+func TestSlowOwnProcessorAllowsOneOutstandingCall(t *testing.T) {
+	f := newManualFixture(t, nil)
 	for i := 0; i < 40; i++ {
-		b.c.observe(b.c.exchange(1+i%5, false), 2*time.Second, true)
+		f.controller.recordSetUpDelay(f.controller.exchangeByNumber(1+i%5, false), 2*time.Second, true)
 	}
-	for _, e := range b.c.exchanges {
-		e.delay = 0 // seen long ago, as in a large fleet
+	for _, exchange := range f.controller.exchanges {
+		exchange.setUpDelay = 0 // as if measured long ago, like most in a large fleet
 	}
-	if got := b.call(0, 1, "a"); got != "send 1" {
+	if got := f.offerAndAwait(0, 1, "a"); got != "send 1" {
 		t.Errorf("first call: %q", got)
 	}
-	if got := b.call(0, 2, "b"); got != "refuse " {
+	if got := f.offerAndAwait(0, 2, "b"); got != "refuse " {
 		t.Errorf("call to another exchange meanwhile: %q", got)
 	}
 }
 
-// Guards against a cold budget spent on calls of others: a cold exchange is no tandem.
+// Guards against spending a slow-start budget on calls in transit: a cold exchange is no tandem.
 func TestColdExchangeIsNoTandem(t *testing.T) {
-	b := quietBed(t, nil)
-	e, k := b.c.exchange(2, false), &call{Call: Call{Width: 1, Dest: 1}, dest: b.c.exchange(1, false)}
-	if !b.c.usable(e, k) {
+	f := newManualFixture(t, nil)
+	exchange, call := f.controller.exchangeByNumber(2, false),
+		&callRecord{Call: Call{Width: 1, Dest: 1}, dest: f.controller.exchangeByNumber(1, false)}
+	if !f.controller.usableAsTandem(exchange, call) {
 		t.Fatal("a warm exchange with room is a tandem")
 	}
-	b.c.chill(e, b.h.now)
-	e.tokens = 5
-	if b.c.usable(e, k) {
+	f.controller.startSlowStart(exchange, f.host.now)
+	exchange.tokens = 5
+	if f.controller.usableAsTandem(exchange, call) {
 		t.Error("a cold exchange with budget left is used as a tandem")
 	}
 }
 
-// Guards against Controllers that share memory through the slices of their settings.
+// Guards against Controllers that share the slices of their settings.
 func TestSettingsAreCopied(t *testing.T) {
-	s := testSettings()
-	s.Classes = append(make([]Class, 0, 8), s.Classes...)
-	s.Classes[0].Pools = []int{1, 2}
-	s.Host = newChecker(s)
-	c, err := New(s, 1)
+	settings := testSettings()
+	settings.Classes = append(make([]Class, 0, 8), settings.Classes...)
+	settings.Classes[0].Pools = []int{1, 2}
+	settings.Host = newRuleChecker(settings)
+	first, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, _ := New(s, 2)
-	for _, x := range []*Controller{c, d} {
-		e := x.exchange(1, true)
-		e.total, x.circuits, x.counts[0][0], x.now = 10, 10, 20, time.Minute
-		x.rescore(e)
+	second, _ := New(settings, 2)
+	for _, controller := range []*Controller{first, second} {
+		exchange := controller.exchangeByNumber(1, true)
+		exchange.total, controller.totalCircuits, controller.offeredCalls[0][0], controller.now = 10, 10, 20, time.Minute
+		controller.updatePartition(exchange)
 	}
-	if spare := s.Classes[:3][2]; spare.Worth != 0 || spare.Width != 0 {
-		t.Errorf("written into the caller's slice: %+v", spare)
+	if beyond := settings.Classes[:3][2]; beyond.Worth != 0 || beyond.Width != 0 {
+		t.Errorf("written into the caller's slice: %+v", beyond)
 	}
-	s.Classes[0].Worth, s.Classes[0].Pools[0] = 99, 99
-	if c.set.Classes[0].Worth == 99 || c.set.Classes[0].Pools[0] == 99 {
+	settings.Classes[0].Worth, settings.Classes[0].Pools[0] = 99, 99
+	if first.settings.Classes[0].Worth == 99 || first.settings.Classes[0].Pools[0] == 99 {
 		t.Error("the Controller sees what the caller writes later")
 	}
 }
 
-// Guards against one lost answer that is taken for a queue or for silence: calls to its exchange were all turned away
-// until the attempt's time was over. It is called off once later ones have passed it, and tried again.
-func TestOneLostAnswerPressesNobody(t *testing.T) {
-	b := quietBed(t, func(s *Settings) { s.CanCancel = true })
-	b.call(0, 1, "lost")
-	lost := b.next
+// Guards against one lost answer that is taken for a queue or an unresponsive exchange, so that all calls to the exchange
+// are refused until the attempt times out. The attempt must be cancelled once several later ones were answered, and the
+// call tried again.
+func TestOneLostAnswerShedsNoCalls(t *testing.T) {
+	f := newManualFixture(t, func(settings *Settings) { settings.CanCancel = true })
+	f.offerAndAwait(0, 1, "lost")
+	lostID := f.lastID
 	for i := range 20 {
-		b.h.now += 100 * time.Millisecond
-		if got := b.call(0, 1, fmt.Sprint("n", i)); got != "send 1" {
+		f.host.now += 100 * time.Millisecond
+		if got := f.offerAndAwait(0, 1, fmt.Sprint("n", i)); got != "send 1" {
 			t.Fatalf("call %d behind a lost answer: %q", i, got)
 		}
-		b.h.now += 20 * time.Millisecond
-		b.stand(b.next)
+		f.host.now += 20 * time.Millisecond
+		f.establish(f.lastID)
 	}
-	e := b.c.exchange(1, false)
-	if d := b.c.delayOf(e); d > 100*time.Millisecond || b.c.quiet(e) {
-		t.Errorf("delay %v, silent %v", d, e.silent)
+	exchange := f.controller.exchangeByNumber(1, false)
+	if delay := f.controller.expectedDelay(exchange); delay > 100*time.Millisecond || f.controller.detectUnresponsive(exchange) {
+		t.Errorf("delay %v, unresponsive %v", delay, exchange.unresponsive)
 	}
 	cancels := 0
-	for _, a := range b.h.acts {
-		if strings.HasPrefix(a, fmt.Sprintf("cancel %d", lost)) {
+	for _, action := range f.host.actions {
+		if strings.HasPrefix(action, fmt.Sprintf("cancel %d", lostID)) {
 			cancels++
 		}
 	}
 	if cancels != 1 {
-		t.Errorf("the overtaken attempt was called off %d times", cancels)
+		t.Errorf("the overtaken attempt was cancelled %d times", cancels)
 	}
-	b.fails(lost, Cancelled, 0)
-	b.h.now += b.c.set.Release + 2*time.Millisecond
-	b.c.Timer(b.h.now, fmt.Sprint("c", lost))
-	if k := b.h.calls[lost]; k.attempts != 2 || !k.out {
-		t.Errorf("the call was not tried again: %+v", k)
+	f.endAttempt(lostID, Cancelled, 0)
+	f.host.now += f.controller.settings.Release + 2*time.Millisecond
+	f.controller.Timer(f.host.now, fmt.Sprint("c", lostID))
+	if call := f.host.calls[lostID]; call.attempts != 2 || !call.attemptOpen {
+		t.Errorf("the call was not tried again: %+v", call)
 	}
 }
 
-// Guards against a second without calls for one lost answer, where the group was full and nothing could pass it.
-func TestOneLostAnswerIsNoSilence(t *testing.T) {
-	for lost := 1; lost <= 2; lost++ { // two are a silence: a trial after a second
-		b := quietBed(t, nil)
-		for i := range lost {
-			if got := b.call(0, 1, fmt.Sprint("lost", i)); got != "send 1" {
+// Guards against an exchange marked unresponsive for one lost answer when its group was full, so that no later attempt
+// could overtake it.
+func TestOneLostAnswerIsNotUnresponsive(t *testing.T) {
+	for missing := 1; missing <= 2; missing++ { // with two the exchange is unresponsive
+		f := newManualFixture(t, nil)
+		for i := range missing {
+			if got := f.offerAndAwait(0, 1, fmt.Sprint("lost", i)); got != "send 1" {
 				t.Fatalf("call %d: %q", i, got)
 			}
 		}
-		b.report("o1", 0)
-		b.h.now += b.c.patience(b.c.exchange(1, false)) + 10*time.Millisecond
-		b.report("o1", 5)
-		b.h.now += 10 * time.Millisecond
-		if got := b.call(1, 1, "next"); (got == "send 1") != (lost == 1) {
-			t.Errorf("%d answers missing: %q", lost, got)
+		f.report("o1", 0)
+		f.host.now += f.controller.answerTimeout(f.controller.exchangeByNumber(1, false)) + 10*time.Millisecond
+		f.report("o1", 5)
+		f.host.now += 10 * time.Millisecond
+		if got := f.offerAndAwait(1, 1, "next"); (got == "send 1") != (missing == 1) {
+			t.Errorf("%d answers missing: %q", missing, got)
 		}
 	}
 }
 
-// A list that goes on naming new offices must not grow without end.
-func TestGoneOfficesAreForgotten(t *testing.T) {
-	b := quietBed(t, nil)
-	known := len(b.c.offices)
+// Memory must stay bounded when service discovery keeps naming new offices.
+func TestGoneOfficesAreRemoved(t *testing.T) {
+	f := newManualFixture(t, nil)
+	known := len(f.controller.offices)
 	for i := range 50 {
-		b.h.now += 6 * time.Second
-		b.c.List(b.h.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1}})
-		b.c.List(b.h.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1, State: Gone}})
-		b.c.Timer(b.h.now, "p")
+		f.host.now += 6 * time.Second
+		f.controller.List(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1}})
+		f.controller.List(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1, State: Gone}})
+		f.controller.Timer(f.host.now, "p")
 	}
-	if n, m := len(b.c.offices), len(b.c.exchange(1, false).offices); n != known || m != 1 {
-		t.Errorf("%d offices are kept, %d of them at one exchange", n, m)
+	if offices, atExchange := len(f.controller.offices),
+		len(f.controller.exchangeByNumber(1, false).offices); offices != known || atExchange != 1 {
+		t.Errorf("%d offices are kept, %d of them at one exchange", offices, atExchange)
 	}
 }
 
-// Guards against exchanges that fail most set-ups quickly: a fault strikes one attempt and spares the next.
-func TestFaultsAreTriedAgainWhileSomeStand(t *testing.T) {
-	b := quietBed(t, nil)
-	b.call(0, 1, "a")
-	b.fails(b.next, Faulted, 0)
-	if k := b.h.calls[b.next]; k.attempts != 2 || !k.out {
-		t.Fatalf("after one fault: %+v", k)
+// Guards against refusing calls at an exchange that fails most set-ups quickly: after a signalling fault the next attempt
+// may succeed.
+func TestFaultsAreRetriedWhileSomeCallsSucceed(t *testing.T) {
+	f := newManualFixture(t, nil)
+	f.offerAndAwait(0, 1, "a")
+	f.endAttempt(f.lastID, Faulted, 0)
+	if call := f.host.calls[f.lastID]; call.attempts != 2 || !call.attemptOpen {
+		t.Fatalf("after one fault: %+v", call)
 	}
-	b.fails(b.next, Faulted, NoteBusy) // that is no fault
-	if k := b.h.calls[b.next]; k.attempts != 2 || !k.over {
-		t.Fatalf("a busy number is tried again: %+v", k)
+	f.endAttempt(f.lastID, Faulted, NoteBusy) // not a signalling fault
+	if call := f.host.calls[f.lastID]; call.attempts != 2 || !call.answered {
+		t.Fatalf("a busy number is tried again: %+v", call)
 	}
 	attempts := 0
 	for i := range 40 {
-		b.h.now += 100 * time.Millisecond
-		b.report("o1", 20)
-		b.call(0, 1, fmt.Sprint("n", i))
-		for b.h.calls[b.next].out {
-			b.fails(b.next, Faulted, 0)
+		f.host.now += 100 * time.Millisecond
+		f.report("o1", 20)
+		f.offerAndAwait(0, 1, fmt.Sprint("n", i))
+		for f.host.calls[f.lastID].attemptOpen {
+			f.endAttempt(f.lastID, Faulted, 0)
 		}
-		attempts = b.h.calls[b.next].attempts
+		attempts = f.host.calls[f.lastID].attempts
 	}
 	if attempts != 1 {
-		t.Errorf("%d attempts a call where nothing stands", attempts)
+		t.Errorf("%d attempts for a call where none is established", attempts)
 	}
 }
 
-// Guards against running out of attempts at an exchange that fails most of them: the call server of a tandem has tries
-// of its own, and uses them.
-func TestFaultsLeadOverATandemThatTriesAgain(t *testing.T) {
-	b := quietBed(t, nil)
+// Guards against calls that use up their attempts at an exchange which fails most of them: the call server of a tandem has
+// attempts of its own.
+func TestRepeatedFaultsUseATandem(t *testing.T) {
+	f := newManualFixture(t, nil)
 	for i := range 10 {
-		b.h.now += time.Second
-		b.call(0, 1, fmt.Sprint("n", i))
-		k := b.h.calls[b.next]
-		for k.out {
-			if over := k.office != "o1"; over != (k.attempts > nearFaults) {
-				t.Fatalf("attempt %d went to %s", k.attempts, k.office)
+		f.host.now += time.Second
+		f.offerAndAwait(0, 1, fmt.Sprint("n", i))
+		call := f.host.calls[f.lastID]
+		for call.attemptOpen {
+			if overTandem := call.office != "o1"; overTandem != (call.attempts > directFaultLimit) {
+				t.Fatalf("attempt %d went to %s", call.attempts, call.office)
 			}
-			b.fails(b.next, Faulted, 0)
+			f.endAttempt(f.lastID, Faulted, 0)
 		}
-		if k.attempts != b.c.set.MaxAttempts {
-			t.Fatalf("%d attempts", k.attempts)
+		if call.attempts != f.controller.settings.MaxAttempts {
+			t.Fatalf("%d attempts", call.attempts)
 		}
-		b.call(0, 1, fmt.Sprint("good", i))
-		b.stand(b.next)
+		f.offerAndAwait(0, 1, fmt.Sprint("good", i))
+		f.establish(f.lastID)
 	}
-	b.next++
-	b.report("o1", 30)
-	k := &watched{dest: 1, transit: true, due: b.h.now + time.Second}
-	b.h.calls[b.next] = k
-	b.c.Offered(b.h.now, Call{ID: b.next, Dest: 1, Transit: true, Via: -1, TimeLeft: time.Second})
-	b.fails(b.next, Faulted, 0)
-	if !k.out || k.attempts != 2 || k.office != "o1" {
-		t.Errorf("a call in transit after a fault: %+v", k)
+	f.lastID++
+	f.report("o1", 30)
+	call := &checkedCall{dest: 1, transit: true, answerBy: f.host.now + time.Second}
+	f.host.calls[f.lastID] = call
+	f.controller.Offered(f.host.now, Call{ID: f.lastID, Dest: 1, Transit: true, Via: -1, TimeLeft: time.Second})
+	f.endAttempt(f.lastID, Faulted, 0)
+	if !call.attemptOpen || call.attempts != 2 || call.office != "o1" {
+		t.Errorf("a call in transit after a fault: %+v", call)
 	}
-	for _, p := range b.h.problems {
-		t.Error(p)
+	for _, violation := range f.host.violations {
+		t.Error(violation)
 	}
 }
 
-// Guards against turning away all who call the own exchange from here, while the call server of theirs is away.
+// Guards against refusing all calls to the own exchange that are offered here while the call server of their callers is
+// away.
 func TestOwnExchangeIsReachedOverATandem(t *testing.T) {
-	b := quietBed(t, nil)
-	for x := 3; x < 6; x++ { // two tandems are left, and each is looked at by chance
-		b.c.List(b.h.now, ListUpdate, []Office{{ID: fmt.Sprint("o", x), Exchange: x, State: Gone}})
+	f := newManualFixture(t, nil)
+	for number := 3; number < 6; number++ { // two tandems are left, which are drawn at random
+		f.controller.List(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("o", number), Exchange: number, State: Gone}})
 	}
-	over := 0
+	overTandem := 0
 	for i := range 20 {
-		switch got := b.call(0, 0, fmt.Sprint("own", i)); {
+		switch got := f.offerAndAwait(0, 0, fmt.Sprint("own", i)); {
 		case got == "send 0":
-			t.Fatal("a call went straight to the own exchange")
+			t.Fatal("a call was sent directly to the own exchange")
 		case strings.HasPrefix(got, "send "):
-			over++
-			b.stand(b.next)
+			overTandem++
+			f.establish(f.lastID)
 		}
 	}
-	if over < 18 {
-		t.Errorf("%d of 20 went over a tandem", over)
+	if overTandem < 18 {
+		t.Errorf("%d of 20 went over a tandem", overTandem)
 	}
-	for _, p := range b.h.problems {
-		t.Error(p)
+	for _, violation := range f.host.violations {
+		t.Error(violation)
 	}
-	b.c.Offered(b.h.now, Call{ID: 999, Dest: 0, Transit: true, Via: -1, TimeLeft: time.Second})
-	if a := b.h.acts[len(b.h.acts)-1]; !strings.HasPrefix(a, "refuse 999") {
-		t.Errorf("a call in transit to the own exchange: %q", a)
+	f.controller.Offered(f.host.now, Call{ID: 999, Dest: 0, Transit: true, Via: -1, TimeLeft: time.Second})
+	if action := f.host.actions[len(f.host.actions)-1]; !strings.HasPrefix(action, "refuse 999") {
+		t.Errorf("a call in transit to the own exchange: %q", action)
 	}
 }
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -1,86 +1,88 @@
 package logic
 
-// Membership: what the exchange list says, and which office of an exchange gets new calls (rule 3).
-
 import (
 	"slices"
 	"time"
 )
 
-type office struct {
+// officeRecord is an office that service discovery has named.
+type officeRecord struct {
 	Office
-	cold time.Duration // when it was started or came back; negative: long ago
+	// coldSince is when it started or came back; negative: long ago.
+	coldSince time.Duration
 }
 
-// List takes news of the exchanges. A drained or missing office gets nothing new from this moment (rule 3).
+// List applies a snapshot or update of service discovery. An office that drains or is missing gets no new calls from now on
+// (rule 3). If the list is unavailable it is requested again after one to two seconds.
 func (c *Controller) List(now time.Duration, kind ListKind, list []Office) {
-	c.at(now)
+	c.advanceClock(now)
 	if kind == ListUnavailable {
 		c.host.Timer(time.Second+time.Duration(c.rng.Int63n(int64(time.Second))), "w")
 		return
 	}
 	named := map[string]bool{}
-	for _, o := range list {
-		named[o.ID] = true
-		c.choose(c.enlist(o))
+	for _, entry := range list {
+		named[entry.ID] = true
+		c.selectOffice(c.updateOffice(entry))
 	}
-	for _, e := range c.exchanges {
-		for _, o := range e.offices {
-			if kind != ListUpdate && !named[o.ID] && o.State != Gone {
-				o.State = Gone
-				c.choose(e)
+	for _, exchange := range c.exchanges {
+		for _, office := range exchange.offices {
+			if kind != ListUpdate && !named[office.ID] && office.State != Gone {
+				office.State = Gone
+				c.selectOffice(exchange)
 			}
 		}
 	}
-	c.listed = true
+	c.hasSnapshot = true
 }
 
-// enlist takes an entry of the list. An office may move to another exchange.
-func (c *Controller) enlist(o Office) *exchange {
-	known, e := c.offices[o.ID], c.exchange(o.Exchange, true)
-	fresh := known == nil || known.Started != o.Started || known.State == Gone && o.State == Ready
+// updateOffice applies an entry of the list and returns its exchange. An office may move to another exchange. A slow start
+// is due for an office that is new, has started again or is ready again after it was gone.
+func (c *Controller) updateOffice(entry Office) *exchangeRecord {
+	known, exchange := c.offices[entry.ID], c.exchangeByNumber(entry.Exchange, true)
+	fresh := known == nil || known.Started != entry.Started || known.State == Gone && entry.State == Ready
 	if known == nil {
-		known = &office{Office: o, cold: -1}
-		c.offices[o.ID] = known
-		e.offices = append(e.offices, known)
-	} else if known.Exchange != o.Exchange {
-		from := c.exchange(known.Exchange, true)
-		from.offices = slices.DeleteFunc(from.offices, func(x *office) bool { return x == known })
-		e.offices = append(e.offices, known)
-		c.choose(from)
+		known = &officeRecord{Office: entry, coldSince: -1}
+		c.offices[entry.ID] = known
+		exchange.offices = append(exchange.offices, known)
+	} else if known.Exchange != entry.Exchange {
+		from := c.exchangeByNumber(known.Exchange, true)
+		from.offices = slices.DeleteFunc(from.offices, func(office *officeRecord) bool { return office == known })
+		exchange.offices = append(exchange.offices, known)
+		c.selectOffice(from)
 	}
-	known.Office = o
-	if fresh && o.Started > 0 && c.now-o.Started < c.set.ColdFor {
-		known.cold = o.Started
-	} else if fresh && c.listed {
-		known.cold = c.now
+	known.Office = entry
+	if fresh && entry.Started > 0 && c.now-entry.Started < c.settings.ColdFor {
+		known.coldSince = entry.Started
+	} else if fresh && c.hasSnapshot {
+		known.coldSince = c.now
 	}
-	return e
+	return exchange
 }
 
-// choose gives an exchange the newest of its ready offices.
-func (c *Controller) choose(e *exchange) {
-	var best *office
-	for _, o := range e.offices {
-		if o.State == Ready && (best == nil || o.Started > best.Started ||
-			o.Started == best.Started && o.ID < best.ID) {
-			best = o
+// selectOffice directs new calls to the office of the exchange that started last of those that are ready.
+func (c *Controller) selectOffice(exchange *exchangeRecord) {
+	var best *officeRecord
+	for _, office := range exchange.offices {
+		if office.State == Ready && (best == nil || office.Started > best.Started ||
+			office.Started == best.Started && office.ID < best.ID) {
+			best = office
 		}
 	}
-	if best != nil && best.cold >= 0 && (e.office != best || e.coldAt != best.cold) {
-		c.chill(e, best.cold)
-		e.silent = false
+	if best != nil && best.coldSince >= 0 && (exchange.serving != best || exchange.coldSince != best.coldSince) {
+		c.startSlowStart(exchange, best.coldSince)
+		exchange.unresponsive = false
 	}
-	e.office = best
+	exchange.serving = best
 }
 
-// forgetGone drops offices that are gone: a list that goes on naming new ones must not grow without end. One
-// that comes back is taken for a fresh one, as it would be had it been kept.
-func (c *Controller) forgetGone(e *exchange) {
-	e.offices = slices.DeleteFunc(e.offices, func(o *office) bool {
-		if o.State == Gone {
-			delete(c.offices, o.ID)
+// removeGoneOffices deletes offices that are gone, so that memory stays bounded when service discovery keeps naming new
+// ones. An office that comes back later is treated as new, as it would be if it had been kept.
+func (c *Controller) removeGoneOffices(exchange *exchangeRecord) {
+	exchange.offices = slices.DeleteFunc(exchange.offices, func(office *officeRecord) bool {
+		if office.State == Gone {
+			delete(c.offices, office.ID)
 		}
-		return o.State == Gone
+		return office.State == Gone
 	})
 }
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -1,7 +1,5 @@
 package logic
 
-// Routing: where a call goes, whether it waits, and which tandem it tries.
-
 import (
 	"cmp"
 	"math"
@@ -10,153 +8,170 @@
 	"time"
 )
 
-// Offered takes a call, fresh or in transit.
-func (c *Controller) Offered(now time.Duration, in Call) {
-	c.at(now)
-	if c.calls[in.ID] != nil {
+// Offered decides about a call that a caller or, in transit, another call server offers.
+func (c *Controller) Offered(now time.Duration, offered Call) {
+	c.advanceClock(now)
+	if c.calls[offered.ID] != nil {
 		return
 	}
-	due := now + in.TimeLeft - 2*c.set.Tick - time.Millisecond // two batches are left for an answer
-	k := &call{Call: in, born: now, due: due, dest: c.exchange(in.Dest, false)}
-	if k.Class < 0 || k.Class >= len(c.set.Classes) || k.dest == nil || now >= due {
-		c.host.Refuse(k.ID, 0)
+	answerBy := now + offered.TimeLeft - 2*c.settings.Tick - time.Millisecond // an answer takes up to two batches
+	call := &callRecord{Call: offered, firstTryAt: now, answerBy: answerBy, dest: c.exchangeByNumber(offered.Dest, false)}
+	if call.Class < 0 || call.Class >= len(c.settings.Classes) || call.dest == nil || now >= answerBy {
+		c.host.Refuse(call.ID, 0)
 		return
 	}
-	c.calls[in.ID] = k
-	k.Width = cmp.Or(max(k.Width, 0), c.set.Classes[k.Class].Width)
-	// Final answers: whatever becomes of the call, this timer comes before the caller gives up (rule 1).
-	c.host.Timer(k.due-now, "c"+strconv.FormatUint(k.ID, 10))
-	c.place(k)
-	c.route(k)
+	c.calls[offered.ID] = call
+	call.Width = cmp.Or(max(call.Width, 0), c.settings.Classes[call.Class].Width)
+	// Rule 1: whatever becomes of the call, this timer brings its final answer before the caller gives up.
+	c.host.Timer(call.answerBy-now, "c"+strconv.FormatUint(call.ID, 10))
+	c.recordOffered(call)
+	c.route(call)
 }
 
-// route sends a call, or turns it away. An attempt whose end would be due within a batch is not made: the danger is a set-up
-// that arrives after the final answer.
-func (c *Controller) route(k *call) {
-	if k.due-c.now < c.set.Tick {
-		c.turnAway(k)
+// route sends a call, has it wait, or gives the final answer. It starts no attempt if the final answer is due within one
+// batch: the set-up could arrive after it.
+func (c *Controller) route(call *callRecord) {
+	if call.answerBy-c.now < c.settings.Tick {
+		c.giveFinalAnswer(call)
 		return
 	}
-	if e, twoLeg := c.pick(k); e != nil {
-		c.send(k, e, twoLeg)
-	} else if !c.queue(k) {
-		c.turnAway(k)
+	if exchange, twoLeg := c.selectRoute(call); exchange != nil {
+		c.send(call, exchange, twoLeg)
+	} else if !c.enqueue(call) {
+		c.giveFinalAnswer(call)
 	}
 }
 
-// queue keeps a blocked fresh call, once and while processors are calm, for a circuit of its direct group
-// that frees in time for its aim. Refused, its caller would cost another look and stand late.
-func (c *Controller) queue(k *call) bool {
-	e, n := k.dest, c.numbers[k.Number]
-	wait := k.born + time.Duration(waitPart*float64(c.set.Classes[k.Class].Aim)) - c.delayOf(e) - c.now
-	if k.Transit || k.waited || k.mayRun || wait <= 0 || c.now+wait >= k.due || n != nil && n.gap > 0 ||
-		e.total <= 0 || !c.reachable(e) || c.pressed(e, k, true) {
+// enqueue has a blocked call wait for a circuit of its direct group that is freed in time for its aim, once, unless the
+// call may have run, its number is busy or load is being shed. The caller, if refused, would redial: that costs another
+// decision, and the call would be established late.
+func (c *Controller) enqueue(call *callRecord) bool {
+	exchange, number := call.dest, c.numbers[call.Number]
+	wait := call.firstTryAt + time.Duration(circuitWaitFactor*float64(c.settings.Classes[call.Class].Aim)) -
+		c.expectedDelay(exchange) - c.now
+	if call.Transit || call.hasWaited || call.mayHaveRun || wait <= 0 || c.now+wait >= call.answerBy ||
+		number != nil && number.busyBackoff > 0 || exchange.total <= 0 || !c.mayReceive(exchange) ||
+		c.shouldShed(exchange, call, true) {
 		return false
 	}
-	k.waited, k.waiting, k.notBefore = true, true, c.now+wait
-	e.queue = append(e.queue, k)
-	slices.SortStableFunc(e.queue, func(a, b *call) int {
-		return cmp.Compare(c.set.Classes[b.Class].Worth, c.set.Classes[a.Class].Worth)
+	call.hasWaited, call.isWaiting, call.notBefore = true, true, c.now+wait
+	exchange.waitingCalls = append(exchange.waitingCalls, call)
+	slices.SortStableFunc(exchange.waitingCalls, func(a, b *callRecord) int {
+		return cmp.Compare(c.settings.Classes[b.Class].Worth, c.settings.Classes[a.Class].Worth)
 	})
-	c.host.Timer(wait, "c"+strconv.FormatUint(k.ID, 10))
+	c.host.Timer(wait, "c"+strconv.FormatUint(call.ID, 10))
 	return true
 }
 
-// serve gives free circuits to the calls that wait for one, worthiest first. Sent and answered calls leave.
-func (c *Controller) serve(e *exchange) {
-	e.queue = slices.DeleteFunc(e.queue, func(k *call) bool {
-		k.waiting = k.waiting && !k.answered
-		if k.waiting && c.fits(e, k, false) && c.reachable(e) && !c.pressed(e, k, false) {
-			c.route(k) // no tandem this time, and never more attempts than allowed
+// serveWaiting gives free circuits to the calls that wait for one, worthiest first, and removes calls that were sent or
+// answered.
+func (c *Controller) serveWaiting(exchange *exchangeRecord) {
+	exchange.waitingCalls = slices.DeleteFunc(exchange.waitingCalls, func(call *callRecord) bool {
+		call.isWaiting = call.isWaiting && !call.answered
+		if call.isWaiting && c.hasRoom(exchange, call, false) && c.mayReceive(exchange) &&
+			!c.shouldShed(exchange, call, false) {
+			c.route(call) // not over a tandem, since the call has waited; the limit of attempts holds
 		}
-		return !k.waiting || k.answered
+		return !call.isWaiting || call.answered
 	})
 }
 
-// pick finds where a call may go now, and whether that is over a tandem.
-func (c *Controller) pick(k *call) (*exchange, bool) {
-	n, home := c.numbers[k.Number], c.exchange(c.set.Home, false)
+// selectRoute returns the exchange that a call may be sent to now, or nil, and whether the attempt is one leg of a two-leg
+// call.
+func (c *Controller) selectRoute(call *callRecord) (*exchangeRecord, bool) {
+	number, home := c.numbers[call.Number], c.exchangeByNumber(c.settings.Home, false)
 	switch {
-	// A busy number: one call at a time learns whether a line is free, the others spare the processors.
-	case !k.Transit && n != nil && c.now < n.busyUntil:
-	case c.set.MaxAttempts > 0 && k.attempts >= c.set.MaxAttempts || k.mayRun && !c.set.Classes[k.Class].Safe:
-	// A caller of the own exchange comes here while another call server is away. Nothing goes to it directly,
-	// but a tandem can. The danger: that all of them are turned away; it hurts where circuits are short.
-	case k.dest == home && !c.set.Pools && !k.Transit && !k.waited && !c.late(k) && c.warm(home):
-		return c.tandem(k), true
-	case !c.reachable(k.dest) || home != nil && !c.set.Pools && !c.warm(home) || c.pressed(k.dest, k, false):
-	case k.allowed(c, k.dest) && c.fits(k.dest, k, k.Transit || c.late(k)):
-		// Faults strike a call at a tandem as they do here, but the call server there has tries of its own.
-		if k.struck >= nearFaults && !k.Transit && !c.late(k) {
-			if t := c.tandem(k); t != nil {
-				return t, true
+	// A busy number: one call at a time finds out whether a line is free; others would load the processors for nothing.
+	case !call.Transit && number != nil && c.now < number.busyUntil:
+	case c.settings.MaxAttempts > 0 && call.attempts >= c.settings.MaxAttempts ||
+		call.mayHaveRun && !c.settings.Classes[call.Class].Safe:
+	// A call to the own exchange is offered here while the call server of that is away. It can't be sent there directly,
+	// but over a tandem; otherwise all such calls would be refused. The price is two circuits for each, where circuits are
+	// short.
+	case call.dest == home && !c.settings.Pools && !call.Transit && !call.hasWaited && !c.wouldBeLate(call) &&
+		c.slowStartAllows(home):
+		return c.selectTandem(call), true
+	case !c.mayReceive(call.dest) || home != nil && !c.settings.Pools && !c.slowStartAllows(home) ||
+		c.shouldShed(call.dest, call, false):
+	case call.mayTry(c, call.dest) && c.hasRoom(call.dest, call, call.Transit || c.wouldBeLate(call)):
+		// Signalling faults are as likely from a tandem as from here, but the call server there has attempts of its own.
+		if call.signallingFaults >= directFaultLimit && !call.Transit && !c.wouldBeLate(call) {
+			if tandem := c.selectTandem(call); tandem != nil {
+				return tandem, true
 			}
 		}
-		return k.dest, k.Transit
-	case !k.Transit && !k.waited && !c.late(k) && !(n != nil && n.gap > 0):
-		return c.tandem(k), true
+		return call.dest, call.Transit
+	case !call.Transit && !call.hasWaited && !c.wouldBeLate(call) && !(number != nil && number.busyBackoff > 0):
+		return c.selectTandem(call), true
 	}
 	return nil, false
 }
 
-// allowed tells whether a call may try an exchange: not twice, and of pools only those with its skill.
-func (k *call) allowed(c *Controller, e *exchange) bool {
-	skilled := c.set.Classes[k.Class].Pools
-	return !slices.Contains(k.tried, e) &&
-		(!c.set.Pools || len(skilled) == 0 || slices.Contains(skilled, e.number))
+// mayTry reports whether a call may be sent to an exchange: one that was not tried before and, of pools, one that serves
+// its class.
+func (r *callRecord) mayTry(controller *Controller, exchange *exchangeRecord) bool {
+	pools := controller.settings.Classes[r.Class].Pools
+	return !slices.Contains(r.tried, exchange) &&
+		(!controller.settings.Pools || len(pools) == 0 || slices.Contains(pools, exchange.number))
 }
 
-// tandem draws a tandem (a pool of second choice) by the weights learnt. The one that a centre advises goes
-// first, as often as advice has lately stood: the centre has seen the second leg.
-func (c *Controller) tandem(k *call) *exchange {
-	if k.attempts == 0 && (c.set.Pools || k.dest.number != c.set.Home) { // no group was full
-		c.counts[c.bucket()][len(c.set.Classes)]++
+// selectTandem draws a tandem, or a pool of second choice, by the tandem weights; nil: none. A tandem that a routing centre
+// advises is preferred as often as advised tandems have succeeded: the centre knows the state of the second leg.
+func (c *Controller) selectTandem(call *callRecord) *exchangeRecord {
+	// A call to the own exchange is not blocked by a full group, so it doesn't count.
+	if call.attempts == 0 && (c.settings.Pools || call.dest.number != c.settings.Home) {
+		c.offeredCalls[c.currentBucket()][len(c.settings.Classes)]++
 	}
-	if !c.set.Pools && c.pressed(k.dest, k, true) {
+	if !c.settings.Pools && c.shouldShed(call.dest, call, true) {
 		return nil
 	}
-	if t := c.exchange(k.Via, false); c.usable(t, k) && c.rng.Float64() < c.trust {
-		return t
+	if advised := c.exchangeByNumber(call.Via, false); c.usableAsTandem(advised, call) &&
+		c.rng.Float64() < c.adviceSuccessRate {
+		return advised
 	}
-	if !c.set.Pools && c.dear(k) {
+	if !c.settings.Pools && c.twoLegTooCostly(call) {
 		return nil
 	}
-	var best *exchange
-	// A draw falls on each alike and is kept with the chance of its weight: the danger is tries that cost
-	// three processors for nothing. The fewer stand and the longer the own wait, the fewer are looked at.
-	calm := 1 - float64(c.ownDelay())/(shedBase*float64(c.set.Classes[k.Class].Aim))
-	looks := min(draws, float64(len(c.exchanges))) * c.ease * calm
-	// A call that met faults is turned back by its destination, not by the tandem. And from here a call
-	// to the own exchange has no other way.
-	if k.struck > 0 || k.dest.number == c.set.Home && !c.set.Pools {
-		looks = draws
+	var best *exchangeRecord
+	// Each draw takes every tandem with the same probability and accepts it with its weight as the probability. A two-leg
+	// attempt that fails costs three processors for nothing, so fewer are drawn the lower the success rate and the longer
+	// the own delay.
+	spareShare := 1 - float64(c.ownDelay())/(shedDelayFactor*float64(c.settings.Classes[call.Class].Aim))
+	draws := min(maxTandemDraws, float64(len(c.exchanges))) * c.tandemSuccessRate * spareShare
+	// A call with signalling faults fails at its destination, not at the tandem, so weights don't apply. A call to the own
+	// exchange has no other route from here.
+	if call.signallingFaults > 0 || call.dest.number == c.settings.Home && !c.settings.Pools {
+		draws = maxTandemDraws
 	}
-	for i := 0.0; i < looks; i++ {
-		e := c.exchanges[c.rng.Intn(len(c.exchanges))]
-		if c.usable(e, k) && (k.struck > 0 || c.rng.Float64() < c.weightOf(k.dest, e)) &&
-			(best == nil || e.free > best.free) {
-			best = e
+	for i := 0.0; i < draws; i++ {
+		exchange := c.exchanges[c.rng.Intn(len(c.exchanges))]
+		if c.usableAsTandem(exchange, call) &&
+			(call.signallingFaults > 0 || c.rng.Float64() < c.tandemWeight(call.dest, exchange)) &&
+			(best == nil || exchange.free > best.free) {
+			best = exchange
 		}
 	}
 	return best
 }
 
-// dear tells whether two circuits cost more than a two-leg call is worth. A circuit's implied cost (Kelly
-// 1988) is what the next direct call would earn on it, as often as direct calls lately found their group
-// full. Above the worth of two legs, a fleet fills itself with calls each of which keeps out two. An advised
-// tandem is known to have room.
-func (c *Controller) dear(k *call) bool {
-	fresh, class := 0.0, c.set.Classes[k.Class]
-	for i := range c.set.Classes {
-		fresh += c.counts.of(i)
+// twoLegTooCostly reports whether the circuits of a two-leg call cost more than the call is worth. The implied cost of a
+// circuit (Kelly 1988) is what the next direct call would earn on it, times the share of direct calls that lately found
+// their group full. Without this limit an overloaded fleet fills with two-leg calls, each of which keeps out two direct
+// ones. It doesn't apply to an advised tandem, which is known to have room.
+func (c *Controller) twoLegTooCostly(call *callRecord) bool {
+	offered, class := 0.0, c.settings.Classes[call.Class]
+	for i := range c.settings.Classes {
+		offered += c.offeredCalls.total(i)
 	}
-	blocked := c.counts.of(len(c.set.Classes)) / math.Max(fresh, prior)
-	mean := c.mean(func(k Class) float64 { return k.Worth }) / c.meanWidth()
-	return blocked*mean > twoLegWorth*class.Worth/math.Max(1, float64(class.Width))
+	blocked := c.offeredCalls.total(len(c.settings.Classes)) / math.Max(offered, fleetPriorCalls)
+	mean := c.classMean(func(class Class) float64 { return class.Worth }) / c.meanWidth()
+	return blocked*mean > twoLegWorthFactor*class.Worth/math.Max(1, float64(class.Width))
 }
 
-// usable tells whether a tandem can take a call now, as far as is seen from here.
-func (c *Controller) usable(e *exchange, k *call) bool {
-	return e != nil && e != k.dest && e.free >= 0 && c.fits(e, k, true) && k.allowed(c, e) &&
-		!e.cold && c.reachable(e) && !e.silent && !c.pressed(e, k, true)
+// usableAsTandem reports whether a tandem can take a call now, as far as is known here. An exchange in its slow start is no
+// tandem.
+func (c *Controller) usableAsTandem(exchange *exchangeRecord, call *callRecord) bool {
+	return exchange != nil && exchange != call.dest && exchange.free >= 0 && c.hasRoom(exchange, call, true) &&
+		call.mayTry(c, exchange) && !exchange.isCold && c.mayReceive(exchange) && !exchange.unresponsive &&
+		!c.shouldShed(exchange, call, true)
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,135 +8,148 @@
 	"time"
 )
 
-// checker is a Host that holds a Controller to the five rules, from outside.
-type checker struct {
-	set      Settings
-	now      time.Duration
-	calls    map[uint64]*watched
-	office   map[string]*watchedOffice
-	timers   []timer
-	out      []uint64 // calls with an attempt out, in the order of the sends
-	acts     []string
-	problems []string
-	wait     time.Duration // the last that was advised
+// ruleChecker is a Host that checks the actions of a Controller against the five rules. It knows only what it sends and
+// receives.
+type ruleChecker struct {
+	settings       Settings
+	now            time.Duration
+	calls          map[uint64]*checkedCall
+	offices        map[string]*checkedOffice
+	timers         []timerRequest
+	openAttempts   []uint64 // calls with an open attempt, in the order of sending
+	actions        []string // all actions so far, as text
+	violations     []string
+	lastRetryAfter time.Duration // of the latest refusal
 }
 
-type watched struct {
-	dest      int
-	transit   bool
-	due       time.Duration
-	attempts  int
-	out, over bool
-	stands    bool
-	office    string
-	notBefore time.Duration
+// checkedCall is what the checker knows of a call.
+type checkedCall struct {
+	dest        int // number of the destination exchange
+	transit     bool
+	answerBy    time.Duration // last moment for its final answer
+	attempts    int
+	attemptOpen bool // an attempt was sent whose outcome is still to come
+	answered    bool // the final answer was given
+	established bool
+	office      string        // where the latest attempt went
+	notBefore   time.Duration // end of the release time
 }
 
-type watchedOffice struct {
+// checkedOffice is what the checker knows of an office.
+type checkedOffice struct {
 	exchange  int
-	stopped   time.Duration // told that it drains or is gone; negative: not
-	coldSince time.Duration
-	sends     []time.Duration
+	stoppedAt time.Duration   // when it was announced as draining or gone; negative: it was not
+	coldSince time.Duration   // beginning of its slow start; negative: none
+	sentAt    []time.Duration // times of the attempts sent to it
 }
 
-type timer struct {
+// timerRequest is a timer that the Controller asked for.
+type timerRequest struct {
 	at   time.Duration
 	mark string
 }
 
-func newChecker(s Settings) *checker {
-	return &checker{set: s, now: time.Second, calls: map[uint64]*watched{}, office: map[string]*watchedOffice{}}
+func newRuleChecker(settings Settings) *ruleChecker {
+	return &ruleChecker{settings: settings, now: time.Second, calls: map[uint64]*checkedCall{},
+		offices: map[string]*checkedOffice{}}
 }
 
-func (h *checker) bad(format string, a ...any) {
-	h.problems = append(h.problems, fmt.Sprintf("%v: ", h.now)+fmt.Sprintf(format, a...))
+func (h *ruleChecker) reportViolation(format string, arguments ...any) {
+	h.violations = append(h.violations, fmt.Sprintf("%v: ", h.now)+fmt.Sprintf(format, arguments...))
 }
 
-func (h *checker) act(format string, a ...any) { h.acts = append(h.acts, fmt.Sprintf(format, a...)) }
+func (h *ruleChecker) recordAction(format string, arguments ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, arguments...))
+}
 
-func (h *checker) Send(id uint64, office string, timeout time.Duration) {
-	h.act("send %d %s %d", id, office, timeout)
-	k, o := h.calls[id], h.office[office]
-	if k == nil || o == nil {
-		h.bad("send of unknown call %d or to unknown office %s", id, office)
+func (h *ruleChecker) Send(id uint64, officeID string, timeout time.Duration) {
+	h.recordAction("send %d %s %d", id, officeID, timeout)
+	call, office := h.calls[id], h.offices[officeID]
+	if call == nil || office == nil {
+		h.reportViolation("send of unknown call %d or to unknown office %s", id, officeID)
 		return
 	}
 	switch {
-	case k.over || k.stands:
-		h.bad("send of call %d after its end", id)
-	case k.out:
-		h.bad("call %d has two attempts out", id)
-	case h.now < k.notBefore:
-		h.bad("call %d sent before the release", id)
-	case o.stopped >= 0:
-		h.bad("send to %s, which drains or is gone", office)
-	case o.exchange == h.set.Home:
-		h.bad("send to the own exchange")
-	case k.transit && o.exchange != k.dest:
-		h.bad("call %d in transit sent past its destination", id)
-	case k.attempts >= h.set.MaxAttempts:
-		h.bad("call %d has too many attempts", id)
+	case call.answered || call.established:
+		h.reportViolation("send of call %d after its end", id)
+	case call.attemptOpen:
+		h.reportViolation("call %d has two open attempts", id)
+	case h.now < call.notBefore:
+		h.reportViolation("call %d sent before the end of the release time", id)
+	case office.stoppedAt >= 0:
+		h.reportViolation("send to %s, which drains or is gone", officeID)
+	case office.exchange == h.settings.Home:
+		h.reportViolation("send to the own exchange")
+	case call.transit && office.exchange != call.dest:
+		h.reportViolation("call %d in transit sent past its destination", id)
+	case call.attempts >= h.settings.MaxAttempts:
+		h.reportViolation("call %d has too many attempts", id)
 	}
-	k.out, k.office = true, office
-	k.attempts++
-	h.out = append(h.out, id)
-	o.sends = append(o.sends, h.now)
-	h.cold(office, o)
+	call.attemptOpen, call.office = true, officeID
+	call.attempts++
+	h.openAttempts = append(h.openAttempts, id)
+	office.sentAt = append(office.sentAt, h.now)
+	h.checkSlowStartBudget(officeID, office)
 }
 
-// cold holds the sends of any window of TipAfter to this instance's share of the budget, as the capacity of
-// the test's groups gives it.
-func (h *checker) cold(name string, o *watchedOffice) {
-	if o.coldSince < 0 || h.now-o.coldSince >= h.set.TipAfter {
+// checkSlowStartBudget checks that the attempts sent in any window of TipAfter stay within this call server's share of the
+// capacity that the groups of the test imply.
+func (h *ruleChecker) checkSlowStartBudget(name string, office *checkedOffice) {
+	if office.coldSince < 0 || h.now-office.coldSince >= h.settings.TipAfter {
 		return
 	}
-	n := 0
-	for _, t := range o.sends {
-		if t > h.now-h.set.TipAfter && t >= o.coldSince {
-			n++
+	count := 0
+	for _, sentAt := range office.sentAt {
+		if sentAt > h.now-h.settings.TipAfter && sentAt >= office.coldSince {
+			count++
 		}
 	}
-	limit := h.set.Overload * h.set.ColdFrom * testCapacity(h.set.Instances) * h.set.TipAfter.Seconds() / float64(h.set.Instances)
-	if float64(n) > limit+1 {
-		h.bad("%d set-ups to cold %s, budget %.1f", n, name, limit)
+	limit := h.settings.Overload * h.settings.ColdFrom * testCapacity(h.settings.Instances) *
+		h.settings.TipAfter.Seconds() / float64(h.settings.Instances)
+	if float64(count) > limit+1 {
+		h.reportViolation("%d set-ups to cold %s, budget %.1f", count, name, limit)
 	}
 }
 
-func (h *checker) end(id uint64, how string) {
-	h.act("%s %d", how, id)
-	k := h.calls[id]
-	if k == nil || k.over || k.stands {
-		h.bad("%s of call %d, which owes no answer", how, id)
+func (h *ruleChecker) recordAnswer(id uint64, action string) {
+	h.recordAction("%s %d", action, id)
+	call := h.calls[id]
+	if call == nil || call.answered || call.established {
+		h.reportViolation("%s of call %d, for which no answer is due", action, id)
 		return
 	}
-	if h.now > k.due {
-		h.bad("%s of call %d after its time", how, id)
+	if h.now > call.answerBy {
+		h.reportViolation("%s of call %d after its time", action, id)
 	}
-	k.over = true
+	call.answered = true
 }
 
-func (h *checker) Refuse(id uint64, w time.Duration) { h.wait = w; h.end(id, "refuse") }
-func (h *checker) Fail(id uint64)                    { h.end(id, "fail") }
-func (h *checker) Cancel(id uint64, n int)           { h.act("cancel %d %d", id, n) }
-func (h *checker) Probe(office string)               { h.act("probe %s", office) }
-func (h *checker) Tell(peer int, data []byte)        { h.act("tell %d", peer) }
-func (h *checker) Watch(on bool)                     { h.act("watch %v", on) }
-func (h *checker) Log(text string)                   { h.act("log %s", text) }
-func (h *checker) Timer(wait time.Duration, mark string) {
-	h.timers = append(h.timers, timer{h.now + max(wait, h.set.Tick), mark})
+func (h *ruleChecker) Refuse(id uint64, wait time.Duration) {
+	h.lastRetryAfter = wait
+	h.recordAnswer(id, "refuse")
+}
+func (h *ruleChecker) Fail(id uint64)                { h.recordAnswer(id, "fail") }
+func (h *ruleChecker) Cancel(id uint64, attempt int) { h.recordAction("cancel %d %d", id, attempt) }
+func (h *ruleChecker) Probe(office string)           { h.recordAction("probe %s", office) }
+func (h *ruleChecker) Tell(peer int, data []byte)    { h.recordAction("tell %d", peer) }
+func (h *ruleChecker) Watch(on bool)                 { h.recordAction("watch %v", on) }
+func (h *ruleChecker) Log(text string)               { h.recordAction("log %s", text) }
+func (h *ruleChecker) Timer(wait time.Duration, mark string) {
+	h.timers = append(h.timers, timerRequest{h.now + max(wait, h.settings.Tick), mark})
 }
 
-// overdue finds calls whose time is up without an answer.
-func (h *checker) overdue() {
-	for id, k := range h.calls {
-		if !k.over && !k.stands && h.now > k.due {
-			h.bad("call %d has no answer in time", id)
-			k.over = true
+// checkOverdue reports calls that have no final answer in time.
+func (h *ruleChecker) checkOverdue() {
+	for id, call := range h.calls {
+		if !call.answered && !call.established && h.now > call.answerBy {
+			h.reportViolation("call %d has no answer in time", id)
+			call.answered = true
 		}
 	}
 }
 
-// testCapacity is that of groups of 30 circuits to all others, held for 10 s, at 3/4 of a processor.
+// testCapacity is the capacity in calls per second of a processor that its groups occupy to three quarters when full: 30
+// circuits to each other exchange, held for 10 s.
 func testCapacity(exchanges int) float64 { return float64(exchanges-1) * 30 / 10.0 * 4 / 3 }
 
 func testSettings() Settings {
@@ -144,135 +157,142 @@
 		ReportFields: []string{"spare", "total", "cut_by"}, Release: 200 * time.Millisecond, DrainGrace: time.Second,
 		TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 15 * time.Second,
 		Classes: []Class{
-			{Name: "a", Worth: 1, LateShare: 0.25, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, Safe: true},
-			{Name: "b", Worth: 3, LateShare: 0.25, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, Safe: true},
+			{Name: "a", Worth: 1, LateShare: 0.25, Aim: time.Second, Deadline: 9 * time.Second,
+				Hold: 10 * time.Second, Width: 1, Safe: true},
+			{Name: "b", Worth: 3, LateShare: 0.25, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second,
+				Hold: 10 * time.Second, Width: 1, Safe: true},
 		}}
 }
 
-// bed plays random events to one Controller.
-type bed struct {
-	h    *checker
-	c    *Controller
-	rng  *rand.Rand
-	next uint64
-	gen  int
+// fixture is a Controller with a checker of its actions, and produces events for it.
+type fixture struct {
+	host           *ruleChecker
+	controller     *Controller
+	rng            *rand.Rand
+	lastID         uint64 // number of the latest call
+	lastGeneration int    // number of the latest office that took the place of another
 }
 
-func newBed(t *testing.T, s Settings, seed int64) *bed {
+func newFixture(t *testing.T, settings Settings, seed int64) *fixture {
 	t.Helper()
-	b := &bed{h: newChecker(s), rng: rand.New(rand.NewSource(seed))}
-	b.start(t, s)
-	return b
+	f := &fixture{host: newRuleChecker(settings), rng: rand.New(rand.NewSource(seed))}
+	f.start(t, settings)
+	return f
 }
 
-func (b *bed) start(t *testing.T, s Settings) {
+// start creates the Controller and lists one office for each exchange, all circuits free.
+func (f *fixture) start(t *testing.T, settings Settings) {
 	t.Helper()
-	s.Host = b.h
-	c, err := New(s, 7)
+	settings.Host = f.host
+	c, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.c = c
+	f.controller = c
 	var list []Office
-	for x := 0; x < s.Instances; x++ {
-		id := fmt.Sprintf("o%d", x)
-		list = append(list, Office{ID: id, Exchange: x})
-		b.h.office[id] = &watchedOffice{exchange: x, stopped: -1, coldSince: -1}
+	for number := 0; number < settings.Instances; number++ {
+		id := fmt.Sprintf("o%d", number)
+		list = append(list, Office{ID: id, Exchange: number})
+		f.host.offices[id] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: -1}
 	}
-	c.List(b.h.now, ListRestored, list)
-	for x := 1; x < s.Instances; x++ {
-		b.report(fmt.Sprintf("o%d", x), 30)
+	c.List(f.host.now, ListRestored, list)
+	for number := 1; number < settings.Instances; number++ {
+		f.report(fmt.Sprintf("o%d", number), 30)
 	}
 }
 
-func (b *bed) report(office string, free float64) {
-	b.c.Report(b.h.now, Report{Office: office, OK: true, Load: []float64{free, 30, -1}})
+// report reports a number of free circuits out of 30.
+func (f *fixture) report(office string, free float64) {
+	f.controller.Report(f.host.now, Report{Office: office, OK: true, Load: []float64{free, 30, -1}})
 }
 
-func (b *bed) step() {
-	h, r := b.h, b.rng
-	h.now += h.set.Tick
-	for i := 0; i < len(h.timers); i++ {
-		if tm := h.timers[i]; tm.at <= h.now {
-			h.timers = append(h.timers[:i], h.timers[i+1:]...)
+// step plays the random events of one tick and checks their results.
+func (f *fixture) step() {
+	checker, rng := f.host, f.rng
+	checker.now += checker.settings.Tick
+	for i := 0; i < len(checker.timers); i++ {
+		if request := checker.timers[i]; request.at <= checker.now {
+			checker.timers = append(checker.timers[:i], checker.timers[i+1:]...)
 			i--
-			b.c.Timer(h.now, tm.mark)
+			f.controller.Timer(checker.now, request.mark)
 		}
 	}
-	if r.Intn(4) == 0 {
-		b.offer(1+r.Intn(h.set.Instances-1), r.Intn(5) == 0)
+	if rng.Intn(4) == 0 {
+		f.offerRandom(1+rng.Intn(checker.settings.Instances-1), rng.Intn(5) == 0)
 	}
-	for n := len(h.out) / 12; n >= 0 && len(h.out) > 0; n-- {
-		if r.Intn(3) == 0 {
-			b.answer(r.Intn(len(h.out)))
+	for remaining := len(checker.openAttempts) / 12; remaining >= 0 && len(checker.openAttempts) > 0; remaining-- {
+		if rng.Intn(3) == 0 {
+			f.endRandomAttempt(rng.Intn(len(checker.openAttempts)))
 		}
 	}
-	switch r.Intn(400) {
+	switch rng.Intn(400) {
 	case 0, 1, 2:
-		b.report(fmt.Sprintf("o%d", 1+r.Intn(h.set.Instances-1)), float64(r.Intn(30)))
+		f.report(fmt.Sprintf("o%d", 1+rng.Intn(checker.settings.Instances-1)), float64(rng.Intn(30)))
 	case 3:
-		b.relist()
+		f.replaceRandomOffice()
 	case 4:
-		b.c.Outcome(h.now, Outcome{Call: uint64(r.Intn(50)), Status: TimedOut, Office: "o1"})
-		b.c.Timer(h.now, "c999999")
-		b.c.Timer(h.now, "nonsense")
-		b.c.HungUp(h.now, 1<<40)
+		f.controller.Outcome(checker.now, Outcome{Call: uint64(rng.Intn(50)), Status: TimedOut, Office: "o1"})
+		f.controller.Timer(checker.now, "c999999")
+		f.controller.Timer(checker.now, "nonsense")
+		f.controller.HungUp(checker.now, 1<<40)
 	}
-	h.overdue()
+	checker.checkOverdue()
 }
 
-func (b *bed) offer(dest int, transit bool) {
-	b.next++
-	left := time.Duration(1+b.rng.Intn(3000)) * time.Millisecond
-	k := Call{ID: b.next, Class: b.rng.Intn(2), Dest: dest, Via: -1, TimeLeft: left, Transit: transit,
-		Number: fmt.Sprint(b.rng.Intn(400))}
-	b.h.calls[k.ID] = &watched{dest: dest, transit: transit, due: b.h.now + left + 20*time.Millisecond}
-	b.c.Offered(b.h.now, k)
+// offerRandom offers a call of random class, number and time.
+func (f *fixture) offerRandom(dest int, transit bool) {
+	f.lastID++
+	timeLeft := time.Duration(1+f.rng.Intn(3000)) * time.Millisecond
+	call := Call{ID: f.lastID, Class: f.rng.Intn(2), Dest: dest, Via: -1, TimeLeft: timeLeft, Transit: transit,
+		Number: fmt.Sprint(f.rng.Intn(400))}
+	f.host.calls[call.ID] = &checkedCall{dest: dest, transit: transit, answerBy: f.host.now + timeLeft + 20*time.Millisecond}
+	f.controller.Offered(f.host.now, call)
 }
 
-func (b *bed) answer(i int) {
-	h := b.h
-	id := h.out[i]
-	k := h.calls[id]
-	o := Outcome{Call: id, Attempt: k.attempts - 1, Office: k.office, Took: 50 * time.Millisecond}
-	if !k.stands && !k.over && b.rng.Intn(2) == 0 {
-		k.stands = true
-		b.c.Stands(h.now, o)
+// endRandomAttempt establishes the call of an open attempt, or ends it at random.
+func (f *fixture) endRandomAttempt(index int) {
+	checker := f.host
+	id := checker.openAttempts[index]
+	call := checker.calls[id]
+	outcome := Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office, Took: 50 * time.Millisecond}
+	if !call.established && !call.answered && f.rng.Intn(2) == 0 {
+		call.established = true
+		f.controller.Stands(checker.now, outcome)
 		return
 	}
-	h.out = append(h.out[:i], h.out[i+1:]...)
-	o.Status, o.Over = Ended, true
-	if !k.stands && !k.over {
-		o.Status = []Status{Faulted, Full, TimedOut, NoConnect, Reset, Cancelled, NotSent}[b.rng.Intn(7)]
-		o.Note, o.Over = b.rng.Intn(5), false
-		if o.Status == TimedOut || o.Status == Reset || o.Status == Cancelled {
-			k.notBefore = h.now + h.set.Release
+	checker.openAttempts = append(checker.openAttempts[:index], checker.openAttempts[index+1:]...)
+	outcome.Status, outcome.Over = Ended, true
+	if !call.established && !call.answered {
+		outcome.Status = []Status{Faulted, Full, TimedOut, NoConnect, Reset, Cancelled, NotSent}[f.rng.Intn(7)]
+		outcome.Note, outcome.Over = f.rng.Intn(5), false
+		if outcome.Status == TimedOut || outcome.Status == Reset || outcome.Status == Cancelled {
+			call.notBefore = checker.now + checker.settings.Release
 		}
 	}
-	k.out = false
-	b.c.Outcome(h.now, o)
-	b.c.Outcome(h.now, o) // a repeated outcome is ignored
+	call.attemptOpen = false
+	f.controller.Outcome(checker.now, outcome)
+	f.controller.Outcome(checker.now, outcome) // a repeated outcome is ignored
 }
 
-// relist drains, removes or restarts an exchange's office.
-func (b *bed) relist() {
-	b.restart(b.rng.Intn(b.h.set.Instances))
+// replaceRandomOffice replaces the office of a random exchange.
+func (f *fixture) replaceRandomOffice() {
+	f.replaceOffice(f.rng.Intn(f.host.settings.Instances))
 }
 
-// restart takes the office of an exchange from the list and names a fresh one.
-func (b *bed) restart(x int) {
-	for id, o := range b.h.office {
-		if o.exchange == x && o.stopped < 0 {
-			o.stopped = b.h.now
+// replaceOffice announces the office of an exchange as draining or gone, and lists a new one in its place.
+func (f *fixture) replaceOffice(number int) {
+	for id, office := range f.host.offices {
+		if office.exchange == number && office.stoppedAt < 0 {
+			office.stoppedAt = f.host.now
 			state := Draining
 			if len(id)%2 == 0 {
 				state = Gone
 			}
-			b.gen++
-			fresh := fmt.Sprintf("o%d-%d", x, b.gen)
-			b.h.office[fresh] = &watchedOffice{exchange: x, stopped: -1, coldSince: b.h.now}
-			b.c.List(b.h.now, ListUpdate, []Office{{ID: id, Exchange: x, State: state},
-				{ID: fresh, Exchange: x, Started: b.h.now}})
+			f.lastGeneration++
+			freshID := fmt.Sprintf("o%d-%d", number, f.lastGeneration)
+			f.host.offices[freshID] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: f.host.now}
+			f.controller.List(f.host.now, ListUpdate, []Office{{ID: id, Exchange: number, State: state},
+				{ID: freshID, Exchange: number, Started: f.host.now}})
 			return
 		}
 	}
@@ -280,124 +300,127 @@
 
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
-		set := testSettings()
-		set.TellsWait = seed%2 == 0
-		b := newBed(t, set, seed)
+		settings := testSettings()
+		settings.TellsWait = seed%2 == 0
+		f := newFixture(t, settings, seed)
 		for i := 0; i < 12000; i++ {
-			b.step()
-			if i%4000 == 3999 { // killed and started again: what it held is the callers' to try again
-				b.h.calls, b.h.out, b.h.timers = map[uint64]*watched{}, nil, nil
-				b.start(t, set)
+			f.step()
+			if i%4000 == 3999 { // a restart loses all calls; callers try again
+				f.host.calls, f.host.openAttempts, f.host.timers = map[uint64]*checkedCall{}, nil, nil
+				f.start(t, settings)
 			}
 		}
-		if len(b.h.problems) > 0 {
-			t.Errorf("seed %d: %d problems, first: %s", seed, len(b.h.problems), b.h.problems[0])
+		if len(f.host.violations) > 0 {
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(f.host.violations), f.host.violations[0])
 		}
 	}
 }
 
-// The rules at full size: many exchanges, a tenth of them restarted at one moment, and pauses of this call
-// server after which all that waited comes at once.
+// TestRulesInALargeFleet checks the rules with many exchanges, of which a tenth restart at the same time, and with pauses
+// of the call server after which all waiting events arrive at once.
 func TestRulesInALargeFleet(t *testing.T) {
 	for seed := int64(1); seed <= 4; seed++ {
-		set := testSettings()
-		set.Instances, set.TellsWait = 80, seed%2 == 0
-		b := newBed(t, set, seed)
+		settings := testSettings()
+		settings.Instances, settings.TellsWait = 80, seed%2 == 0
+		f := newFixture(t, settings, seed)
 		for i := 0; i < 9000; i++ {
-			b.step()
+			f.step()
 			if i%2000 == 1999 {
-				for x := 0; x < 8; x++ {
-					b.restart(b.rng.Intn(set.Instances))
+				for number := 0; number < 8; number++ {
+					f.replaceOffice(f.rng.Intn(settings.Instances))
 				}
 			}
-			if i%1500 == 1499 { // what falls due in a pause is excused, and all the rest is not
-				for _, k := range b.h.calls {
-					k.due = max(k.due, b.h.now+2*time.Second+20*time.Millisecond)
+			if i%1500 == 1499 { // answers may be late that fall due in the pause, no others
+				for _, call := range f.host.calls {
+					call.answerBy = max(call.answerBy, f.host.now+2*time.Second+20*time.Millisecond)
 				}
-				b.h.now += 2 * time.Second
+				f.host.now += 2 * time.Second
 			}
 		}
-		if len(b.h.problems) > 0 {
-			t.Errorf("seed %d: %d problems, first: %s", seed, len(b.h.problems), b.h.problems[0])
+		if len(f.host.violations) > 0 {
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(f.host.violations), f.host.violations[0])
 		}
 	}
 }
 
-// The checker itself must find each kind of breach.
-func TestCheckerFindsBreaches(t *testing.T) {
-	for name, breach := range map[string]func(h *checker){
-		"twice out": func(h *checker) { h.Send(1, "o1", 0); h.Send(1, "o1", 0) },
-		"two ends":  func(h *checker) { h.Refuse(1, 0); h.Fail(1) },
-		"late":      func(h *checker) { h.now = time.Hour; h.overdue() },
-		"drained":   func(h *checker) { h.office["o1"].stopped = 0; h.Send(1, "o1", 0) },
-		"release":   func(h *checker) { h.calls[1].notBefore = time.Hour; h.Send(1, "o1", 0) },
-		"self":      func(h *checker) { h.Send(1, "o0", 0) },
-		"transit":   func(h *checker) { h.calls[1].transit = true; h.Send(1, "o2", 0) },
-		"attempts":  func(h *checker) { h.calls[1].attempts = 3; h.Send(1, "o1", 0) },
-		"after end": func(h *checker) { h.Fail(1); h.Send(1, "o1", 0) },
-		"cold": func(h *checker) {
-			h.office["o1"].coldSince = 0
+// The checker must find each kind of violation.
+func TestCheckerFindsViolations(t *testing.T) {
+	for name, violate := range map[string]func(checker *ruleChecker){
+		"two open":  func(checker *ruleChecker) { checker.Send(1, "o1", 0); checker.Send(1, "o1", 0) },
+		"two ends":  func(checker *ruleChecker) { checker.Refuse(1, 0); checker.Fail(1) },
+		"late":      func(checker *ruleChecker) { checker.now = time.Hour; checker.checkOverdue() },
+		"drained":   func(checker *ruleChecker) { checker.offices["o1"].stoppedAt = 0; checker.Send(1, "o1", 0) },
+		"release":   func(checker *ruleChecker) { checker.calls[1].notBefore = time.Hour; checker.Send(1, "o1", 0) },
+		"self":      func(checker *ruleChecker) { checker.Send(1, "o0", 0) },
+		"transit":   func(checker *ruleChecker) { checker.calls[1].transit = true; checker.Send(1, "o2", 0) },
+		"attempts":  func(checker *ruleChecker) { checker.calls[1].attempts = 3; checker.Send(1, "o1", 0) },
+		"after end": func(checker *ruleChecker) { checker.Fail(1); checker.Send(1, "o1", 0) },
+		"cold": func(checker *ruleChecker) {
+			checker.offices["o1"].coldSince = 0
 			for id := uint64(1); id < 30; id++ {
-				h.calls[id] = &watched{dest: 1, due: time.Second}
-				h.Send(id, "o1", 0)
+				checker.calls[id] = &checkedCall{dest: 1, answerBy: time.Second}
+				checker.Send(id, "o1", 0)
 			}
 		},
 	} {
-		h := newChecker(testSettings())
-		h.calls[1] = &watched{dest: 1, due: time.Second}
-		for x := 0; x < 3; x++ {
-			h.office[fmt.Sprintf("o%d", x)] = &watchedOffice{exchange: x, stopped: -1, coldSince: -1}
+		checker := newRuleChecker(testSettings())
+		checker.calls[1] = &checkedCall{dest: 1, answerBy: time.Second}
+		for number := 0; number < 3; number++ {
+			checker.offices[fmt.Sprintf("o%d", number)] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: -1}
 		}
-		if breach(h); len(h.problems) == 0 {
+		if violate(checker); len(checker.violations) == 0 {
 			t.Errorf("%s: not found", name)
 		}
 	}
 }
 
-// Instances act alike together and apart: the same events give the same actions.
-func TestTogetherAndApart(t *testing.T) {
-	apart := func(seed int64) []string {
-		b := newBed(t, testSettings(), seed)
+// Instances share no state: the same events give the same actions whether other instances exist or not.
+func TestInstancesShareNoState(t *testing.T) {
+	runAlone := func(seed int64) []string {
+		second := newFixture(t, testSettings(), seed)
 		for i := 0; i < 4000; i++ {
-			b.step()
+			second.step()
 		}
-		return b.h.acts
+		return second.host.actions
 	}
-	a, b := newBed(t, testSettings(), 1), newBed(t, testSettings(), 2)
+	first, second := newFixture(t, testSettings(), 1), newFixture(t, testSettings(), 2)
 	for i := 0; i < 4000; i++ {
-		a.step()
-		b.step()
+		first.step()
+		second.step()
 	}
-	if !reflect.DeepEqual(a.h.acts, apart(1)) || !reflect.DeepEqual(b.h.acts, apart(2)) {
+	if !reflect.DeepEqual(first.host.actions, runAlone(1)) || !reflect.DeepEqual(second.host.actions, runAlone(2)) {
 		t.Error("actions differ between instances together and apart")
 	}
 }
 
-// Guards against an overloaded fleet that fills itself with two-leg calls, of which each keeps two direct ones out; and
-// against closing that way to calls which are worth more than what they keep out, or where a centre knows of room.
-func TestTwoLegsAreDearInAnOverload(t *testing.T) {
-	overTandem := func(blocked float64, class, via int) (n int) {
-		b := quietBed(t, func(s *Settings) { s.Classes[1].Worth = 4 * s.Classes[0].Worth * float64(max(1, s.Classes[1].Width)) })
-		b.report("o1", 0)
+// Guards against an overloaded fleet that fills with two-leg calls, each of which keeps out two direct ones. Two-leg calls
+// that are worth more than what they keep out, or whose tandem a routing centre advises, must still be set up.
+func TestTwoLegCallsAreTooCostlyInAnOverload(t *testing.T) {
+	overTandem := func(blocked float64, class, via int) (count int) {
+		f := newManualFixture(t, func(settings *Settings) {
+			settings.Classes[1].Worth = 4 * settings.Classes[0].Worth * float64(max(1, settings.Classes[1].Width))
+		})
+		f.report("o1", 0)
 		for range 60 {
-			clear(b.c.counts[b.c.bucket()])
-			b.c.counts[b.c.bucket()][0], b.c.counts[b.c.bucket()][len(b.c.set.Classes)] = 1000, 1000*blocked
-			b.c.ease, b.c.trust = 1, 1
-			b.next++
-			b.h.calls[b.next] = &watched{dest: 1, due: b.h.now + 3*time.Second}
-			b.c.Offered(b.h.now, Call{ID: b.next, Class: class, Dest: 1, Via: via, TimeLeft: 3 * time.Second, Number: "n"})
-			if k := b.h.calls[b.next]; k.out && k.office != "o1" {
-				n++
-				b.stand(b.next)
+			clear(f.controller.offeredCalls[f.controller.currentBucket()])
+			f.controller.offeredCalls[f.controller.currentBucket()][0],
+				f.controller.offeredCalls[f.controller.currentBucket()][len(f.controller.settings.Classes)] = 1000, 1000*blocked
+			f.controller.tandemSuccessRate, f.controller.adviceSuccessRate = 1, 1
+			f.lastID++
+			f.host.calls[f.lastID] = &checkedCall{dest: 1, answerBy: f.host.now + 3*time.Second}
+			f.controller.Offered(f.host.now, Call{ID: f.lastID, Class: class, Dest: 1, Via: via, TimeLeft: 3 * time.Second, Number: "n"})
+			if call := f.host.calls[f.lastID]; call.attemptOpen && call.office != "o1" {
+				count++
+				f.establish(f.lastID)
 			}
 		}
-		return n
+		return count
 	}
-	calm, jam := overTandem(0.3, 0, -1), overTandem(0.7, 0, -1)
-	if calm < 10 || jam != 0 {
-		t.Errorf("of 60 blocked calls %d went over a tandem where 30%% of all are blocked, %d where 70%% are", calm, jam)
+	calm, overload := overTandem(0.3, 0, -1), overTandem(0.7, 0, -1)
+	if calm < 10 || overload != 0 {
+		t.Errorf("of 60 blocked calls %d went over a tandem where 30%% of all are blocked, %d where 70%% are", calm, overload)
 	}
 	if worthy, advised := overTandem(0.7, 1, -1), overTandem(0.7, 0, 3); worthy < 10 || advised < 10 {
-		t.Errorf("in the jam %d worthy and %d advised calls went over a tandem", worthy, advised)
+		t.Errorf("in the overload %d worthy and %d advised calls went over a tandem", worthy, advised)
 	}
 }
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -7,57 +7,59 @@
 	"time"
 )
 
-// idle is a Host that does nothing but remember what was sent.
-type idle struct {
+// sendRecorder is a Host that only records which calls were sent.
+type sendRecorder struct {
 	Host
-	out []uint64
+	sent []uint64
 }
 
-func (h *idle) Send(call uint64, office string, timeout time.Duration) { h.out = append(h.out, call) }
-func (h *idle) Refuse(uint64, time.Duration)                           {}
-func (h *idle) Fail(uint64)                                            {}
-func (h *idle) Cancel(uint64, int)                                     {}
-func (h *idle) Timer(time.Duration, string)                            {}
-func (h *idle) Log(string)                                             {}
+func (h *sendRecorder) Send(call uint64, office string, timeout time.Duration) {
+	h.sent = append(h.sent, call)
+}
+func (h *sendRecorder) Refuse(uint64, time.Duration) {}
+func (h *sendRecorder) Fail(uint64)                  {}
+func (h *sendRecorder) Cancel(uint64, int)           {}
+func (h *sendRecorder) Timer(time.Duration, string)  {}
+func (h *sendRecorder) Log(string)                   {}
 
-// mesh is a Controller in a fleet of n exchanges with groups of three circuits, a third of them full.
-func mesh(n int) (*Controller, *idle) {
-	h, s := &idle{}, testSettings()
-	s.Host, s.Instances = h, n
-	c, err := New(s, 1)
+// newMesh makes a Controller in a fleet of fully meshed exchanges with groups of three circuits, a third of them full.
+func newMesh(exchanges int) (*Controller, *sendRecorder) {
+	host, settings := &sendRecorder{}, testSettings()
+	settings.Host, settings.Instances = host, exchanges
+	c, err := New(settings, 1)
 	if err != nil {
 		panic(err)
 	}
 	var list []Office
-	for x := 0; x < n; x++ {
-		list = append(list, Office{ID: fmt.Sprint("o", x), Exchange: x})
+	for number := 0; number < exchanges; number++ {
+		list = append(list, Office{ID: fmt.Sprint("o", number), Exchange: number})
 	}
 	c.List(time.Second, ListRestored, list)
-	for x := 1; x < n; x++ {
-		c.Report(time.Second, Report{Office: list[x].ID, OK: true, Load: []float64{float64(x % 3), 3, -1}})
+	for number := 1; number < exchanges; number++ {
+		c.Report(time.Second, Report{Office: list[number].ID, OK: true, Load: []float64{float64(number % 3), 3, -1}})
 	}
-	return c, h
+	return c, host
 }
 
-// BenchmarkCall is a call offered, sent or refused, and its end, in fleets of several sizes.
+// BenchmarkCall measures a call that is offered, sent or refused, and ended, in fleets of several sizes.
 func BenchmarkCall(b *testing.B) {
 	for _, n := range []int{10, 100, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c, h := mesh(n)
+			c, host := newMesh(n)
 			rng, now := rand.New(rand.NewSource(1)), 2*time.Second
 			b.ReportAllocs()
 			for i := 0; i < b.N; i++ {
 				now += 20 * time.Millisecond
 				id := uint64(i + 1)
 				c.Offered(now, Call{ID: id, Dest: 1 + rng.Intn(n-1), Via: -1, TimeLeft: 3 * time.Second, Number: fmt.Sprint(i % 5000)})
-				for _, out := range h.out {
-					if k := c.calls[out]; k != nil {
-						c.Stands(now, Outcome{Call: out, Attempt: k.attempts - 1, Office: k.office, Took: 40 * time.Millisecond})
-						c.Outcome(now, Outcome{Call: out, Attempt: k.attempts - 1, Office: k.office, Status: Ended, Over: true,
-							Load: []float64{float64(k.at.number % 3), 3, -1}})
+				for _, out := range host.sent {
+					if call := c.calls[out]; call != nil {
+						c.Stands(now, Outcome{Call: out, Attempt: call.attempts - 1, Office: call.officeID, Took: 40 * time.Millisecond})
+						c.Outcome(now, Outcome{Call: out, Attempt: call.attempts - 1, Office: call.officeID, Status: Ended, Over: true,
+							Load: []float64{float64(call.target.number % 3), 3, -1}})
 					}
 				}
-				h.out = h.out[:0]
+				host.sent = host.sent[:0]
 				c.Timer(now, fmt.Sprint("c", id))
 			}
 		})
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// validate names the setting that makes no sense.
-func validate(s *Settings) error {
-	if s.Host == nil {
+// validate returns an error that names the first invalid setting. Negated comparisons reject NaN, too. Instances below 1 is
+// read as 1.
+func validate(settings *Settings) error {
+	if settings.Host == nil {
 		return fmt.Errorf("settings: Host is missing")
 	}
-	if len(s.Classes) == 0 {
+	if len(settings.Classes) == 0 {
 		return fmt.Errorf("settings: Classes is empty")
 	}
-	for _, k := range s.Classes {
-		if k.Aim < 0 || k.Deadline < 0 || k.Hold < 0 || k.Width < 0 || k.Worth < 0 {
-			return fmt.Errorf("settings: Classes: %s has a negative value", k.Name)
+	for _, class := range settings.Classes {
+		if class.Aim < 0 || class.Deadline < 0 || class.Hold < 0 || class.Width < 0 || class.Worth < 0 {
+			return fmt.Errorf("settings: Classes: %s has a negative value", class.Name)
 		}
-		if !(k.Worth <= 1e9) || !(k.LateShare >= 0 && k.LateShare <= 1) {
-			return fmt.Errorf("settings: Classes: %s has Worth %v, LateShare %v", k.Name, k.Worth, k.LateShare)
+		if !(class.Worth <= 1e9) || !(class.LateShare >= 0 && class.LateShare <= 1) {
+			return fmt.Errorf("settings: Classes: %s has Worth %v, LateShare %v", class.Name, class.Worth, class.LateShare)
 		}
 	}
-	for _, t := range []struct {
-		name string
-		v    time.Duration
-	}{{"Tick", s.Tick}, {"Release", s.Release}, {"DrainGrace", s.DrainGrace}, {"TipAfter", s.TipAfter},
-		{"ColdFor", s.ColdFor}, {"MaxWait", s.MaxWait}, {"AskWithin", s.AskWithin}} {
-		if t.v < 0 {
-			return fmt.Errorf("settings: %s is negative", t.name)
+	for _, duration := range []struct {
+		name  string
+		value time.Duration
+	}{{"Tick", settings.Tick}, {"Release", settings.Release}, {"DrainGrace", settings.DrainGrace}, {"TipAfter", settings.TipAfter},
+		{"ColdFor", settings.ColdFor}, {"MaxWait", settings.MaxWait}, {"AskWithin", settings.AskWithin}} {
+		if duration.value < 0 {
+			return fmt.Errorf("settings: %s is negative", duration.name)
 		}
 	}
-	if !(s.ColdFrom >= 0 && s.ColdFrom <= 1) {
-		return fmt.Errorf("settings: ColdFrom is %v, not a share", s.ColdFrom)
+	if !(settings.ColdFrom >= 0 && settings.ColdFrom <= 1) {
+		return fmt.Errorf("settings: ColdFrom is %v, not a share", settings.ColdFrom)
 	}
-	if !(s.Overload >= 0) || math.IsInf(s.Overload, 0) {
-		return fmt.Errorf("settings: Overload is %v", s.Overload)
+	if !(settings.Overload >= 0) || math.IsInf(settings.Overload, 0) {
+		return fmt.Errorf("settings: Overload is %v", settings.Overload)
 	}
-	if s.MaxAttempts < 0 {
+	if settings.MaxAttempts < 0 {
 		return fmt.Errorf("settings: MaxAttempts is negative")
 	}
-	if s.Instances < 1 {
-		s.Instances = 1
+	if settings.Instances < 1 {
+		settings.Instances = 1
 	}
 	return nil
 }
