--- a/liveness/detector.go
+++ b/liveness/detector.go
@@ -1,207 +1,216 @@
-// Package liveness is the failure detector of the platform's call server: it says that an office lives, is suspected, or has
-// failed. Signs of life and the time go in, heartbeats and verdicts come out. It has no clock, sockets or goroutines.
+// Package liveness is the failure detector of the platform's call server: it judges whether an office is alive, suspected
+// or failed. Activity and the time go in, heartbeats and verdicts come out. It has no clock, sockets or goroutines.
 //
-// An office that vanishes gives no sign: its connections stay open and silent, and new ones never come up. What stood there
-// is over, and only silence says so. So an office is asked for a sign of life while calls stand at it; one that does not
-// answer is suspected and asked in every way there is, and fails once it must, so that the callers are told in time. It is
-// not given up sooner: the calls of an office that was only cut off go on when the network heals.
+// The connections of an office that is unreachable stay open without traffic, and new ones don't come up. Its established
+// calls are over, and only the silence shows it. An office is therefore sent heartbeats while calls are established at it.
+// One that doesn't answer is suspected and probed, and fails in time for the ends of its calls to be reported within the
+// limit of the protocol. It doesn't fail earlier, because the calls of an office that is alive behind a network partition
+// go on when the partition ends.
 package liveness
 
 import "time"
 
-// The limits of the detector, and what each follows from.
+// Limits of the detector.
 const (
-	// EndToldWithin is the protocol's limit: a call's end must be told within this where no release could be sent.
-	EndToldWithin = 8 * time.Second
-	// tellMargin is left for telling: a pause of the process, and a release written to each caller.
-	tellMargin = 400 * time.Millisecond
-	// FailAfter is how long an office may be silent. An end may lie as early as right after its last sign of life, so no
-	// longer silence keeps the protocol's limit, and every shorter one gives up more calls that go on after a cut.
-	FailAfter = EndToldWithin - tellMargin
-	// HeartbeatAfter is the silence after which an office is asked. A cut that begins right before a heartbeat is due is
-	// survived if it heals within FailAfter less HeartbeatAfter; a shorter span costs more messages in large fleets.
+	// EndReportLimit is the protocol's limit for reporting the end of a call if no release could be sent.
+	EndReportLimit = 8 * time.Second
+	// reportMargin is the part of EndReportLimit left for the reports: a pause of the process, and a release written to
+	// each caller.
+	reportMargin = 400 * time.Millisecond
+	// FailAfter is the silence after which an unreachable office fails. A call may end right after the last activity of its
+	// office, so a longer silence would exceed the protocol's limit, and a shorter one gives up more calls that go on after
+	// a network partition.
+	FailAfter = EndReportLimit - reportMargin
+	// HeartbeatAfter is the silence after which a heartbeat is sent. A network partition that begins right before a
+	// heartbeat is due is survived if it ends within FailAfter less HeartbeatAfter. A shorter time costs more messages in
+	// large fleets.
 	HeartbeatAfter = 1250 * time.Millisecond
-	// retryEvery is how often a suspected office is asked: a cut that heals for a moment only, or just before calls are given up,
-	// is to be seen.
-	retryEvery = 300 * time.Millisecond
-	// lateConnection is how late a connection to a living office may come up.
-	lateConnection = time.Second
-	// heldBytes is how long bytes that a cut held back may take to come when it heals. Those that come later were sent since.
-	heldBytes = 100 * time.Millisecond
-	// confirmWithin is how long an office that stirs may take to show that it lives, where its time is up at that moment.
-	confirmWithin = heldBytes + 50*time.Millisecond
-	// firstContact is how long an office may be out of reach that has given no sign since this process began. Calls that stood
-	// there before it began may have been over for some time already, so there is no time to wait for FailAfter.
-	firstContact = 3 * time.Second
-	// lateCheck is how much later than asked for a check may come until the pause of the process itself is suspected: signs of
-	// life may wait unread.
-	lateCheck = 100 * time.Millisecond
+	// probeInterval is the time between probes of a suspected office. It is short so that the end of a network partition is
+	// noticed even if it is brief or comes right before calls are given up.
+	probeInterval = 300 * time.Millisecond
+	// connectTimeout is the longest time that a connection to an office that is alive takes to come up.
+	connectTimeout = time.Second
+	// staleBytesWindow is how long bytes that a network partition delayed may arrive after its end. Those that come later
+	// were sent since.
+	staleBytesWindow = 100 * time.Millisecond
+	// confirmationTimeout is how long after its first unconfirmed activity an office may take to confirm it, if the limit of
+	// its silence passes meanwhile.
+	confirmationTimeout = staleBytesWindow + 50*time.Millisecond
+	// firstContactTimeout is how long an office may be unreachable from which nothing has come since this process started.
+	// Calls that were established there before may have been over for some time, so there is no time to wait for FailAfter.
+	firstContactTimeout = 3 * time.Second
+	// pauseThreshold is the delay of a check from which on a pause of this process is suspected: activity may wait unread.
+	pauseThreshold = 100 * time.Millisecond
 )
 
-// State is what a Detector holds of an office.
+// State is the verdict on an office.
 type State int
 
 // The states of an office.
 const (
-	Alive State = iota
-	Suspected
-	Failed
+	Alive     State = iota
+	Suspected       // it doesn't answer; its calls may go on
+	Failed          // its calls are over
 )
 
-// String names a state.
+// String returns the name of a state.
 func (s State) String() string { return [...]string{"alive", "suspected", "failed"}[s] }
 
-// Action is what a check asks for.
+// Action is what the caller of Check has to do.
 type Action int
 
-// The actions: nothing, a sign of life by one message, one by every way there is, and the end of what stands at the office.
+// The actions.
 const (
-	None Action = iota
-	Heartbeat
-	Probe
-	Fail
+	None      Action = iota
+	Heartbeat        // send a heartbeat on one connection
+	Probe            // send a heartbeat on each connection and open another one
+	Fail             // end the established calls of the office
 )
 
-// Detector watches one office. The zero value has seen nothing of it.
+// Detector is the failure detector for one office. The zero value is one from which nothing has come yet.
 type Detector struct {
-	state     State
-	known     bool          // it has given a sign of life
-	heard     time.Duration // the last one,
-	watched   time.Duration // or when the watch began, where that is later
-	contacted time.Duration // when it was first called, where it has given none
-	tried     bool          // it was called since the last sign,
-	triedAt   time.Duration // first then
-	missed    int           // connections that did not come up since
-	asked     time.Duration // when it was asked last, since the last sign; 0: it was not
-	due       time.Duration // when the next check was asked for
-	stirred   bool          // bytes have come since it was suspected, which may be old,
-	stirredAt time.Duration // first then
+	state             State
+	hasActivity       bool          // something has come from the office since this process started
+	lastActivity      time.Duration // when something last came
+	watchedSince      time.Duration // when Watch was called
+	firstContactAt    time.Duration // when a connection was first opened, or Watch called
+	connectionTried   bool          // a connection was opened since the last activity
+	connectionTriedAt time.Duration // when the first of these was opened
+	failedConnections int           // number of connections since the last activity that did not come up
+	lastRequestAt     time.Duration // when a heartbeat or probe was last asked for since the last activity; 0: none was
+	checkDue          time.Duration // when the next check is due
+	unconfirmed       bool          // bytes have come since the office was suspected, which may be stale
+	unconfirmedSince  time.Duration // when the first of these came
 }
 
-// State is what is held of the office.
+// State is the verdict on the office.
 func (d *Detector) State() State { return d.state }
 
-// Silence is how long the office has given no sign.
-func (d *Detector) Silence(now time.Duration) time.Duration { return now - d.last() }
+// Silence is the time since the last activity of the office.
+func (d *Detector) Silence(now time.Duration) time.Duration { return now - d.silentSince() }
 
-// Heard takes a sign of life of this moment: a connection that came up, or an answer to what has just been asked. It tells
-// whether the office was suspected, or had failed.
-func (d *Detector) Heard(now time.Duration) (was State) {
-	was = d.state
-	d.state, d.known, d.heard = Alive, true, now
-	d.tried, d.missed, d.asked, d.stirred = false, 0, 0, false
-	return was
+// Heard notes present activity: a connection that came up, or the answer to a probe. It returns the state before.
+func (d *Detector) Heard(now time.Duration) (previous State) {
+	previous = d.state
+	d.state, d.hasActivity, d.lastActivity = Alive, true, now
+	d.connectionTried, d.failedConnections, d.lastRequestAt, d.unconfirmed = false, 0, 0, false
+	return previous
 }
 
-// HeardBytes takes bytes on a connection that was up before. While the office is suspected they may be old: a cut holds them back,
-// and lets them through in the moment in which it heals, after which the office may be lost for good. So the first of them only
-// have it asked at once, and what comes a moment later shows that it lives. It tells whether these are the first.
-func (d *Detector) HeardBytes(now time.Duration) (stirs bool) {
+// HeardBytes notes bytes on a connection that was up before. While the office is suspected they may be stale: a network
+// partition delays them and lets them through when it ends, and the office may fail at that moment. The first of them are
+// therefore unconfirmed activity, on which the caller probes the office at once, and bytes that come a moment later confirm
+// that it is alive. The result is true for the first.
+func (d *Detector) HeardBytes(now time.Duration) (first bool) {
 	switch {
 	case d.state != Suspected:
 		d.Heard(now)
-	case !d.stirred:
-		d.stirred, d.stirredAt = true, now
+	case !d.unconfirmed:
+		d.unconfirmed, d.unconfirmedSince = true, now
 		return true
-	case now-d.stirredAt >= heldBytes:
+	case now-d.unconfirmedSince >= staleBytesWindow:
 		d.Heard(now)
 	}
 	return false
 }
 
-// Stirs tells whether the office is suspected and bytes have come since.
-func (d *Detector) Stirs() bool { return d.stirred }
+// Stirs reports whether there is unconfirmed activity: the office is suspected, and bytes have come since.
+func (d *Detector) Stirs() bool { return d.unconfirmed }
 
-// Dialled takes the news that a connection is being opened.
+// Dialled notes that a connection is being opened.
 func (d *Detector) Dialled(now time.Duration) {
-	if d.contacted == 0 {
-		d.contacted = now
+	if d.firstContactAt == 0 {
+		d.firstContactAt = now
 	}
-	if !d.tried {
-		d.tried, d.triedAt = true, now
+	if !d.connectionTried {
+		d.connectionTried, d.connectionTriedAt = true, now
 	}
 }
 
-// Missed takes the news that a connection did not come up.
-func (d *Detector) Missed() { d.missed++ }
+// Missed notes that a connection did not come up.
+func (d *Detector) Missed() { d.failedConnections++ }
 
-// Watch begins the watch: from now on calls stand at the office. The next check is due at once.
+// Watch starts the detector: from now on calls are established at the office. The next check is due at once.
 func (d *Detector) Watch(now time.Duration) {
-	d.watched, d.due = now, now
-	if d.contacted == 0 {
-		d.contacted = now
+	d.watchedSince, d.checkDue = now, now
+	if d.firstContactAt == 0 {
+		d.firstContactAt = now
 	}
 }
 
-// last is the moment since which the office is silent.
-func (d *Detector) last() time.Duration {
-	if !d.known {
-		return d.contacted
+// silentSince is the beginning of the silence: the last activity, the start of the watch if that is later, or the first
+// contact if there was no activity.
+func (d *Detector) silentSince() time.Duration {
+	if !d.hasActivity {
+		return d.firstContactAt
 	}
-	return max(d.heard, d.watched)
+	return max(d.lastActivity, d.watchedSince)
 }
 
-// outOfReach tells whether connections don't come up: an office that hangs is silent, too, but lives.
-func (d *Detector) outOfReach(now time.Duration) bool {
-	return d.missed > 0 || d.tried && now-d.triedAt >= lateConnection
+// unreachable reports whether connections don't come up. Those to an office that hangs do: it is silent, too, but alive.
+func (d *Detector) unreachable(now time.Duration) bool {
+	return d.failedConnections > 0 || d.connectionTried && now-d.connectionTriedAt >= connectTimeout
 }
 
-// Check says what to do now, and when to check again.
+// Check returns what to do now, and when to check again.
 func (d *Detector) Check(now time.Duration) (Action, time.Duration) {
-	late := now - d.due
-	action, next := d.decide(now, late > lateCheck)
-	d.due = next
+	delay := now - d.checkDue
+	action, next := d.decide(now, delay > pauseThreshold)
+	d.checkDue = next
 	return action, next
 }
 
+// decide updates the state and returns what Check returns. After a pause of this process the office doesn't fail, because
+// activity may be unread, and is probed at once.
 func (d *Detector) decide(now time.Duration, paused bool) (Action, time.Duration) {
 	limit := FailAfter
-	if !d.known {
-		limit = firstContact
+	if !d.hasActivity {
+		limit = firstContactTimeout
 	}
-	silence := now - d.last()
+	silence := now - d.silentSince()
 	switch {
 	case d.state == Failed:
-		return None, now + retryEvery
-	case d.known && silence < HeartbeatAfter:
-		return None, d.last() + HeartbeatAfter
-	case d.stirred && silence >= limit && now-d.stirredAt < confirmWithin:
-		return None, d.stirredAt + confirmWithin
-	case silence >= limit && d.outOfReach(now) && !paused:
+		return None, now + probeInterval
+	case d.hasActivity && silence < HeartbeatAfter:
+		return None, d.silentSince() + HeartbeatAfter
+	case d.unconfirmed && silence >= limit && now-d.unconfirmedSince < confirmationTimeout:
+		return None, d.unconfirmedSince + confirmationTimeout
+	case silence >= limit && d.unreachable(now) && !paused:
 		d.state = Failed
-		return Fail, now + retryEvery
-	case d.asked > 0 && now-d.asked < retryEvery && !paused:
-		return None, d.nextCheck(now, d.asked+retryEvery, limit)
+		return Fail, now + probeInterval
+	case d.lastRequestAt > 0 && now-d.lastRequestAt < probeInterval && !paused:
+		return None, d.nextCheck(now, d.lastRequestAt+probeInterval, limit)
 	}
 	action := Heartbeat
-	if d.asked > 0 || !d.known {
+	if d.lastRequestAt > 0 || !d.hasActivity {
 		d.state, action = Suspected, Probe
 	}
-	d.asked = now
-	return action, d.nextCheck(now, now+retryEvery, limit)
+	d.lastRequestAt = now
+	return action, d.nextCheck(now, now+probeInterval, limit)
 }
 
-// nextCheck is the earlier of a moment and the office's limit, where that is still to come.
-func (d *Detector) nextCheck(now, at, limit time.Duration) time.Duration {
-	if fails := d.last() + limit; fails > now {
-		return min(at, fails)
+// nextCheck is the earlier of a requested time and the end of the longest silence, if that is still to come.
+func (d *Detector) nextCheck(now, requested, limit time.Duration) time.Duration {
+	if limitAt := d.silentSince() + limit; limitAt > now {
+		return min(requested, limitAt)
 	}
-	return at
+	return requested
 }
 
-// CallsLost tells whether calls that stood at an office are over, where no connection from that time has lived on: held is how
-// many circuits they take, used how many the office says are in use on the same group. A process that has started anew knows
-// none of them; one that only lost its connections still holds them all. Half of them leaves room for calls that end
-// meanwhile.
+// CallsLost reports whether the established calls of an office are over after all its connections were lost: held is the
+// number of circuits that they hold, used the number that the office reports in use on the same group. A process that has
+// restarted knows none of them, while one that only lost its connections still holds them all. The limit of a half allows
+// for calls that end meanwhile.
 func CallsLost(held, used int) bool { return held > 0 && 2*used < held }
 
-// StateLag is how old what an office says of its group may be: calls that had stood for less are not counted, since it may not
-// have counted them yet.
+// StateLag is how old the report of an office on its group may be. Calls that were established for a shorter time are not
+// counted, since the report may not include them yet.
 const StateLag = time.Second
 
-// NamedWithin is how long the calls that stand at one office may take to be named, so that they are counted together.
+// NamedWithin is how long callers may take, after a restart of this process, to name the calls that are established at one
+// office, so that these are counted together.
 const NamedWithin = time.Second
 
-// AskStateWithin is how long releases that an office could not say before may take to come on a connection that has come up:
-// they are heard before its calls are counted.
+// AskStateWithin is how long pending releases of an office may take to arrive on a connection that has come up. They are
+// read before the calls are counted.
 const AskStateWithin = 200 * time.Millisecond
--- a/liveness/detector_test.go
+++ b/liveness/detector_test.go
@@ -7,81 +7,82 @@
 
 const ms = time.Millisecond
 
-// run checks a Detector as often as it asks for, until a time, and tells what it asked for and when.
-func run(d *Detector, from, until time.Duration, on func(now time.Duration, a Action)) {
+// runChecks calls Check whenever a check is due, until a time, and passes the actions to a function.
+func runChecks(d *Detector, from, until time.Duration, handle func(now time.Duration, action Action)) {
 	for now := from; now < until; {
 		action, next := d.Check(now)
 		if action != None {
-			on(now, action)
+			handle(now, action)
 		}
 		if next <= now {
-			panic("a check that is due at once, again")
+			panic("the next check is due at once")
 		}
 		now = next
 	}
 }
 
-// An office that vanishes is suspected first, asked often, and fails in time for its callers to be told, never sooner.
-func TestAnOfficeThatVanishesFailsInTime(t *testing.T) {
-	for _, every := range []time.Duration{50 * ms, 400 * ms, 1100 * ms} { // signs of life while it lives
+// An office that becomes unreachable is suspected first and probed often, and fails in time for the reports to its callers,
+// not earlier.
+func TestUnreachableOfficeFailsInTime(t *testing.T) {
+	for _, interval := range []time.Duration{50 * ms, 400 * ms, 1100 * ms} { // between activities while it is reachable
 		d := &Detector{}
 		d.Dialled(1000 * ms)
 		d.Watch(1000 * ms)
-		last := 1000 * ms
-		for at := 1000 * ms; at < 6000*ms; at += every {
+		lastActivity := 1000 * ms
+		for at := 1000 * ms; at < 6000*ms; at += interval {
 			d.Heard(at)
-			last = at
+			lastActivity = at
 		}
-		var failed time.Duration
-		asked := 0
+		var failedAt time.Duration
+		requests := 0
 		suspected := false
-		run(d, last, 30*time.Second, func(now time.Duration, a Action) {
-			switch a {
+		runChecks(d, lastActivity, 30*time.Second, func(now time.Duration, action Action) {
+			switch action {
 			case Heartbeat:
-				asked++
+				requests++
 			case Probe:
-				asked++
+				requests++
 				suspected = suspected || d.State() == Suspected
 				d.Dialled(now)
 				d.Missed()
 			case Fail:
-				if failed > 0 {
-					t.Error("it fails twice")
+				if failedAt > 0 {
+					t.Error("the office fails twice")
 				}
-				failed = now
+				failedAt = now
 			}
 		})
-		if failed-last != FailAfter {
-			t.Errorf("signs every %v: it fails %v after its last", every, failed-last)
+		if failedAt-lastActivity != FailAfter {
+			t.Errorf("activity every %v: the office fails %v after the last", interval, failedAt-lastActivity)
 		}
-		if !suspected || asked < 8 {
-			t.Errorf("signs every %v: suspected %v, asked %d times before it failed", every, suspected, asked)
+		if !suspected || requests < 8 {
+			t.Errorf("activity every %v: suspected %v, %d heartbeats and probes before it failed", interval, suspected, requests)
 		}
 	}
-	if EndToldWithin-FailAfter < 200*ms {
-		t.Error("no time is left for telling")
+	if EndReportLimit-FailAfter < 200*ms {
+		t.Error("no time is left for the reports")
 	}
 }
 
-// A cut that heals in time costs no call, whenever it began.
-func TestACutThatHealsInTimeIsSurvived(t *testing.T) {
-	longest := FailAfter - HeartbeatAfter - 2*retryEvery
+// A network partition that ends in time drops no call, whenever it begins.
+func TestShortPartitionIsSurvived(t *testing.T) {
+	longest := FailAfter - HeartbeatAfter - 2*probeInterval
 	if longest < 5*time.Second {
-		t.Errorf("only a cut of %v is survived", longest)
+		t.Errorf("only a network partition of %v is survived", longest)
 	}
 	for phase := time.Duration(0); phase < 2*HeartbeatAfter; phase += 50 * ms {
 		d := &Detector{}
 		d.Dialled(0)
 		d.Watch(1)
 		d.Heard(1)
-		cut, heal := 5*time.Second+phase, 5*time.Second+phase+longest
-		run(d, 1, 20*time.Second, func(now time.Duration, a Action) {
+		begin, end := 5*time.Second+phase, 5*time.Second+phase+longest
+		runChecks(d, 1, 20*time.Second, func(now time.Duration, action Action) {
 			switch {
-			case a == Fail:
-				t.Errorf("cut at %v for %v: it fails at %v", cut, longest, now)
-			case now < cut || now >= heal:
+			case action == Fail:
+				t.Errorf("partition at %v for %v: the office fails at %v", begin, longest, now)
+			case now < begin || now >= end:
 				d.Heard(now)
-			case a == Probe:
+			case action == Probe:
 				d.Dialled(now)
 				d.Missed()
 			}
@@ -89,17 +90,17 @@
 	}
 }
 
-// An office that hangs takes connections and says nothing: it lives.
-func TestAnOfficeThatHangsLives(t *testing.T) {
+// An office that hangs accepts connections and sends nothing: it is alive.
+func TestHangingOfficeIsAlive(t *testing.T) {
 	d := &Detector{}
 	d.Dialled(1)
 	d.Watch(1)
 	d.Heard(1)
 	probes := 0
-	run(d, 1, time.Minute, func(now time.Duration, a Action) {
-		switch a {
+	runChecks(d, 1, time.Minute, func(now time.Duration, action Action) {
+		switch action {
 		case Fail:
-			t.Fatalf("it fails at %v", now)
+			t.Fatalf("the office fails at %v", now)
 		case Probe:
 			probes++
 			d.Dialled(now)
@@ -107,69 +108,69 @@
 		}
 	})
 	if probes < 10 {
-		t.Errorf("asked %d times for a connection in a minute", probes)
+		t.Errorf("%d probes in a minute, want 10 or more", probes)
 	}
 }
 
-// Without a connection that does not come up there is no failure, however long the silence.
+// An office doesn't fail, however long the silence, unless a connection doesn't come up.
 func TestSilenceAloneIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
 	d.Heard(1)
-	run(d, 1, time.Minute, func(now time.Duration, a Action) {
-		if a == Fail {
-			t.Fatalf("it fails at %v, and no connection was tried", now)
+	runChecks(d, 1, time.Minute, func(now time.Duration, action Action) {
+		if action == Fail {
+			t.Fatalf("the office fails at %v, and no connection was tried", now)
 		}
 	})
 }
 
-// A connection may come up late; one that is out for longer counts as one that does not.
-func TestALateConnectionIsNoFailure(t *testing.T) {
+// A connection may come up late; only one that takes longer than connectTimeout counts as failed.
+func TestLateConnectionIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
 	d.Heard(1)
 	for now := time.Duration(1); now < FailAfter+500*ms; {
-		a, next := d.Check(now)
-		if a == Fail {
-			t.Fatalf("it fails at %v", now)
+		action, next := d.Check(now)
+		if action == Fail {
+			t.Fatalf("the office fails at %v", now)
 		}
-		if now >= FailAfter-400*ms && !d.tried {
+		if now >= FailAfter-400*ms && !d.connectionTried {
 			d.Dialled(now) // for the first time, and shortly before the limit
 		}
 		now = next
 	}
 }
 
-// After a pause of the process itself signs of life may wait unread: it looks once more before it gives up.
-func TestAPauseOfTheProcessIsNoFailure(t *testing.T) {
+// After a pause of this process activity may wait unread: the office is probed once more before it fails.
+func TestPauseOfTheProcessIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
 	d.Heard(1)
-	_, next := d.Check(1)
-	d.Check(next)
-	d.Dialled(next)
+	_, firstCheck := d.Check(1)
+	d.Check(firstCheck)
+	d.Dialled(firstCheck)
 	d.Missed()
-	woke := next + time.Minute
-	action, again := d.Check(woke)
-	if action != Probe || again > woke+retryEvery {
-		t.Fatalf("after a pause: %v, next check %v later", action, again-woke)
+	resumed := firstCheck + time.Minute
+	action, next := d.Check(resumed)
+	if action != Probe || next > resumed+probeInterval {
+		t.Fatalf("after a pause: %v, next check %v later", action, next-resumed)
 	}
-	d.Heard(woke + 10*ms)
-	if action, _ = d.Check(again); action == Fail {
-		t.Fatal("it fails although it was heard")
+	d.Heard(resumed + 10*ms)
+	if action, _ = d.Check(next); action == Fail {
+		t.Fatal("the office fails in spite of activity")
 	}
-	if action, again = d.Check(again + time.Minute); action == Fail {
-		t.Fatal("it fails at once after a second pause")
+	if action, next = d.Check(next + time.Minute); action == Fail {
+		t.Fatal("the office fails at once after a second pause")
 	}
-	d.Dialled(again)
+	d.Dialled(next)
 	d.Missed()
-	if action, _ = d.Check(again); action != Fail {
-		t.Fatalf("silent after the pause, too: %v", action)
+	if action, _ = d.Check(next); action != Fail {
+		t.Fatalf("no activity after the pause either: %v", action)
 	}
 }
 
-// Calls that are said to stand at an office that this process never reached are not kept for long.
-func TestAnOfficeThatWasNeverReached(t *testing.T) {
+// Calls that callers name at an office which this process never reached are not kept for long.
+func TestOfficeThatWasNeverReached(t *testing.T) {
 	d := &Detector{}
 	for at := 1000 * ms; at < 6000*ms; at += 600 * ms {
 		d.Dialled(at)
@@ -177,27 +178,27 @@
 	}
 	d.Watch(6000 * ms)
 	if action, _ := d.Check(6000 * ms); action != Fail {
-		t.Errorf("out of reach for 5 s: %v", action)
+		t.Errorf("unreachable for 5 s: %v", action)
 	}
 	d = &Detector{}
 	d.Dialled(1000 * ms)
 	d.Watch(1100 * ms)
-	var failed time.Duration
-	run(d, 1100*ms, 20*time.Second, func(now time.Duration, a Action) {
-		if a == Probe {
+	var failedAt time.Duration
+	runChecks(d, 1100*ms, 20*time.Second, func(now time.Duration, action Action) {
+		if action == Probe {
 			d.Dialled(now)
 			d.Missed()
-		} else if a == Fail {
-			failed = now
+		} else if action == Fail {
+			failedAt = now
 		}
 	})
-	if failed != 1000*ms+firstContact {
-		t.Errorf("fails at %v", failed)
+	if failedAt != 1000*ms+firstContactTimeout {
+		t.Errorf("the office fails at %v", failedAt)
 	}
 }
 
-// A watch that begins long after the last sign asks first.
-func TestAWatchThatBeginsLateAsksFirst(t *testing.T) {
+// A watch that begins long after the last activity doesn't fail the office without a heartbeat.
+func TestLateWatchSendsHeartbeatFirst(t *testing.T) {
 	d := &Detector{}
 	d.Heard(1000 * ms)
 	d.Dialled(2000 * ms)
@@ -208,14 +209,14 @@
 	}
 }
 
-// What comes back after a failure is told as that.
+// Activity after a failure is reported with the state Failed.
 func TestReturnAfterAFailure(t *testing.T) {
-	d := &Detector{state: Failed, known: true}
-	if a, _ := d.Check(time.Hour); a != None {
-		t.Errorf("a failed office: %v", a)
+	d := &Detector{state: Failed, hasActivity: true}
+	if action, _ := d.Check(time.Hour); action != None {
+		t.Errorf("a failed office: %v", action)
 	}
-	if was := d.Heard(time.Hour); was != Failed || d.State() != Alive {
-		t.Errorf("was %v, is %v", was, d.State())
+	if previous := d.Heard(time.Hour); previous != Failed || d.State() != Alive {
+		t.Errorf("was %v, is %v", previous, d.State())
 	}
 }
 
@@ -230,95 +231,98 @@
 	}
 }
 
-// silentSince gives a Detector of an office that was heard last at a moment, with connections that don't come up since.
-func silentSince(last time.Duration) *Detector {
+// newSilentDetector makes a Detector of an office whose last activity was at a time.
+func newSilentDetector(lastActivity time.Duration) *Detector {
 	d := &Detector{}
 	d.Dialled(1)
 	d.Watch(1)
-	d.Heard(last)
+	d.Heard(lastActivity)
 	return d
 }
 
-// A cut heals for a moment and lets through what it held back, and the office is lost in that moment: it fails in time all the same.
-func TestBytesThatWereHeldBackAreNoSignOfNow(t *testing.T) {
-	const last = time.Second
-	d := silentSince(last)
-	var failed time.Duration
-	stirs, held := 0, false
-	run(d, last, 30*time.Second, func(now time.Duration, a Action) {
+// A network partition that ends for a moment lets delayed bytes through, and the office fails at that moment. It must fail
+// in time all the same.
+func TestStaleBytesAreNotConfirmedActivity(t *testing.T) {
+	const lastActivity = time.Second
+	d := newSilentDetector(lastActivity)
+	var failedAt time.Duration
+	firstBytes, delivered := 0, false
+	runChecks(d, lastActivity, 30*time.Second, func(now time.Duration, action Action) {
 		switch {
-		case a == Probe:
+		case action == Probe:
 			d.Dialled(now)
 			d.Missed()
-		case a == Fail:
-			failed = now
+		case action == Fail:
+			failedAt = now
 		}
-		if !held && now >= 5*time.Second {
-			held = true
-			for at := now; at < now+heldBytes; at += 10 * ms {
+		if !delivered && now >= 5*time.Second {
+			delivered = true
+			for at := now; at < now+staleBytesWindow; at += 10 * ms {
 				if d.HeardBytes(at) {
-					stirs++
+					firstBytes++
 				}
 			}
 		}
 	})
-	if stirs != 1 || failed-last != FailAfter {
-		t.Errorf("it stirs %d times and fails %v after its last sign", stirs, failed-last)
+	if firstBytes != 1 || failedAt-lastActivity != FailAfter {
+		t.Errorf("unconfirmed activity begins %d times and the office fails %v after its last activity",
+			firstBytes, failedAt-lastActivity)
 	}
 }
 
-// Bytes that come a moment after a heal, or a connection that comes up, show that the office lives.
-func TestAnOfficeThatGoesOnAfterAHealLives(t *testing.T) {
-	for name, goesOn := range map[string]func(d *Detector, now time.Duration){
-		"bytes":        func(d *Detector, now time.Duration) { d.HeardBytes(now + heldBytes) },
+// Bytes that come a moment after the end of a network partition, or a connection that comes up, confirm that the office is
+// alive.
+func TestActivityAfterAPartitionIsConfirmed(t *testing.T) {
+	for name, confirm := range map[string]func(d *Detector, now time.Duration){
+		"bytes":        func(d *Detector, now time.Duration) { d.HeardBytes(now + staleBytesWindow) },
 		"a connection": func(d *Detector, now time.Duration) { d.Heard(now) },
 	} {
-		d := silentSince(time.Second)
-		run(d, time.Second, 5*time.Second, func(now time.Duration, a Action) {
-			if a == Probe {
+		d := newSilentDetector(time.Second)
+		runChecks(d, time.Second, 5*time.Second, func(now time.Duration, action Action) {
+			if action == Probe {
 				d.Dialled(now)
 				d.Missed()
 			}
 		})
 		if d.State() != Suspected || !d.HeardBytes(5*time.Second) || d.State() != Suspected || !d.Stirs() {
-			t.Fatalf("%s: %v before it goes on", name, d.State())
+			t.Fatalf("%s: %v before the confirmation", name, d.State())
 		}
-		goesOn(d, 5*time.Second)
+		confirm(d, 5*time.Second)
 		if d.State() != Alive || d.Stirs() {
 			t.Errorf("%s: %v", name, d.State())
 		}
 	}
 }
 
-// An office that stirs when its time is up has a moment to show that it lives, and no more.
-func TestAnOfficeThatStirsAtTheLimit(t *testing.T) {
-	for _, lives := range []bool{true, false} {
-		const last = time.Second
-		d := silentSince(last)
-		var failed time.Duration
-		run(d, last, 20*time.Second, func(now time.Duration, a Action) {
-			switch a {
+// An office with unconfirmed activity at the limit of its silence gets confirmationTimeout to confirm it, and no more.
+func TestUnconfirmedActivityAtTheLimit(t *testing.T) {
+	for _, alive := range []bool{true, false} {
+		const lastActivity = time.Second
+		d := newSilentDetector(lastActivity)
+		var failedAt time.Duration
+		runChecks(d, lastActivity, 20*time.Second, func(now time.Duration, action Action) {
+			switch action {
 			case Probe:
 				d.Dialled(now)
 				d.Missed()
 			case Fail:
-				failed = now
+				failedAt = now
 			}
-			if stirs := last + FailAfter - retryEvery; now >= stirs && now < last+FailAfter {
-				d.HeardBytes(last + FailAfter - 10*ms)
-				if lives {
-					d.Heard(last + FailAfter + heldBytes)
+			if bytesFrom := lastActivity + FailAfter - probeInterval; now >= bytesFrom && now < lastActivity+FailAfter {
+				d.HeardBytes(lastActivity + FailAfter - 10*ms)
+				if alive {
+					d.Heard(lastActivity + FailAfter + staleBytesWindow)
 				}
 			}
-			if failed == 0 && lives && now > last+FailAfter {
+			if failedAt == 0 && alive && now > lastActivity+FailAfter {
 				d.Heard(now)
 			}
 		})
-		if lives && failed != 0 {
-			t.Errorf("it fails %v after its last sign, and lives", failed-last)
+		if alive && failedAt != 0 {
+			t.Errorf("the office fails %v after its last activity, and is alive", failedAt-lastActivity)
 		}
-		if told := failed - last; !lives && (told <= FailAfter || told > EndToldWithin-200*ms) {
-			t.Errorf("it fails %v after its last sign", told)
+		if elapsed := failedAt - lastActivity; !alive && (elapsed <= FailAfter || elapsed > EndReportLimit-200*ms) {
+			t.Errorf("the office fails %v after its last activity", elapsed)
 		}
 	}
 }
