--- a/logic/admission.go
+++ b/logic/admission.go
@@ -41,6 +41,7 @@
 	if exchange.isCold = exchange.isCold && c.now-exchange.coldSince < c.settings.ColdFor; !exchange.isCold {
 		return true
 	}
+	// The lower limit of a millisecond avoids a division by zero.
 	budget, tipSeconds := c.slowStartBudget(exchange), math.Max(c.settings.TipAfter.Seconds(), 0.001)
 	elapsed := (c.now - exchange.tokensAt).Seconds()
 	if budget*slowStartBurstShare >= 1 {
@@ -68,13 +69,15 @@
 	} else if exchange.number == c.settings.Home { // calls of its own are half of the work of a processor
 		circuits = float64(c.totalCircuits) / math.Min(float64(c.settings.Instances), 2)
 	}
+	// The lower limits of one circuit and a tenth of a second avoid a budget of zero and a division by zero.
 	fullRate := processorHeadroom * math.Max(circuits, 1) / (math.Max(c.meanHold().Seconds(), 0.1) * c.meanWidth())
 	return c.settings.Overload * ramp * fullRate * c.settings.TipAfter.Seconds()
 }
 
 // shouldShed reports whether to shed a call because its set-up would be late or the exchange asks for fewer calls, those of
 // least worth first: a late set-up costs two processors and earns little. One direct call at a time is admitted
-// nevertheless, to notice the end of the overload.
+// nevertheless, to notice the end of the overload: one in all if the own processor is slow, and one for each slow exchange.
+// A reported reduction decays with twice the half-life of delays and doesn't apply to direct calls of the worthiest class.
 func (c *Controller) shouldShed(exchange *exchangeRecord, call *callRecord, twoLeg bool) bool {
 	class := c.settings.Classes[call.Class]
 	aimShare := shedDelayFactor
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -62,7 +62,7 @@
 	c.removeOutstanding(call)
 	c.recordActivity(call.target)
 	call.dest.signallingSuccessRate += slowSampleWeight * (1 - call.dest.signallingSuccessRate)
-	if number := c.numbers[call.Number]; number != nil {
+	if number := c.calledNumbers[call.Number]; number != nil {
 		number.busyBackoff, number.firstTryAt = 0, 0
 	}
 	if !call.twoLeg || call.Transit || c.settings.Pools {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -2,8 +2,8 @@
 // circuit, is attempted again, or is refused. Settings, events and actions are declared in interface.go.
 //
 // The main rule is the dynamic-threshold routing of Chen and Chen (sections 3.3, 3.4), applied to each own trunk group: its
-// circuits are partitioned anew at fixed intervals by Equation 6. Further checks limit what it sends to exchanges that have
-// just started, are overloaded or don't answer. docs/DESIGN.md describes the state that is kept.
+// circuits are partitioned anew at fixed intervals by Equation 6. Further checks limit the calls sent to exchanges that
+// have just started, are overloaded or don't answer. docs/DESIGN.md describes the state that is kept.
 package logic
 
 import (
@@ -95,14 +95,14 @@
 	// hasSnapshot is set once service discovery has listed offices. An office first named later is taken for one that just
 	// started.
 	hasSnapshot bool
-	// calls holds, by call number, the calls that have no final answer, have an attempt outstanding or are established.
+	// calls holds, by call number, the calls that have no final answer yet or have an open attempt.
 	calls map[uint64]*callRecord
 	// exchanges is sorted by exchange number.
 	exchanges []*exchangeRecord
 	// offices holds the offices that service discovery has named, by ID.
 	offices map[string]*officeRecord
-	// numbers holds the called numbers that were busy or whose calls were refused.
-	numbers map[string]*numberRecord
+	// calledNumbers holds the called numbers that were busy or whose calls were refused.
+	calledNumbers map[string]*numberRecord
 	// topClass is the index of the class with the greatest worth.
 	topClass int
 	// topWorth is the worth of topClass.
@@ -220,7 +220,7 @@
 	latestAnsweredSentAt time.Duration
 	// nextTrial is the earliest time of the next trial attempt.
 	nextTrial time.Duration
-	// trialInterval is the time between trial attempts; it doubles with each.
+	// trialInterval is the time between trial attempts; it doubles with each, up to a limit.
 	trialInterval time.Duration
 	// setUpDelay is the moving average of the set-up delay.
 	setUpDelay time.Duration
@@ -246,10 +246,9 @@
 		return nil, err
 	}
 	settings.Classes = slices.Clone(settings.Classes) // the caller may share them
-	c := &Controller{settings: settings, host: settings.Host, rng: rand.New(rand.NewSource(seed)), calls: map[uint64]*callRecord{},
-		offices: map[string]*officeRecord{}, numbers: map[string]*numberRecord{},
-		offeredCalls:      newOfferedCounts(len(settings.Classes)),
-		adviceSuccessRate: 1, tandemSuccessRate: 0.5}
+	c := &Controller{settings: settings, host: settings.Host, rng: rand.New(rand.NewSource(seed)),
+		calls: map[uint64]*callRecord{}, offices: map[string]*officeRecord{}, calledNumbers: map[string]*numberRecord{},
+		offeredCalls: newOfferedCounts(len(settings.Classes)), adviceSuccessRate: 1, tandemSuccessRate: 0.5}
 	for i, class := range settings.Classes {
 		settings.Classes[i].Pools = slices.Clone(class.Pools)
 		if class.Worth > c.topWorth {
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -8,7 +8,7 @@
 // officeRecord is an office that service discovery has named.
 type officeRecord struct {
 	Office
-	// coldSince is when it started or came back; negative: long ago.
+	// coldSince is the beginning of its slow start: when it started or came back; negative: long ago.
 	coldSince time.Duration
 }
 
--- a/logic/observations.go
+++ b/logic/observations.go
@@ -97,14 +97,14 @@
 		c.ownDelayAverage, c.ownDelayAt = min(delay, own+time.Duration(slowSampleWeight*float64(delay-own))), c.now
 	}
 	previous := c.expectedDelay(exchange)
-	if c.now-exchange.setUpDelayAt > 4*c.delayHalfLife {
+	if c.now-exchange.setUpDelayAt > 4*c.delayHalfLife { // too old to average with
 		previous = delay
 	}
 	exchange.setUpDelay, exchange.setUpDelayAt = previous+time.Duration(fastSampleWeight*float64(delay-previous)), c.now
 }
 
-// recordActivity notes an answer of an exchange. One that was unresponsive for long gets a slow start, so that the calls of
-// all call servers don't arrive at once.
+// recordActivity notes an answer of an exchange. One that was unresponsive for more than four shortest aims gets a slow
+// start, so that the calls of all call servers don't arrive at once.
 func (c *Controller) recordActivity(exchange *exchangeRecord) {
 	if exchange.unresponsive {
 		c.host.Log(fmt.Sprintf("heard exchange=%d", exchange.number))
@@ -222,7 +222,7 @@
 		if note == NoteBeyondFull {
 			congested = call.dest
 		}
-		if note == NoteProcessor || note == NoteBeyondFull {
+		if note == NoteProcessor || note == NoteBeyondFull { // counts as a delay of twice the aim
 			c.recordSetUpDelay(congested, 2*c.settings.Classes[call.Class].Aim, false)
 		}
 		if overTandem {
@@ -233,10 +233,10 @@
 
 // numberRecordOf finds or creates the record of the number that a call is for.
 func (c *Controller) numberRecordOf(call *callRecord) *numberRecord {
-	number := c.numbers[call.Number]
+	number := c.calledNumbers[call.Number]
 	if number == nil {
 		number = &numberRecord{}
-		c.numbers[call.Number] = number
+		c.calledNumbers[call.Number] = number
 	}
 	return number
 }
--- a/logic/partition.go
+++ b/logic/partition.go
@@ -75,7 +75,7 @@
 }
 
 // updatePartition chooses the partition of a group that has the greatest pay-off. It keeps the present one unless the gain
-// is clear.
+// is clear. In large groups it searches in steps of about a thirty-second of the circuits.
 func (c *Controller) updatePartition(exchange *exchangeRecord) {
 	circuits := exchange.total - int(exchange.foreignInUse+0.5) // calls of the far end keep theirs
 	if exchange.total <= 0 || circuits < 1 {
@@ -167,7 +167,7 @@
 // redial, the same demand would raise the reservation with the persistence of the callers. The aim of a redial runs from
 // its first try.
 func (c *Controller) recordOffered(call *callRecord) {
-	number, bucketClass := c.numbers[call.Number], len(c.settings.Classes)
+	number, bucketClass := c.calledNumbers[call.Number], len(c.settings.Classes)
 	if number != nil && number.firstTryAt > 0 && number.class == call.Class && !call.Transit && !call.WasCut &&
 		c.now-number.firstTryAt < c.settings.Classes[call.Class].Deadline {
 		call.firstTryAt = number.firstTryAt
@@ -197,9 +197,9 @@
 		clear(exchange.offeredCalls[c.currentBucket()])
 	}
 	clear(c.offeredCalls[c.currentBucket()])
-	for calledNumber, number := range c.numbers {
+	for calledNumber, number := range c.calledNumbers {
 		if c.now-number.firstTryAt > c.settings.Classes[number.class].Deadline && c.now > number.busyUntil+maxBusyBackoff {
-			delete(c.numbers, calledNumber)
+			delete(c.calledNumbers, calledNumber)
 		}
 	}
 	c.host.Timer(partitionInterval, "p")
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -46,7 +46,7 @@
 // call may have run, its number is busy or load is being shed. The caller, if refused, would redial: that costs another
 // decision, and the call would be established late.
 func (c *Controller) enqueue(call *callRecord) bool {
-	exchange, number := call.dest, c.numbers[call.Number]
+	exchange, number := call.dest, c.calledNumbers[call.Number]
 	wait := call.firstTryAt + time.Duration(circuitWaitFactor*float64(c.settings.Classes[call.Class].Aim)) -
 		c.expectedDelay(exchange) - c.now
 	if call.Transit || call.hasWaited || call.mayHaveRun || wait <= 0 || c.now+wait >= call.answerBy ||
@@ -79,7 +79,7 @@
 // selectRoute returns the exchange that a call may be sent to now, or nil, and whether the attempt is one leg of a two-leg
 // call.
 func (c *Controller) selectRoute(call *callRecord) (*exchangeRecord, bool) {
-	number, home := c.numbers[call.Number], c.exchangeByNumber(c.settings.Home, false)
+	number, home := c.calledNumbers[call.Number], c.exchangeByNumber(c.settings.Home, false)
 	switch {
 	// A busy number: one call at a time finds out whether a line is free; others would load the processors for nothing.
 	case !call.Transit && number != nil && c.now < number.busyUntil:
@@ -91,6 +91,7 @@
 	case call.dest == home && !c.settings.Pools && !call.Transit && !call.hasWaited && !c.wouldBeLate(call) &&
 		c.slowStartAllows(home):
 		return c.selectTandem(call), true
+	// The own processor takes part in every call, so its slow start limits all of them.
 	case !c.mayReceive(call.dest) || home != nil && !c.settings.Pools && !c.slowStartAllows(home) ||
 		c.shouldShed(call.dest, call, false):
 	case call.mayTry(c, call.dest) && c.hasRoom(call.dest, call, call.Transit || c.wouldBeLate(call)):
