--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ruleChecker is a Host that checks the actions of a Controller against the five rules. It knows only what it sends and
-// receives.
+// ruleChecker is a Host that checks the actions of a Controller against the five rules. It sees only events and actions, not
+// the state of the Controller.
 type ruleChecker struct {
 	settings       Settings
 	now            time.Duration
