--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -11,8 +11,8 @@
 )
 
 // dataFrame is a DATA of a scripted end.
-func dataFrame(s *end, payload []byte) []byte {
-	p := m3ua.ProtocolData{OPC: s.own, DPC: s.far, SI: m3ua.ServiceISUP, NI: 2, Data: payload}
+func dataFrame(end *endpoint, payload []byte) []byte {
+	p := m3ua.ProtocolData{OPC: end.pointCode, DPC: end.routerPointCode, SI: m3ua.ServiceISUP, NI: 2, Data: payload}
 	return p.Message().Append(nil)
 }
 
@@ -35,53 +35,53 @@
 	}
 	now := time.Hour
 	r.Start(now, nil)
-	far, counters := &end{own: 102, far: 101}, &end{own: 2001, far: 101}
+	exchange, counters := &endpoint{pointCode: 102, routerPointCode: 101}, &endpoint{pointCode: 2001, routerPointCode: 101}
 	to, _ := r.Link("b", 0)
 	from, _ := r.Link("counters", 0)
-	feed := func(id LinkID, frames ...[]byte) {
+	receive := func(id LinkID, frames ...[]byte) {
 		for _, f := range frames {
 			r.Receive(now, id, f)
 		}
 	}
 	for _, id := range []LinkID{to, from} {
 		r.Connected(now, id)
-		feed(id, (&m3ua.Message{Kind: m3ua.ASPUPACK}).Append(nil), (&m3ua.Message{Kind: m3ua.ASPUP}).Append(nil),
+		receive(id, (&m3ua.Message{Kind: m3ua.ASPUPACK}).Append(nil), (&m3ua.Message{Kind: m3ua.ASPUP}).Append(nil),
 			(&m3ua.Message{Kind: m3ua.ASPACACK}).Append(nil), (&m3ua.Message{Kind: m3ua.ASPAC}).Append(nil))
 	}
-	message := func(s *end, m *isup.Message) []byte {
+	message := func(s *endpoint, m *isup.Message) []byte {
 		raw, err := m.Append(nil)
 		if err != nil {
 			b.Fatal(err)
 		}
 		return dataFrame(s, raw)
 	}
-	feed(to, message(far, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 15})))
-	feed(from, message(counters, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 30})))
+	receive(to, message(exchange, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 15})))
+	receive(from, message(counters, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 30})))
 	if g := r.Groups()[to]; g.Spare != 16 {
 		b.Fatalf("group %+v", g)
 	}
-	set, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
-	iam := message(counters, set)
-	acm, anm, rlc := message(far, isup.Simple(isup.ACM, 1)), message(far, isup.Simple(isup.ANM, 1)), message(far, isup.Simple(isup.RLC, 1))
+	setup, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	iam := message(counters, setup)
+	acm, anm, rlc := message(exchange, isup.Simple(isup.ACM, 1)), message(exchange, isup.Simple(isup.ANM, 1)), message(exchange, isup.Simple(isup.RLC, 1))
 	rel := message(counters, isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
 	r.Effects()
 	b.ReportAllocs()
-	stood := 0
+	established := 0
 	for b.Loop() {
 		now += time.Millisecond
 		r.Advance(now)
-		feed(from, iam)
-		feed(to, acm, anm)
-		feed(from, rel)
-		feed(to, rlc)
+		receive(from, iam)
+		receive(to, acm, anm)
+		receive(from, rel)
+		receive(to, rlc)
 		for _, e := range r.Effects() {
 			if a, ok := e.(Answer); ok && a.Verdict == Stands {
-				stood++
+				established++
 			}
 		}
 	}
-	if stood != b.N {
-		b.Fatalf("%d of %d calls stood", stood, b.N)
+	if established != b.N {
+		b.Fatalf("%d of %d calls stood", established, b.N)
 	}
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
 }
--- a/router/clients_test.go
+++ b/router/client_loss_test.go
@@ -10,28 +10,28 @@
 )
 
 // drop breaks the connection of the counters of a. Bytes on the way are lost.
-func (n *net) drop(written int64) {
+func (n *testNetwork) dropClient(written int64) {
 	id, _ := n.routers["a"].Link("counters", 0)
-	n.cut[between("a", "counters")] = true
+	n.disconnected[linkKey("a", "counters")] = true
 	n.routers["a"].Disconnected(n.now, id, written)
-	n.ends["a/counters"].assoc.Lost()
-	n.carry("a")
+	n.endpoints["a/counters"].assoc.Lost()
+	n.deliver("a")
 }
 
 // back brings it up again.
-func (n *net) back() {
+func (n *testNetwork) reconnectClient() {
 	id, _ := n.routers["a"].Link("counters", 0)
-	n.cut[between("a", "counters")] = false
+	n.disconnected[linkKey("a", "counters")] = false
 	n.routers["a"].Connected(n.now, id)
-	n.ends["a/counters"].assoc.Connected(n.now)
-	n.carry("a")
-	n.settle("a", "counters")
+	n.endpoints["a/counters"].assoc.Connected(n.now)
+	n.deliver("a")
+	n.processEndpoint("a", "counters")
 }
 
 // TestClientDropsAtEachStep drops the counters' connection at each step of a set-up and brings it back inside and
 // outside the recovery time. What the counters must have heard in the end is one answer, or none and a free circuit.
 func TestClientDropsAtEachStep(t *testing.T) {
-	const ring = 20 * time.Millisecond
+	const ringTime = 20 * time.Millisecond
 	type outcome struct{ inside, outside []isup.Type }
 	for _, c := range []struct {
 		name string
@@ -43,19 +43,19 @@
 		{"before the IAM is whole", 0, true, false, outcome{nil, nil}},
 		{"after the IAM", 3 * time.Millisecond, false, false, outcome{[]isup.Type{isup.ACM, isup.ANM}, nil}},
 		{"after ACM", 25 * time.Millisecond, false, false, outcome{[]isup.Type{isup.ANM}, nil}},
-		{"with ANM in flight", 14*time.Millisecond + ring, false, false, outcome{[]isup.Type{isup.ANM}, nil}},
+		{"with ANM in flight", 14*time.Millisecond + ringTime, false, false, outcome{[]isup.Type{isup.ANM}, nil}},
 		{"after REL, before RLC", 14 * time.Millisecond, false, true, outcome{[]isup.Type{isup.REL}, nil}},
 	} {
-		for _, away := range []time.Duration{time.Second, DefaultRecovery + time.Second} {
-			n := newNet(t, 2, 4)
+		for _, absence := range []time.Duration{time.Second, DefaultRecovery + time.Second} {
+			n := newTestNetwork(t, 2, 4)
 			if c.rel {
-				n.ends["b/lines"].on = func(m *isup.Message) {
+				n.endpoints["b/lines"].onMessage = func(m *isup.Message) {
 					if m.Type == isup.IAM {
-						n.ends["b/lines"].send(isup.NewRelease(m.CIC, isup.ReleaseInfo{Cause: isup.CauseUserBusy}))
+						n.endpoints["b/lines"].send(isup.NewRelease(m.CIC, isup.ReleaseInfo{Cause: isup.CauseUserBusy}))
 					}
 				}
 			}
-			s := n.ends["a/counters"]
+			s := n.endpoints["a/counters"]
 			if c.half {
 				id, _ := n.routers["a"].Link("counters", 0)
 				m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
@@ -63,35 +63,35 @@
 				frame := dataFrame(s, b)
 				n.routers["a"].Receive(n.now, id, frame[:len(frame)/2])
 			} else {
-				n.call("a", 1, "5521", 1)
+				n.offerCall("a", 1, "5521", 1)
 			}
-			n.run(n.now + c.at)
-			n.drop(-1)
-			before := len(n.heard("a", 1))
-			n.run(n.now + away)
-			n.back()
-			n.run(n.now + 2*time.Second)
+			n.runUntil(n.now + c.at)
+			n.dropClient(-1)
+			before := len(n.receivedTypes("a", 1))
+			n.runUntil(n.now + absence)
+			n.reconnectClient()
+			n.runUntil(n.now + 2*time.Second)
 			want := c.want.inside
-			if away > DefaultRecovery {
+			if absence > DefaultRecovery {
 				want = c.want.outside
 			}
-			got := n.heard("a", 1)[before:]
-			if away < DefaultRecovery && !slices.Equal(got, want) {
-				t.Errorf("%s, back in %v: heard %v, want %v", c.name, away, got, want)
+			got := n.receivedTypes("a", 1)[before:]
+			if absence < DefaultRecovery && !slices.Equal(got, want) {
+				t.Errorf("%s, back in %v: heard %v, want %v", c.name, absence, got, want)
 			}
-			if away > DefaultRecovery {
+			if absence > DefaultRecovery {
 				if slices.Contains(got, isup.ANM) {
-					t.Errorf("%s, back in %v: an answer after the recovery time: %v", c.name, away, got)
+					t.Errorf("%s, back in %v: an answer after the recovery time: %v", c.name, absence, got)
 				}
-				if err := n.idle(); err != nil {
-					t.Errorf("%s, back in %v: %v", c.name, away, err)
+				if err := n.checkIdle(); err != nil {
+					t.Errorf("%s, back in %v: %v", c.name, absence, err)
 				}
 			}
 			// What is left of the call can be ended, and the circuit used again.
 			s.send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
-			n.run(n.now + 2*time.Second)
-			if err := n.idle(); err != nil {
-				t.Errorf("%s, back in %v, released: %v", c.name, away, err)
+			n.runUntil(n.now + 2*time.Second)
+			if err := n.checkIdle(); err != nil {
+				t.Errorf("%s, back in %v, released: %v", c.name, absence, err)
 			}
 		}
 	}
@@ -99,59 +99,59 @@
 
 // An answer that a heartbeat has confirmed does not go out again; one that it has not does, once.
 func TestConfirmedAnswersAreNotRepeated(t *testing.T) {
-	n := newNet(t, 2, 4)
+	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
 	a.links[id].assoc = m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleSGP, Beat: 300 * time.Millisecond})
-	n.drop(-1)
-	n.back()
-	n.run(n.now + time.Second)
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + time.Second)
-	n.drop(-1)
-	n.run(n.now + 100*time.Millisecond)
-	n.back()
-	n.run(n.now + time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
+	n.dropClient(-1)
+	n.reconnectClient()
+	n.runUntil(n.now + time.Second)
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + time.Second)
+	n.dropClient(-1)
+	n.runUntil(n.now + 100*time.Millisecond)
+	n.reconnectClient()
+	n.runUntil(n.now + time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
 		t.Errorf("heard %v", got)
 	}
 }
 
 // What a set-up waited in the process counts as its caller's patience: the answer comes that much earlier.
 func TestQueueCountsAsPatience(t *testing.T) {
-	n := newNet(t, 2, 4)
-	n.ends["b/lines"].on = nil
-	a, s := n.routers["a"], n.ends["a/counters"]
+	n := newTestNetwork(t, 2, 4)
+	n.endpoints["b/lines"].onMessage = nil
+	a, s := n.routers["a"], n.endpoints["a/counters"]
 	id, _ := a.Link("counters", 0)
 	m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 	b, _ := m.Append(nil)
-	began := n.now
+	start := n.now
 	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(s, b), Waited: 2 * time.Second})
-	n.carry("a")
-	n.run(began + 900*time.Millisecond)
-	if got := n.heard("a", 1); len(got) > 0 {
+	n.deliver("a")
+	n.runUntil(start + 900*time.Millisecond)
+	if got := n.receivedTypes("a", 1); len(got) > 0 {
 		t.Errorf("heard %v early", got)
 	}
-	n.run(began + time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
+	n.runUntil(start + time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
 		t.Errorf("heard %v when the caller's 3 s were over", got)
 	}
 }
 
 // A repeated IAM on a circuit is the same call; another one is a new call of a client that has lost its memory.
 func TestRepeatedSetUp(t *testing.T) {
-	n := newNet(t, 2, 4)
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + time.Second)
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) || len(n.iams) != 1 {
-		t.Errorf("the same again: heard %v, %d set-ups", got, len(n.iams))
+	n := newTestNetwork(t, 2, 4)
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + time.Second)
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) || len(n.setups) != 1 {
+		t.Errorf("the same again: heard %v, %d set-ups", got, len(n.setups))
 	}
-	n.call("a", 1, "5522", 1)
-	n.run(n.now + time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM, isup.ACM, isup.ANM}) || len(n.iams) != 2 {
-		t.Errorf("another: heard %v, %d set-ups", got, len(n.iams))
+	n.offerCall("a", 1, "5522", 1)
+	n.runUntil(n.now + time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM, isup.ACM, isup.ANM}) || len(n.setups) != 2 {
+		t.Errorf("another: heard %v, %d set-ups", got, len(n.setups))
 	}
 	if g := n.routers["b"].Groups()[0]; g.In != 1 {
 		t.Errorf("the old call still stands: %+v", g)
--- a/router/config.go
+++ b/router/config.go
@@ -46,7 +46,7 @@
 )
 
 // String names the kind.
-func (k PeerKind) String() string { return [...]string{"exchange", "client", "subscribers"}[k] }
+func (kind PeerKind) String() string { return [...]string{"exchange", "client", "subscribers"}[kind] }
 
 // Peer is a signalling relation with its trunk group.
 type Peer struct {
@@ -105,14 +105,14 @@
 const DefaultRecovery = 4 * time.Second
 
 // defaultHops lets a call pass one tandem, and one more exchange where it interworks.
-const defaultHops = 3
+const defaultHopCounter = 3
 
 // maxRepeats is how often a set-up that lost a dual seizure is repeated on another circuit within its attempt.
 // Q.764 2.9.1.4 asks for one repeat; two cover a group that is nearly full from both ends.
-const maxRepeats = 2
+const maxSetupRepeats = 2
 
 // own finds the own exchange.
-func (c *Config) own() (Exchange, error) {
+func (c *Config) ownExchange() (Exchange, error) {
 	for _, e := range c.Exchanges {
 		if e.Name == c.Name {
 			return e, nil
@@ -123,21 +123,21 @@
 
 // Check names the first thing that makes no sense in a Config, all of its parts taken together.
 func (c *Config) Check() error {
-	if _, err := c.own(); err != nil {
+	if _, err := c.ownExchange(); err != nil {
 		return err
 	}
 	if len(c.Classes) == 0 {
 		return errors.New("router: no classes")
 	}
-	names, codes, numbers := map[string]bool{}, map[uint32]string{}, map[int]bool{}
+	names, pointCodes, numbers := map[string]bool{}, map[uint32]string{}, map[int]bool{}
 	for _, e := range c.Exchanges {
 		if names[e.Name] || numbers[e.Number] {
 			return fmt.Errorf("router: exchange %q or its number %d stands twice", e.Name, e.Number)
 		}
-		if other, ok := codes[e.PointCode]; ok || e.PointCode > 0x3fff {
+		if other, ok := pointCodes[e.PointCode]; ok || e.PointCode > 0x3fff {
 			return fmt.Errorf("router: exchange %q: point code %d is not free (%s) or over 14 bits", e.Name, e.PointCode, other)
 		}
-		names[e.Name], numbers[e.Number], codes[e.PointCode] = true, true, e.Name
+		names[e.Name], numbers[e.Number], pointCodes[e.PointCode] = true, true, e.Name
 	}
 	peers := map[string]bool{}
 	for _, p := range c.Peers {
@@ -148,10 +148,10 @@
 		if len(p.ASPs) == 0 || p.Kind == PeerExchange && len(p.ASPs) > 1 || p.Needed > len(p.ASPs) {
 			return fmt.Errorf("router: peer %q has %d processes, %d are needed; an exchange has one", p.Name, len(p.ASPs), p.Needed)
 		}
-		if p.Kind == PeerExchange && (!names[p.Name] || codes[p.PointCode] != p.Name || p.Name == c.Name) {
+		if p.Kind == PeerExchange && (!names[p.Name] || pointCodes[p.PointCode] != p.Name || p.Name == c.Name) {
 			return fmt.Errorf("router: peer %q with point code %d is no other exchange", p.Name, p.PointCode)
 		}
-		if other, ok := codes[p.PointCode]; ok && p.Kind != PeerExchange {
+		if other, ok := pointCodes[p.PointCode]; ok && p.Kind != PeerExchange {
 			return fmt.Errorf("router: peer %q has the point code %d of %s", p.Name, p.PointCode, other)
 		}
 	}
@@ -172,7 +172,7 @@
 			return fmt.Errorf("router: class %s: no transmission medium has %d circuits", k.Name, k.Width)
 		}
 	}
-	if err := c.checkAskers(); err != nil {
+	if err := c.checkENUMClients(); err != nil {
 		return err
 	}
 	if c.Release <= 0 || c.DrainGrace <= 0 {
@@ -183,18 +183,18 @@
 
 // leasePart is the part of the shortest aim that a lease may last: the module takes an exchange for silent after half
 // of it without a word, and for slow after a fifth.
-const leasePart = 5
+const leaseAimDivisor = 5
 
-func (c *Config) checkAskers() error {
+func (c *Config) checkENUMClients() error {
 	if len(c.Askers) == 0 {
 		return nil
 	}
-	aim := c.Classes[0].Aim
+	shortestAim := c.Classes[0].Aim
 	for _, k := range c.Classes {
-		aim = min(aim, k.Aim)
+		shortestAim = min(shortestAim, k.Aim)
 	}
-	if c.Lease <= 0 || c.Lease > aim/leasePart {
-		return fmt.Errorf("router: a lease of %v is not between 0 and a fifth of the shortest aim, %v", c.Lease, aim/leasePart)
+	if c.Lease <= 0 || c.Lease > shortestAim/leaseAimDivisor {
+		return fmt.Errorf("router: a lease of %v is not between 0 and a fifth of the shortest aim, %v", c.Lease, shortestAim/leaseAimDivisor)
 	}
 	if c.AskWithin <= 0 || len(c.Routing) < 2 || len(c.Routing) > 8 {
 		return fmt.Errorf("router: askers need a time to answer in (%v) and a routing prefix of 2 to 8 digits (%q)", c.AskWithin, c.Routing)
@@ -216,41 +216,41 @@
 }
 
 // ingress are the settings of the shares of the clients, in the order of Peers.
-func (c *Config) ingress() ingress.Settings {
-	s := ingress.Settings{MaxCalls: c.MaxCalls}
+func (c *Config) ingressSettings() ingress.Settings {
+	settings := ingress.Settings{MaxCalls: c.MaxCalls}
 	for _, p := range c.Peers {
 		if p.Kind == PeerClient {
-			s.Alone = c.NoShares
-			s.Weights = append(s.Weights, p.Weight)
+			settings.Alone = c.NoShares
+			settings.Weights = append(settings.Weights, p.Weight)
 		}
 	}
 	for _, k := range c.Classes {
-		s.TopWorth = max(s.TopWorth, k.Worth)
+		settings.TopWorth = max(settings.TopWorth, k.Worth)
 	}
-	return s
+	return settings
 }
 
 // settings are the Controller's.
-func (c *Config) settings(host logic.Host, home int) logic.Settings {
-	s := logic.Settings{Host: host, Instances: c.Instances, Home: home, MaxAttempts: c.Attempts, CanCancel: true,
+func (c *Config) controllerSettings(host logic.Host, ownNumber int) logic.Settings {
+	settings := logic.Settings{Host: host, Instances: c.Instances, Home: ownNumber, MaxAttempts: c.Attempts, CanCancel: true,
 		ReportFields: []string{"spare", "total"}, Tick: c.Tick, Release: c.Release, DrainGrace: c.DrainGrace,
 		TipAfter: c.TipAfter, Overload: c.Overload, ColdFrom: c.ColdFrom, ColdFor: c.ColdFor}
-	if s.Instances == 0 {
-		s.Instances = len(c.Exchanges)
+	if settings.Instances == 0 {
+		settings.Instances = len(c.Exchanges)
 	}
 	for i, e := range c.Exchanges {
-		if e.Number == home {
-			s.Me = i
+		if e.Number == ownNumber {
+			settings.Me = i
 		}
 	}
-	s.Classes = c.LogicClasses()
-	return s
+	settings.Classes = c.LogicClasses()
+	return settings
 }
 
 // LogicClasses are the classes as package logic knows them.
-func (c *Config) LogicClasses() (out []logic.Class) {
+func (c *Config) LogicClasses() (classes []logic.Class) {
 	for _, k := range c.Classes {
-		out = append(out, k.Class)
+		classes = append(classes, k.Class)
 	}
-	return out
+	return classes
 }
--- a/router/effects.go
+++ b/router/effects.go
@@ -42,7 +42,7 @@
 type Decision struct {
 	At      time.Duration
 	Call    uint64
-	Act     logic.Act
+	Action  logic.Act
 	Attempt int
 	Office  string
 }
@@ -68,7 +68,7 @@
 	Call    uint64
 	Verdict Verdict
 	Cause   isup.Cause // 0 where it stands
-	Took    time.Duration
+	Elapsed time.Duration
 	Transit bool // in transit or ending here: not a call of an own caller
 }
 
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -41,7 +41,7 @@
 					}
 				}
 			case router.Decision:
-				fmt.Println(strings.TrimSpace(fmt.Sprintf("call %d: %v %s", e.Call, e.Act, e.Office)))
+				fmt.Println(strings.TrimSpace(fmt.Sprintf("call %d: %v %s", e.Call, e.Action, e.Office)))
 			case router.Answer:
 				fmt.Printf("call %d: %v\n", e.Call, e.Verdict)
 			}
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -11,26 +11,26 @@
 
 // process is one process of a client, or an exchange, joined to a Router without delay.
 type process struct {
-	t     *testing.T
-	r     *Router
-	id    LinkID
-	assoc *m3ua.Assoc
-	own   uint32
-	got   []*isup.Message
-	now   *time.Duration
-	dead  bool
+	t         *testing.T
+	router    *Router
+	linkID    LinkID
+	assoc     *m3ua.Assoc
+	pointCode uint32
+	received  []*isup.Message
+	now       *time.Duration
+	dead      bool
 }
 
-func newProcess(t *testing.T, r *Router, now *time.Duration, peer string, asp int, own uint32, role m3ua.Role) *process {
+func newProcess(t *testing.T, r *Router, now *time.Duration, peer string, asp int, pointCode uint32, role m3ua.Role) *process {
 	id, ok := r.Link(peer, asp)
 	if !ok {
 		t.Fatalf("no link %s %d", peer, asp)
 	}
-	return &process{t: t, r: r, id: id, own: own, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, Beat: -1})}
+	return &process{t: t, router: r, linkID: id, pointCode: pointCode, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, Beat: -1})}
 }
 
 // pump carries bytes both ways between a Router and its processes until none is left.
-func pump(r *Router, all ...*process) {
+func exchangeBytes(r *Router, processes ...*process) {
 	for busy := true; busy; {
 		busy = false
 		for _, e := range r.Effects() {
@@ -39,20 +39,20 @@
 				continue
 			}
 			busy = true
-			for _, p := range all {
-				if p.id == w.Link && !p.dead {
+			for _, p := range processes {
+				if p.linkID == w.Link && !p.dead {
 					p.assoc.Receive(*p.now, w.Bytes)
 				}
 			}
 		}
-		for _, p := range all {
+		for _, p := range processes {
 			for _, i := range p.assoc.Indications() {
 				if i.Kind == m3ua.IndData {
 					m, err := isup.Decode(i.Data.Data)
 					if err != nil {
 						p.t.Fatal(err)
 					}
-					p.got = append(p.got, m)
+					p.received = append(p.received, m)
 					if m.Type == isup.GRS {
 						rng, _ := m.RangeStatus()
 						p.send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: rng.Range}))
@@ -61,7 +61,7 @@
 			}
 			if b := p.assoc.Output(); len(b) > 0 && !p.dead {
 				busy = true
-				r.Receive(*p.now, p.id, b)
+				r.Receive(*p.now, p.linkID, b)
 			}
 		}
 	}
@@ -72,16 +72,16 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	_ = p.assoc.Send(m3ua.ProtocolData{OPC: p.own, DPC: 101, SI: 5, NI: 2, Data: b})
+	_ = p.assoc.Send(m3ua.ProtocolData{OPC: p.pointCode, DPC: 101, SI: 5, NI: 2, Data: b})
 }
 
-func (p *process) up() {
-	p.r.Connected(*p.now, p.id)
+func (p *process) connect() {
+	p.router.Connected(*p.now, p.linkID)
 	p.assoc.Connected(*p.now)
 }
 
-func (p *process) count(t isup.Type) (n int) {
-	for _, m := range p.got {
+func (p *process) countReceived(t isup.Type) (n int) {
+	for _, m := range p.received {
 		if m.Type == t {
 			n++
 		}
@@ -90,28 +90,28 @@
 }
 
 // clientOfTwo is a Router whose counters are two processes, with an exchange behind it.
-func clientOfTwo(t *testing.T, mode m3ua.Mode) (r *Router, now *time.Duration, one, two, far *process) {
+func newTwoProcessClient(t *testing.T, mode m3ua.Mode) (r *Router, now *time.Duration, first, second, exchange *process) {
 	cfg := testConfig(0, 2, 30)
-	c := slices.IndexFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
-	set := m3ua.Settings{Role: m3ua.RoleSGP, Beat: -1}
-	cfg.Peers[c].ASPs, cfg.Peers[c].Mode = []m3ua.Settings{set, set}, mode
+	client := slices.IndexFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
+	settings := m3ua.Settings{Role: m3ua.RoleSGP, Beat: -1}
+	cfg.Peers[client].ASPs, cfg.Peers[client].Mode = []m3ua.Settings{settings, settings}, mode
 	r, err := New(cfg, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := time.Hour
-	now = &at
-	r.Start(at, nil)
-	one, two = newProcess(t, r, now, "counters", 0, 2001, m3ua.RoleASP), newProcess(t, r, now, "counters", 1, 2001, m3ua.RoleASP)
-	far = newProcess(t, r, now, "b", 0, 102, m3ua.RoleIPSPServer)
-	for _, p := range []*process{far, one, two} {
-		p.up()
-		pump(r, one, two, far)
+	start := time.Hour
+	now = &start
+	r.Start(start, nil)
+	first, second = newProcess(t, r, now, "counters", 0, 2001, m3ua.RoleASP), newProcess(t, r, now, "counters", 1, 2001, m3ua.RoleASP)
+	exchange = newProcess(t, r, now, "b", 0, 102, m3ua.RoleIPSPServer)
+	for _, p := range []*process{exchange, first, second} {
+		p.connect()
+		exchangeBytes(r, first, second, exchange)
 	}
-	return r, now, one, two, far
+	return r, now, first, second, exchange
 }
 
-func offer(t *testing.T, p *process, cic uint16) {
+func sendSetup(t *testing.T, p *process, cic uint16) {
 	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 	if err != nil {
 		t.Fatal(err)
@@ -122,35 +122,35 @@
 // An ASP fails in a burst: calls that it offered are answered to the one that takes over, each once.
 func TestFailoverInABurst(t *testing.T) {
 	for _, mode := range []m3ua.Mode{m3ua.Override, m3ua.Loadshare} {
-		r, now, one, two, far := clientOfTwo(t, mode)
-		active, other := two, one // in override mode the later one has the traffic
+		r, now, first, second, exchange := newTwoProcessClient(t, mode)
+		active, other := second, first // in override mode the later one has the traffic
 		for cic := uint16(1); cic <= 20; cic++ {
-			offer(t, active, cic)
-			pump(r, one, two, far)
+			sendSetup(t, active, cic)
+			exchangeBytes(r, first, second, exchange)
 			*now += time.Millisecond
 			r.Advance(*now)
 		}
-		if far.count(isup.IAM) != 20 {
-			t.Fatalf("%v: %d set-ups reached the exchange", mode, far.count(isup.IAM))
+		if exchange.countReceived(isup.IAM) != 20 {
+			t.Fatalf("%v: %d set-ups reached the exchange", mode, exchange.countReceived(isup.IAM))
 		}
 		active.dead = true
-		r.Disconnected(*now, active.id, -1)
+		r.Disconnected(*now, active.linkID, -1)
 		active.assoc.Lost()
-		pump(r, one, two, far)
+		exchangeBytes(r, first, second, exchange)
 		if mode == m3ua.Override {
 			other.assoc.Connected(*now) // the standby activates
-			r.Connected(*now, other.id)
-			pump(r, one, two, far)
+			r.Connected(*now, other.linkID)
+			exchangeBytes(r, first, second, exchange)
 		}
-		before := other.count(isup.ANM) + other.count(isup.CON)
-		for _, m := range far.got {
+		before := other.countReceived(isup.ANM) + other.countReceived(isup.CON)
+		for _, m := range exchange.received {
 			if m.Type == isup.IAM {
-				far.send(isup.Simple(isup.ACM, m.CIC))
-				far.send(isup.Simple(isup.ANM, m.CIC))
+				exchange.send(isup.Simple(isup.ACM, m.CIC))
+				exchange.send(isup.Simple(isup.ANM, m.CIC))
 			}
 		}
-		pump(r, one, two, far)
-		if got := other.count(isup.ANM) + other.count(isup.CON) - before; got != 20 {
+		exchangeBytes(r, first, second, exchange)
+		if got := other.countReceived(isup.ANM) + other.countReceived(isup.CON) - before; got != 20 {
 			t.Errorf("%v: %d answers after the failover", mode, got)
 		}
 		if calls, open := r.Held(); calls != 20 || open != 0 {
@@ -162,7 +162,7 @@
 // Both processes active in override mode by mistake: the newer one has the traffic, the older one is told and its
 // DATA is not taken.
 func TestBothActiveInOverrideMode(t *testing.T) {
-	r, _, one, two, far := clientOfTwo(t, m3ua.Override)
+	r, _, first, second, exchange := newTwoProcessClient(t, m3ua.Override)
 	views := r.Associations()
 	states := map[m3ua.State]int{}
 	for _, v := range views {
@@ -173,10 +173,10 @@
 	if states[m3ua.Active] != 1 || states[m3ua.Inactive] != 1 {
 		t.Fatalf("associations %+v", views)
 	}
-	offer(t, one, 1) // it still believes that it is active
-	offer(t, two, 2)
-	pump(r, one, two, far)
-	if n := far.count(isup.IAM); n != 1 {
+	sendSetup(t, first, 1) // it still believes that it is active
+	sendSetup(t, second, 2)
+	exchangeBytes(r, first, second, exchange)
+	if n := exchange.countReceived(isup.IAM); n != 1 {
 		t.Errorf("%d set-ups reached the exchange, the one of the active process was due", n)
 	}
 }
--- a/router/fair_test.go
+++ b/router/fair_test.go
@@ -12,54 +12,54 @@
 
 // crowd is a Router with a few clients and one exchange with few circuits, in simulated time: calls of clients arrive at
 // random, are answered at once and hold for a while.
-type crowd struct {
-	r       *Router
-	now     time.Duration
-	rng     *rand.Rand
-	far     *process
-	clients []*process
-	free    [][]uint16
-	holding holds
-	owner   map[uint16]standing // by circuit toward the exchange, of calls that were offered
-	earned  []float64
-	offered []float64
+type loadHarness struct {
+	router         *Router
+	now            time.Duration
+	rng            *rand.Rand
+	exchange       *process
+	clients        []*process
+	freeCircuits   [][]uint16
+	releases       releaseQueue
+	callsByCircuit map[uint16]clientCall // by circuit toward the exchange, of calls that were offered
+	earned         []float64
+	offered        []float64
 }
 
-type standing struct {
+type clientCall struct {
 	client int
 	cic    uint16
 }
 
-type holdEnd struct {
-	at time.Duration
-	standing
+type scheduledRelease struct {
+	releaseAt time.Duration
+	clientCall
 }
 
-type holds []holdEnd
+type releaseQueue []scheduledRelease
 
-func (h holds) Len() int           { return len(h) }
-func (h holds) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h holds) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *holds) Push(x any)        { *h = append(*h, x.(holdEnd)) }
-func (h *holds) Pop() any {
+func (h releaseQueue) Len() int           { return len(h) }
+func (h releaseQueue) Less(i, j int) bool { return h[i].releaseAt < h[j].releaseAt }
+func (h releaseQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *releaseQueue) Push(x any)        { *h = append(*h, x.(scheduledRelease)) }
+func (h *releaseQueue) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return x
 }
 
 // newCrowd makes clients in front of a group of circuits. Together all clients are one for the shares where alone.
-func newCrowd(t testing.TB, clients, circuits int, shares bool) *crowd {
+func newLoadHarness(t testing.TB, clients, circuits int, shares bool) *loadHarness {
 	cfg := testConfig(0, 2, circuits)
 	cfg.LogLevel = 12
-	var many []uint16
-	for c := uint16(1); len(many) < 400; c++ {
+	var clientCircuits []uint16
+	for c := uint16(1); len(clientCircuits) < 400; c++ {
 		if c%32 != 0 {
-			many = append(many, c)
+			clientCircuits = append(clientCircuits, c)
 		}
 	}
 	cfg.Peers = cfg.Peers[:1]
 	for i := range clients {
-		cfg.Peers = append(cfg.Peers, Peer{Name: string(rune('A' + i)), Kind: PeerClient, PointCode: uint32(5000 + i), Circuits: many,
+		cfg.Peers = append(cfg.Peers, Peer{Name: string(rune('A' + i)), Kind: PeerClient, PointCode: uint32(5000 + i), Circuits: clientCircuits,
 			ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}})
 	}
 	cfg.Classes[0].Hold, cfg.Classes[1].Hold = 3*time.Second, 3*time.Second
@@ -68,117 +68,117 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &crowd{r: r, now: time.Hour, rng: rand.New(rand.NewPCG(5, 5)), owner: map[uint16]standing{},
+	c := &loadHarness{router: r, now: time.Hour, rng: rand.New(rand.NewPCG(5, 5)), callsByCircuit: map[uint16]clientCall{},
 		earned: make([]float64, clients), offered: make([]float64, clients)}
 	r.Start(c.now, nil)
-	c.far = newProcess(&testing.T{}, r, &c.now, "b", 0, 102, m3ua.RoleIPSPServer)
-	all := []*process{c.far}
+	c.exchange = newProcess(&testing.T{}, r, &c.now, "b", 0, 102, m3ua.RoleIPSPServer)
+	all := []*process{c.exchange}
 	for i := range clients {
-		p := newProcess(&testing.T{}, r, &c.now, string(rune('A'+i)), 0, uint32(5000+i), m3ua.RoleASP)
-		c.clients, c.free = append(c.clients, p), append(c.free, append([]uint16(nil), many...))
-		all = append(all, p)
+		client := newProcess(&testing.T{}, r, &c.now, string(rune('A'+i)), 0, uint32(5000+i), m3ua.RoleASP)
+		c.clients, c.freeCircuits = append(c.clients, client), append(c.freeCircuits, append([]uint16(nil), clientCircuits...))
+		all = append(all, client)
 	}
-	for _, p := range all {
-		p.up()
-		pump(r, p)
+	for _, client := range all {
+		client.connect()
+		exchangeBytes(r, client)
 	}
 	return c
 }
 
 // play offers calls at rates for a while; worth counts in the second half.
-func (c *crowd) play(rates []float64, length time.Duration) {
+func (c *loadHarness) offerCalls(rates []float64, length time.Duration) {
 	total := 0.0
 	for _, x := range rates {
 		total += x
 	}
-	began := c.now
-	next := c.now
-	for c.now < began+length {
-		if len(c.holding) > 0 && c.holding[0].at < next {
-			e := heap.Pop(&c.holding).(holdEnd)
-			c.move(e.at)
+	start := c.now
+	nextOffer := c.now
+	for c.now < start+length {
+		if len(c.releases) > 0 && c.releases[0].releaseAt < nextOffer {
+			e := heap.Pop(&c.releases).(scheduledRelease)
+			c.advance(e.releaseAt)
 			c.clients[e.client].send(isup.NewRelease(e.cic, isup.ReleaseInfo{Cause: 16}))
-			c.settle(began + length/2)
+			c.processMessages(start + length/2)
 			continue
 		}
-		c.move(next)
-		next += time.Duration(c.rng.ExpFloat64() / total * float64(time.Second))
-		x, who := c.rng.Float64()*total, 0
-		for ; x > rates[who]; who++ {
-			x -= rates[who]
+		c.advance(nextOffer)
+		nextOffer += time.Duration(c.rng.ExpFloat64() / total * float64(time.Second))
+		x, client := c.rng.Float64()*total, 0
+		for ; x > rates[client]; client++ {
+			x -= rates[client]
 		}
-		if len(c.free[who]) == 0 {
+		if len(c.freeCircuits[client]) == 0 {
 			continue
 		}
-		cic := c.free[who][0]
-		c.free[who] = c.free[who][1:]
-		if c.now > began+length/2 {
-			c.offered[who]++
+		cic := c.freeCircuits[client][0]
+		c.freeCircuits[client] = c.freeCircuits[client][1:]
+		if c.now > start+length/2 {
+			c.offered[client]++
 		}
-		offer(&testing.T{}, c.clients[who], cic)
-		c.settle(began + length/2)
+		sendSetup(&testing.T{}, c.clients[client], cic)
+		c.processMessages(start + length/2)
 	}
 }
 
-func (c *crowd) move(at time.Duration) {
+func (c *loadHarness) advance(at time.Duration) {
 	c.now = max(c.now, at)
-	c.r.Advance(c.now)
+	c.router.Advance(c.now)
 }
 
 // settle lets the far end answer and the clients take what they are told.
-func (c *crowd) settle(count time.Duration) {
+func (c *loadHarness) processMessages(countFrom time.Duration) {
 	for busy := true; busy; {
 		busy = false
-		pump(c.r, append([]*process{c.far}, c.clients...)...)
-		for _, m := range c.far.got {
+		exchangeBytes(c.router, append([]*process{c.exchange}, c.clients...)...)
+		for _, m := range c.exchange.received {
 			switch busy = true; m.Type {
 			case isup.IAM:
-				c.far.send(isup.Simple(isup.ACM, m.CIC))
-				c.far.send(isup.Simple(isup.ANM, m.CIC))
+				c.exchange.send(isup.Simple(isup.ACM, m.CIC))
+				c.exchange.send(isup.Simple(isup.ANM, m.CIC))
 			case isup.REL:
-				c.far.send(isup.Simple(isup.RLC, m.CIC))
+				c.exchange.send(isup.Simple(isup.RLC, m.CIC))
 			}
 		}
-		c.far.got = nil
+		c.exchange.received = nil
 		for i, p := range c.clients {
-			for _, m := range p.got {
+			for _, m := range p.received {
 				switch busy = true; m.Type {
 				case isup.ANM, isup.CON:
-					if c.now > count {
+					if c.now > countFrom {
 						c.earned[i]++
 					}
-					heap.Push(&c.holding, holdEnd{c.now + time.Duration(c.rng.ExpFloat64()*float64(3*time.Second)), standing{i, m.CIC}})
+					heap.Push(&c.releases, scheduledRelease{c.now + time.Duration(c.rng.ExpFloat64()*float64(3*time.Second)), clientCall{i, m.CIC}})
 				case isup.REL:
 					p.send(isup.Simple(isup.RLC, m.CIC))
-					c.free[i] = append(c.free[i], m.CIC)
+					c.freeCircuits[i] = append(c.freeCircuits[i], m.CIC)
 				case isup.RLC:
-					c.free[i] = append(c.free[i], m.CIC)
+					c.freeCircuits[i] = append(c.freeCircuits[i], m.CIC)
 				}
 			}
-			p.got = nil
+			p.received = nil
 		}
 	}
 }
 
 // parts are the shares of their calls that stood: of the first client, which floods, and of the others.
-func (c *crowd) parts() (flood, others float64) {
-	got, all := 0.0, 0.0
+func (c *loadHarness) successRates() (flood, others float64) {
+	earned, offered := 0.0, 0.0
 	for i := 1; i < len(c.clients); i++ {
-		got, all = got+c.earned[i], all+c.offered[i]
+		earned, offered = earned+c.earned[i], offered+c.offered[i]
 	}
-	return c.earned[0] / c.offered[0], got / all
+	return c.earned[0] / c.offered[0], earned / offered
 }
 
 // TestFairSharesInTheRouter: one client at ten times the part of each of the others, through the whole Router.
 func TestFairSharesInTheRouter(t *testing.T) {
 	rates := []float64{50, 5, 5, 5, 5} // 210 erlangs on 90 circuits
-	with, without := newCrowd(t, 5, 90, true), newCrowd(t, 5, 90, false)
-	with.play(rates, time.Minute)
-	without.play(rates, time.Minute)
-	_, a := with.parts()
-	_, b := without.parts()
-	if a < 0.8 || a < 1.8*b {
-		t.Errorf("of the others' calls %.2f stood with shares, %.2f without", a, b)
+	withShares, withoutShares := newLoadHarness(t, 5, 90, true), newLoadHarness(t, 5, 90, false)
+	withShares.offerCalls(rates, time.Minute)
+	withoutShares.offerCalls(rates, time.Minute)
+	_, othersWithShares := withShares.successRates()
+	_, othersWithoutShares := withoutShares.successRates()
+	if othersWithShares < 0.8 || othersWithShares < 1.8*othersWithoutShares {
+		t.Errorf("of the others' calls %.2f stood with shares, %.2f without", othersWithShares, othersWithoutShares)
 	}
 }
 
@@ -188,9 +188,9 @@
 		b.Run(name, func(b *testing.B) {
 			var flood, others float64
 			for b.Loop() {
-				c := newCrowd(b, 5, 90, shares)
-				c.play([]float64{50, 5, 5, 5, 5}, 2*time.Minute)
-				flood, others = c.parts()
+				c := newLoadHarness(b, 5, 90, shares)
+				c.offerCalls([]float64{50, 5, 5, 5, 5}, 2*time.Minute)
+				flood, others = c.successRates()
 			}
 			b.ReportMetric(others, "others-stood")
 			b.ReportMetric(flood, "flood-stood")
--- a/router/input.go
+++ b/router/input.go
@@ -56,9 +56,9 @@
 	case InDisconnected:
 		r.Disconnected(in.At, in.Link, in.Count)
 	case InReceive:
-		r.waited = max(0, in.Waited)
+		r.queueDelay = max(0, in.Waited)
 		r.Receive(in.At, in.Link, in.Bytes)
-		r.waited = 0
+		r.queueDelay = 0
 	case InAdvance:
 		r.Advance(in.At)
 	case InList:
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -10,31 +10,31 @@
 )
 
 // askNet is a fleet whose first exchange takes questions of "dns", for calls of its counters.
-func askNet(t *testing.T, count, circuits int) *net {
-	n := &net{t: t, routers: map[string]*Router{}, ends: map[string]*end{}, effects: map[string][]Effect{},
-		delay: 5 * time.Millisecond, cut: map[string]bool{}, now: time.Hour}
+func newENUMNetwork(t *testing.T, count, circuits int) *testNetwork {
+	n := &testNetwork{t: t, routers: map[string]*Router{}, endpoints: map[string]*endpoint{}, effects: map[string][]Effect{},
+		linkDelay: 5 * time.Millisecond, disconnected: map[string]bool{}, now: time.Hour}
 	for i := range count {
 		c := testConfig(i, count, circuits)
 		c.Askers = []Asker{{Name: "dns", Client: "counters", Leases: 3}}
 		c.Routing, c.Lease, c.AskWithin = "99", 200*time.Millisecond, time.Second
 		n.addRouter(c)
 	}
-	for _, name := range n.names() {
+	for _, name := range n.exchangeNames() {
 		n.connect(name)
 	}
-	n.run(n.now + time.Second)
-	n.iams = nil
+	n.runUntil(n.now + time.Second)
+	n.setups = nil
 	return n
 }
 
-func (n *net) ask(at string, ask uint64, number string) {
-	n.routers[at].Apply(Input{At: n.now, Kind: InAsk, Ask: ask, Asker: "dns", Number: number})
-	n.carry(at)
+func (n *testNetwork) query(exchange string, queryID uint64, number string) {
+	n.routers[exchange].Apply(Input{At: n.now, Kind: InAsk, Ask: queryID, Asker: "dns", Number: number})
+	n.deliver(exchange)
 }
 
 // replies lists the answers to questions.
-func (n *net) replies(at string) (out []Reply) {
-	for _, e := range n.effects[at] {
+func (n *testNetwork) replies(exchange string) (out []Reply) {
+	for _, e := range n.effects[exchange] {
 		if r, ok := e.(Reply); ok {
 			out = append(out, r)
 		}
@@ -43,54 +43,54 @@
 }
 
 func TestLeaseIsTakenOver(t *testing.T) {
-	n := askNet(t, 2, 4)
-	n.ask("a", 7, "5521")
+	n := newENUMNetwork(t, 2, 4)
+	n.query("a", 7, "5521")
 	got := n.replies("a")
 	if len(got) != 1 || got[0].Ask != 7 || got[0].Verdict != Stands || got[0].Exchange != "b" || len(got[0].Routing) != 10 {
 		t.Fatalf("replies %+v", got)
 	}
-	if g := n.routers["a"].Groups()[0]; g.Spare != 3 || len(n.iams) != 0 {
-		t.Errorf("group %+v, %d set-ups", g, len(n.iams))
+	if g := n.routers["a"].Groups()[0]; g.Spare != 3 || len(n.setups) != 0 {
+		t.Errorf("group %+v, %d set-ups", g, len(n.setups))
 	}
-	n.run(n.now + 100*time.Millisecond)
-	n.call("a", 1, got[0].Routing, 1)
-	n.run(n.now + time.Second)
-	if heard := n.heard("a", 1); !slices.Equal(heard, []isup.Type{isup.ACM, isup.ANM}) {
-		t.Errorf("heard %v; %v", heard, n.decisions("a"))
+	n.runUntil(n.now + 100*time.Millisecond)
+	n.offerCall("a", 1, got[0].Routing, 1)
+	n.runUntil(n.now + time.Second)
+	if received := n.receivedTypes("a", 1); !slices.Equal(received, []isup.Type{isup.ACM, isup.ANM}) {
+		t.Errorf("heard %v; %v", received, n.decisions("a"))
 	}
 	if calls := n.routers["b"].Calls(n.now, 1); len(calls) != 1 || calls[0].Called != "5521" {
 		t.Errorf("at b %+v", calls)
 	}
 	sends := 0
 	for _, e := range n.effects["a"] {
-		if d, ok := e.(Decision); ok && d.Act == logic.ActSend {
+		if d, ok := e.(Decision); ok && d.Action == logic.ActSend {
 			sends++
 		}
 	}
 	if sends != 1 {
 		t.Errorf("%d decisions to send for one call", sends)
 	}
-	n.ends["a/counters"].send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
-	n.run(n.now + time.Second)
-	if err := n.idle(); err != nil {
+	n.endpoints["a/counters"].send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
+	n.runUntil(n.now + time.Second)
+	if err := n.checkIdle(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestLeaseRunsOut(t *testing.T) {
-	n := askNet(t, 2, 4)
-	n.ask("a", 1, "5521")
+	n := newENUMNetwork(t, 2, 4)
+	n.query("a", 1, "5521")
 	routing := n.replies("a")[0].Routing
-	n.run(n.now + 200*time.Millisecond)
-	if err := n.idle(); err != nil || len(n.iams) != 0 {
-		t.Errorf("%v, %d set-ups", err, len(n.iams))
+	n.runUntil(n.now + 200*time.Millisecond)
+	if err := n.checkIdle(); err != nil || len(n.setups) != 0 {
+		t.Errorf("%v, %d set-ups", err, len(n.setups))
 	}
-	n.call("a", 1, routing, 1) // too late
-	n.run(n.now + 100*time.Millisecond)
-	if c := n.cause("a", 1); c != isup.CauseRejected {
+	n.offerCall("a", 1, routing, 1) // too late
+	n.runUntil(n.now + 100*time.Millisecond)
+	if c := n.releaseCause("a", 1); c != isup.CauseRejected {
 		t.Errorf("a lease that ran out: cause %d", c)
 	}
-	n.ask("a", 2, "5521") // a new question is a new call
+	n.query("a", 2, "5521") // a new question is a new call
 	if got := n.replies("a"); len(got) != 2 || got[1].Routing == routing {
 		t.Errorf("replies %+v", got)
 	}
@@ -98,82 +98,82 @@
 
 // A take-over at the very instant of expiry: one of the two, and the books agree.
 func TestTakeOverAtTheInstantOfExpiry(t *testing.T) {
-	for _, late := range []time.Duration{-time.Microsecond, 0, time.Microsecond} {
-		n := askNet(t, 2, 4)
-		n.ask("a", 1, "5521")
-		at := n.replies("a")[0].Until + late - time.Millisecond // a millisecond on the way
-		n.run(at)
-		n.call("a", 1, n.replies("a")[0].Routing, 1)
-		n.run(n.now + time.Second)
-		heard := n.heard("a", 1)
-		stood, refused := slices.Equal(heard, []isup.Type{isup.ACM, isup.ANM}), slices.Equal(heard, []isup.Type{isup.REL})
-		if !stood && !refused || late < 0 && !stood || late > 0 && !refused {
-			t.Errorf("%v after expiry: heard %v", late, heard)
+	for _, offset := range []time.Duration{-time.Microsecond, 0, time.Microsecond} {
+		n := newENUMNetwork(t, 2, 4)
+		n.query("a", 1, "5521")
+		at := n.replies("a")[0].Until + offset - time.Millisecond // a millisecond on the way
+		n.runUntil(at)
+		n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+		n.runUntil(n.now + time.Second)
+		received := n.receivedTypes("a", 1)
+		answered, refused := slices.Equal(received, []isup.Type{isup.ACM, isup.ANM}), slices.Equal(received, []isup.Type{isup.REL})
+		if !answered && !refused || offset < 0 && !answered || offset > 0 && !refused {
+			t.Errorf("%v after expiry: heard %v", offset, received)
 		}
-		n.ends["a/counters"].send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
-		n.run(n.now + time.Second)
-		if err := n.idle(); err != nil {
-			t.Errorf("%v after expiry: %v", late, err)
+		n.endpoints["a/counters"].send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
+		n.runUntil(n.now + time.Second)
+		if err := n.checkIdle(); err != nil {
+			t.Errorf("%v after expiry: %v", offset, err)
 		}
 	}
 }
 
 func TestForgedAndForeignRoutingNumbers(t *testing.T) {
-	n := askNet(t, 2, 4)
-	n.ask("a", 1, "5521")
+	n := newENUMNetwork(t, 2, 4)
+	n.query("a", 1, "5521")
 	routing := n.replies("a")[0].Routing
-	n.call("a", 1, "9900000001", 1)
-	n.call("b", 1, routing, 1) // of another call server
-	n.call("a", 2, routing, 2) // of another width
-	n.run(n.now + 100*time.Millisecond)
+	n.offerCall("a", 1, "9900000001", 1)
+	n.offerCall("b", 1, routing, 1) // of another call server
+	n.offerCall("a", 2, routing, 2) // of another width
+	n.runUntil(n.now + 100*time.Millisecond)
 	for at, cic := range map[string]uint16{"a": 1, "b": 1} {
-		if c := n.cause(at, cic); c != isup.CauseRejected {
+		if c := n.releaseCause(at, cic); c != isup.CauseRejected {
 			t.Errorf("%s: cause %d", at, c)
 		}
 	}
-	if c := n.cause("a", 2); c != isup.CauseRejected {
+	if c := n.releaseCause("a", 2); c != isup.CauseRejected {
 		t.Errorf("other width: cause %d", c)
 	}
-	n.call("a", 4, routing, 1) // the right one still has it, once
-	n.call("a", 5, routing, 1)
-	n.run(n.now + 500*time.Millisecond)
-	if got := n.heard("a", 4); !slices.Contains(got, isup.ANM) {
+	n.offerCall("a", 4, routing, 1) // the right one still has it, once
+	n.offerCall("a", 5, routing, 1)
+	n.runUntil(n.now + 500*time.Millisecond)
+	if got := n.receivedTypes("a", 4); !slices.Contains(got, isup.ANM) {
 		t.Errorf("the lease's own set-up heard %v", got)
 	}
-	if c := n.cause("a", 5); c != isup.CauseRejected {
+	if c := n.releaseCause("a", 5); c != isup.CauseRejected {
 		t.Errorf("a second take-over: cause %d", c)
 	}
 }
 
 // An exchange drains between the answer and the set-up: nothing goes there, the call goes on another way.
 func TestDrainBetweenAnswerAndSetUp(t *testing.T) {
-	n := askNet(t, 3, 4)
-	n.ask("a", 1, "5521")
+	n := newENUMNetwork(t, 3, 4)
+	n.query("a", 1, "5521")
 	n.routers["a"].List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
-	n.carry("a")
-	n.call("a", 1, n.replies("a")[0].Routing, 1)
-	n.run(n.now + 4*time.Second)
-	for _, s := range n.iams {
+	n.deliver("a")
+	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.runUntil(n.now + 4*time.Second)
+	for _, s := range n.setups {
 		if s.from == "a" && s.to == "b" {
 			t.Errorf("a set-up toward b at %v", s.at)
 		}
 	}
-	if heard := n.heard("a", 1); len(heard) == 0 {
+	if received := n.receivedTypes("a", 1); len(received) == 0 {
 		t.Error("no answer")
 	}
-	if err := n.idle(); err != nil && !slices.Contains(n.heard("a", 1), isup.ANM) {
+	if err := n.checkIdle(); err != nil && !slices.Contains(n.receivedTypes("a", 1), isup.ANM) {
 		t.Error(err)
 	}
 }
 
 // Two askers after the last circuit: one gets it, the other an answer that it does not.
 func TestLastCircuit(t *testing.T) {
-	n := askNet(t, 2, 1)
-	n.ask("a", 1, "5521")
-	n.ask("a", 2, "5522")
-	n.run(n.now + 150*time.Millisecond)
-	n.call("a", 1, n.replies("a")[0].Routing, 1)
-	n.run(n.now + 2*time.Second)
+	n := newENUMNetwork(t, 2, 1)
+	n.query("a", 1, "5521")
+	n.query("a", 2, "5522")
+	n.runUntil(n.now + 150*time.Millisecond)
+	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.runUntil(n.now + 2*time.Second)
 	got := n.replies("a")
 	if len(got) != 2 || got[0].Verdict != Stands || got[1].Verdict == Stands || got[1].Ask != 2 {
 		t.Errorf("replies %+v", got)
@@ -182,24 +182,24 @@
 
 // The far end seizes a circuit that is only reserved here: it goes first.
 func TestFarEndGoesFirstOnAReservation(t *testing.T) {
-	n := askNet(t, 2, 2)
-	n.ask("a", 1, "5521")     // circuit 1
-	n.call("b", 4, "5513", 2) // both circuits: it crosses the reservation
-	n.run(n.now + 50*time.Millisecond)
-	n.call("a", 1, n.replies("a")[0].Routing, 1)
-	n.run(n.now + 4*time.Second)
-	if got := n.heard("b", 4); !slices.Contains(got, isup.ANM) {
+	n := newENUMNetwork(t, 2, 2)
+	n.query("a", 1, "5521")        // circuit 1
+	n.offerCall("b", 4, "5513", 2) // both circuits: it crosses the reservation
+	n.runUntil(n.now + 50*time.Millisecond)
+	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.runUntil(n.now + 4*time.Second)
+	if got := n.receivedTypes("b", 4); !slices.Contains(got, isup.ANM) {
 		t.Errorf("b heard %v", got)
 	}
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
 		t.Errorf("the lease's set-up heard %v", got)
 	}
 }
 
 func TestAskerIsBounded(t *testing.T) {
-	n := askNet(t, 2, 8)
+	n := newENUMNetwork(t, 2, 8)
 	for i := range 5 {
-		n.ask("a", uint64(i), "5521")
+		n.query("a", uint64(i), "5521")
 	}
 	granted := 0
 	for _, r := range n.replies("a") {
@@ -210,11 +210,11 @@
 	if got := n.replies("a"); granted != 3 || len(got) != 5 || got[4].Verdict != Refused {
 		t.Errorf("%d granted of %+v", granted, got)
 	}
-	n.ask("a", 10, "5529") // the bound holds
-	n.ask("a", 11, "7700") // nobody's
-	n.ask("a", 12, "5511") // the own exchange's: no route is needed
+	n.query("a", 10, "5529") // the bound holds
+	n.query("a", 11, "7700") // nobody's
+	n.query("a", 12, "5511") // the own exchange's: no route is needed
 	n.routers["a"].Apply(Input{At: n.now, Kind: InAsk, Ask: 13, Asker: "stranger", Number: "5521"})
-	n.carry("a")
+	n.deliver("a")
 	got := n.replies("a")
 	if got[5].Cause != isup.CauseCongestion || got[6].Cause != isup.CauseUnallocated || got[7].Cause != isup.CauseRejected || got[8].Cause != isup.CauseRejected {
 		t.Errorf("replies %+v", got[5:])
@@ -223,43 +223,43 @@
 
 // The association goes between answer and set-up: the attempt never ran, and the caller has an answer in time.
 func TestAssociationLostUnderALease(t *testing.T) {
-	n := askNet(t, 2, 4)
-	n.ask("a", 1, "5521")
+	n := newENUMNetwork(t, 2, 4)
+	n.query("a", 1, "5521")
 	start := n.now
 	n.breakLink("a", "b", 5*time.Second)
-	n.call("a", 1, n.replies("a")[0].Routing, 1)
-	n.run(start + 3*time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
+	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.runUntil(start + 3*time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
 		t.Errorf("heard %v", got)
 	}
 }
 
 // The same calls by either front get the same decisions: asked for and set up, or set up at once.
 func TestSameDecisionsByEitherFront(t *testing.T) {
-	decide := func(asked bool) (out []string) {
-		n := askNet(t, 3, 3)
+	decisions := func(queryFirst bool) (out []string) {
+		n := newENUMNetwork(t, 3, 3)
 		for i := range 12 {
 			cic := uint16(1 + i)
-			if asked {
+			if queryFirst {
 				before := len(n.replies("a"))
-				n.ask("a", uint64(i), "552"+string(rune('0'+i%10)))
+				n.query("a", uint64(i), "552"+string(rune('0'+i%10)))
 				if got := n.replies("a"); len(got) > before && got[before].Verdict == Stands {
-					n.call("a", cic, got[before].Routing, 1)
+					n.offerCall("a", cic, got[before].Routing, 1)
 				}
 			} else {
-				n.call("a", cic, "552"+string(rune('0'+i%10)), 1)
+				n.offerCall("a", cic, "552"+string(rune('0'+i%10)), 1)
 			}
-			n.run(n.now + 50*time.Millisecond)
+			n.runUntil(n.now + 50*time.Millisecond)
 		}
-		n.run(n.now + 4*time.Second)
+		n.runUntil(n.now + 4*time.Second)
 		for _, e := range n.effects["a"] {
-			if d, ok := e.(Decision); ok && d.Act == logic.ActSend {
+			if d, ok := e.(Decision); ok && d.Action == logic.ActSend {
 				out = append(out, d.Office)
 			}
 		}
 		return out
 	}
-	if a, b := decide(false), decide(true); len(a) < 5 || !slices.Contains(a, "c") || !slices.Equal(a, b) {
-		t.Errorf("set up at once: %v\nasked first: %v", a, b)
+	if setUpDirectly, afterQuery := decisions(false), decisions(true); len(setUpDirectly) < 5 || !slices.Contains(setUpDirectly, "c") || !slices.Equal(setUpDirectly, afterQuery) {
+		t.Errorf("set up at once: %v\nasked first: %v", setUpDirectly, afterQuery)
 	}
 }
--- a/router/policy.go
+++ b/router/policy.go
@@ -11,19 +11,19 @@
 var _ Policy = (*logic.Controller)(nil)
 
 // newPolicy makes what the Router asks.
-func (c *Config) newPolicy(s logic.Settings, seed int64) (Policy, error) {
+func (c *Config) newPolicy(settings logic.Settings, seed int64) (Policy, error) {
 	if c.Meter == nil {
-		return c.plainPolicy(s, seed)
+		return c.newUnmeteredPolicy(settings, seed)
 	}
-	return c.Meter.Around(s.Host, func(h logic.Host) (measure.Policy, error) {
-		s.Host = h
-		return c.plainPolicy(s, seed)
+	return c.Meter.Around(settings.Host, func(metered logic.Host) (measure.Policy, error) {
+		settings.Host = metered
+		return c.newUnmeteredPolicy(settings, seed)
 	})
 }
 
-func (c *Config) plainPolicy(s logic.Settings, seed int64) (Policy, error) {
+func (c *Config) newUnmeteredPolicy(settings logic.Settings, seed int64) (Policy, error) {
 	if c.Baseline != nil {
-		return c.Baseline(s, seed)
+		return c.Baseline(settings, seed)
 	}
-	return logic.New(s, seed)
+	return logic.New(settings, seed)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -17,32 +17,32 @@
 
 // Router is one call server. It is not safe for concurrent use; two Routers share nothing.
 type Router struct {
-	cfg        Config
-	home       Exchange
-	ctl        Policy // the Controller of package logic
-	table      *numbering.Table
-	categories numbering.Categories
-	peers      []*peer
-	links      []*link
-	byName     map[string]*peer // exchanges and others
-	byCode     map[uint32]*peer
-	calls      map[uint64]*call
-	lastCall   uint64
-	list       map[string]logic.Office
-	numbers    map[string]int      // of the exchanges, by name
-	shares     *ingress.Controller // of the clients
-	leases     map[string]*call    // by routing number
-	askers     map[string]*asker
-	tokens     *rand.Rand
-	timers     timing.Timers[timer]
-	now        time.Duration
-	todo       []func() // what the Controller must still be told, in order
-	touched    []*peer  // peers whose state machines may have something to say
-	effects    []Effect
-	given      []Effect // handed out by the last call of Effects
-	scratch    []byte
-	waited     time.Duration // of the bytes that are being handled
-	draining   bool
+	cfg              Config
+	ownExchange      Exchange
+	controller       Policy // the Controller of package logic
+	numberingTable   *numbering.Table
+	categories       numbering.Categories
+	peers            []*peer
+	links            []*link
+	peersByName      map[string]*peer // exchanges and others
+	peersByPointCode map[uint32]*peer
+	calls            map[uint64]*call
+	lastCallID       uint64
+	offices          map[string]logic.Office
+	exchangeNumbers  map[string]int      // of the exchanges, by name
+	clientShares     *ingress.Controller // of the clients
+	leasedCalls      map[string]*call    // by routing number
+	enumClients      map[string]*enumClient
+	routingRand      *rand.Rand
+	timers           timing.Timers[timer]
+	now              time.Duration
+	deferred         []func() // what the Controller must still be told, in order
+	pendingPeers     []*peer  // peers whose state machines may have something to say
+	effects          []Effect
+	returnedEffects  []Effect // handed out by the last call of Effects
+	encodeBuffer     []byte
+	queueDelay       time.Duration // of the bytes that are being handled
+	draining         bool
 }
 
 // New makes a Router. The seed is for the Controller's draws: the same inputs at the same times give the same
@@ -51,22 +51,22 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	home, _ := cfg.own()
+	own, _ := cfg.ownExchange()
 	if cfg.Recovery <= 0 {
 		cfg.Recovery = DefaultRecovery
 	}
 	if cfg.Hops <= 0 {
-		cfg.Hops = defaultHops
+		cfg.Hops = defaultHopCounter
 	}
-	r := &Router{cfg: cfg, home: home, byName: map[string]*peer{}, byCode: map[uint32]*peer{},
-		calls: map[uint64]*call{}, list: map[string]logic.Office{}, numbers: map[string]int{}, categories: numbering.Categories{}}
-	r.prepareAskers(seed)
+	r := &Router{cfg: cfg, ownExchange: own, peersByName: map[string]*peer{}, peersByPointCode: map[uint32]*peer{},
+		calls: map[uint64]*call{}, offices: map[string]logic.Office{}, exchangeNumbers: map[string]int{}, categories: numbering.Categories{}}
+	r.initENUMClients(seed)
 	var err error
-	if r.table, err = numbering.NewTable(cfg.Numbering); err != nil {
+	if r.numberingTable, err = numbering.NewTable(cfg.Numbering); err != nil {
 		return nil, err
 	}
 	for _, e := range cfg.Exchanges {
-		r.numbers[e.Name] = e.Number
+		r.exchangeNumbers[e.Name] = e.Number
 	}
 	for i, k := range cfg.Classes {
 		r.categories[k.Category] = i
@@ -76,93 +76,93 @@
 			return nil, err
 		}
 	}
-	r.shares = ingress.New(cfg.ingress())
-	if r.ctl, err = cfg.newPolicy(cfg.settings(host{r}, home.Number), seed); err != nil {
+	r.clientShares = ingress.New(cfg.ingressSettings())
+	if r.controller, err = cfg.newPolicy(cfg.controllerSettings(host{r}, own.Number), seed); err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
 	return r, nil
 }
 
 // Start begins work with the exchange list as it is known. An empty list names all exchanges as ready.
-func (r *Router) Start(now time.Duration, list []logic.Office) {
+func (r *Router) Start(now time.Duration, offices []logic.Office) {
 	r.now = now
-	if len(list) == 0 {
+	if len(offices) == 0 {
 		for _, e := range r.cfg.Exchanges {
-			list = append(list, logic.Office{ID: e.Name, Exchange: e.Number})
+			offices = append(offices, logic.Office{ID: e.Name, Exchange: e.Number})
 		}
 	}
-	r.List(now, logic.ListRestored, list)
+	r.List(now, logic.ListRestored, offices)
 	for _, p := range r.peers {
-		r.reportGroup(p)
+		r.reportCircuits(p)
 	}
-	r.run()
+	r.processPending()
 }
 
 // Connected takes the news that a transport connection is up.
 func (r *Router) Connected(now time.Duration, id LinkID) {
-	l := r.link(now, id)
-	l.offset = 0
+	l := r.beginLinkInput(now, id)
+	l.bytesWritten = 0
 	l.assoc.Connected(now)
-	r.run()
+	r.processPending()
 }
 
 // Disconnected takes the news that a transport connection is gone. written is how many of the bytes
 // asked for by Write since Connected have been handed to the transport: an IAM that was not written whole never
 // ran. A negative count means that all were.
 func (r *Router) Disconnected(now time.Duration, id LinkID, written int64) {
-	l := r.link(now, id)
+	l := r.beginLinkInput(now, id)
 	confirmed := l.assoc.Confirmed()
 	l.assoc.Lost()
-	r.run() // who takes the traffic over is settled first
-	r.lost(l, written, confirmed)
-	r.run()
+	r.processPending() // who takes the traffic over is settled first
+	r.handleConnectionLoss(l, written, confirmed)
+	r.processPending()
 }
 
 // Receive takes bytes from a connection, in any pieces.
-func (r *Router) Receive(now time.Duration, id LinkID, b []byte) {
-	l := r.link(now, id)
-	l.assoc.Receive(now, b)
-	r.run()
+func (r *Router) Receive(now time.Duration, id LinkID, data []byte) {
+	l := r.beginLinkInput(now, id)
+	l.assoc.Receive(now, data)
+	r.processPending()
 }
 
 // List takes news of the exchanges: an update or a whole list. Entries with unknown names are told to the
 // operators and left out.
-func (r *Router) List(now time.Duration, kind logic.ListKind, list []logic.Office) {
+func (r *Router) List(now time.Duration, kind logic.ListKind, offices []logic.Office) {
 	r.now = now
-	known := make([]logic.Office, 0, len(list))
-	for _, o := range list {
-		number, ok := r.numbers[o.ID]
+	known := make([]logic.Office, 0, len(offices))
+	for _, office := range offices {
+		number, ok := r.exchangeNumbers[office.ID]
 		if !ok {
-			r.log(slog.LevelWarn, "exchange list names an unknown exchange", 0, slog.String("exchange", o.ID))
+			r.log(slog.LevelWarn, "exchange list names an unknown exchange", 0, slog.String("exchange", office.ID))
 			continue
 		}
-		o.Exchange = number
-		r.list[o.ID] = o
-		known = append(known, r.merged(o))
+		office.Exchange = number
+		r.offices[office.ID] = office
+		known = append(known, r.effectiveOffice(office))
 	}
 	if kind == logic.ListReplace || kind == logic.ListRestored {
 		named := make(map[string]bool, len(known))
-		for _, o := range known {
-			named[o.ID] = true
+		for _, office := range known {
+			named[office.ID] = true
 		}
-		for name, o := range r.list {
+		for name, office := range r.offices {
 			if !named[name] {
-				o.State = logic.Gone
-				r.list[name] = o
+				office.State = logic.Gone
+				r.offices[name] = office
 			}
 		}
 	}
-	r.ctl.List(now, kind, known)
-	r.run()
+	r.controller.List(now, kind, known)
+	r.processPending()
 }
 
 // merged is the state that the Controller is told: an exchange that itself says that it is leaving drains,
 // whatever the list says.
-func (r *Router) merged(o logic.Office) logic.Office {
-	if p := r.byName[o.ID]; p != nil && p.leaving && o.State == logic.Ready {
-		o.State = logic.Draining
+func (r *Router) effectiveOffice(office logic.Office) logic.Office {
+	if p := r.peersByName[office.ID]; p != nil && p.announcedDrain && office.State == logic.Ready {
+		office.State = logic.Draining
 	}
-	return o
+	return office
 }
 
 // Next tells when Advance has work; false: nothing waits.
@@ -174,17 +174,17 @@
 func (r *Router) Advance(now time.Duration) {
 	r.now = max(r.now, now)
 	for _, t, ok := r.timers.Pop(now); ok; _, t, ok = r.timers.Pop(now) {
-		r.fire(t)
-		r.run()
+		r.fireTimer(t)
+		r.processPending()
 	}
 }
 
 // Effects gives what is to be carried out, in order, and forgets it. The slice is good until the next call; the
 // bytes of a Write stay as they are.
 func (r *Router) Effects() []Effect {
-	clear(r.given)
-	r.effects, r.given = r.given[:0], r.effects
-	return r.given
+	clear(r.returnedEffects)
+	r.effects, r.returnedEffects = r.returnedEffects[:0], r.effects
+	return r.returnedEffects
 }
 
 // Drain takes the Router out of service: new calls are refused with congestion, and the neighbours are told
@@ -195,7 +195,7 @@
 		r.draining = true
 		r.announce(m3ua.DRST)
 	}
-	r.run()
+	r.processPending()
 }
 
 // Undrain takes new calls again.
@@ -205,13 +205,13 @@
 		r.draining = false
 		r.announce(m3ua.DAVA)
 	}
-	r.run()
+	r.processPending()
 }
 
-func (r *Router) announce(k m3ua.Kind) {
+func (r *Router) announce(kind m3ua.Kind) {
 	for _, p := range r.peers {
 		if p.cfg.Kind == PeerExchange {
-			r.tell(p, k, 0)
+			r.sendNetworkManagement(p, kind, 0)
 		}
 	}
 }
@@ -223,86 +223,86 @@
 		for _, l := range p.links {
 			l.assoc.Leave(now)
 		}
-		r.touch(p)
+		r.markPending(p)
 	}
-	r.run()
+	r.processPending()
 }
 
 // ReleaseAll releases every call that still stands or waits, as the last step of a drain: waiting ones are
 // answered with a failure.
 func (r *Router) ReleaseAll(now time.Duration) {
 	r.now = now
-	for _, c := range r.sorted() {
-		r.abandon(c, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder, Location: isup.LocationLocalNetwork})
-		r.run()
+	for _, c := range r.callsInOrder() {
+		r.releaseCall(c, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder, Location: isup.LocationLocalNetwork})
+		r.processPending()
 	}
 }
 
 // Block blocks n circuits of the group toward a peer from this end, or lifts the block of n. It gives the number
 // that changed.
-func (r *Router) Block(now time.Duration, id PeerID, n int, kind isup.GroupType, on bool) int {
-	p := r.enter(now, id)
-	n = p.group.Block(now, n, kind, on)
-	r.run()
+func (r *Router) Block(now time.Duration, id PeerID, n int, kind isup.GroupType, blocked bool) int {
+	p := r.beginPeerInput(now, id)
+	n = p.group.Block(now, n, kind, blocked)
+	r.processPending()
 	return n
 }
 
 // Reset resets the n busiest-first circuits with calls on the group toward a peer: those calls are cut at both
 // ends. It gives the number of circuits reset.
 func (r *Router) Reset(now time.Duration, id PeerID, n int) int {
-	p := r.enter(now, id)
+	p := r.beginPeerInput(now, id)
 	busy := p.group.Busy()
 	busy = busy[:min(max(n, 0), len(busy))]
 	p.group.Reset(now, busy)
-	r.run()
+	r.processPending()
 	return len(busy)
 }
 
-func (r *Router) enter(now time.Duration, id PeerID) *peer {
+func (r *Router) beginPeerInput(now time.Duration, id PeerID) *peer {
 	r.now = now
 	p := r.peers[id]
-	r.touch(p)
+	r.markPending(p)
 	return p
 }
 
-func (r *Router) link(now time.Duration, id LinkID) *link {
+func (r *Router) beginLinkInput(now time.Duration, id LinkID) *link {
 	r.now = now
 	l := r.links[id]
-	r.touch(l.peer)
+	r.markPending(l.peer)
 	return l
 }
 
-func (r *Router) touch(p *peer) {
-	if !p.touched {
-		p.touched = true
-		r.touched = append(r.touched, p)
+func (r *Router) markPending(p *peer) {
+	if !p.pending {
+		p.pending = true
+		r.pendingPeers = append(r.pendingPeers, p)
 	}
 }
 
 // run lets everything settle that an input has set off: state machines speak, the Controller is told.
-func (r *Router) run() {
-	told, seen := 0, 0
-	for told < len(r.todo) || seen < len(r.touched) {
-		for ; told < len(r.todo); told++ {
-			r.todo[told]()
+func (r *Router) processPending() {
+	done, processed := 0, 0
+	for done < len(r.deferred) || processed < len(r.pendingPeers) {
+		for ; done < len(r.deferred); done++ {
+			r.deferred[done]()
 		}
-		if seen < len(r.touched) {
-			p := r.touched[seen]
-			seen++
-			p.touched = false
-			r.settle(p)
+		if processed < len(r.pendingPeers) {
+			p := r.pendingPeers[processed]
+			processed++
+			p.pending = false
+			r.processPeer(p)
 		}
 	}
-	clear(r.todo)
-	r.todo, r.touched = r.todo[:0], r.touched[:0]
+	clear(r.deferred)
+	r.deferred, r.pendingPeers = r.deferred[:0], r.pendingPeers[:0]
 }
 
-func (r *Router) later(f func()) { r.todo = append(r.todo, f) }
+func (r *Router) deferWork(work func()) { r.deferred = append(r.deferred, work) }
 
-func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
+func (r *Router) emit(effect Effect) { r.effects = append(r.effects, effect) }
 
 // debug tells whether lines about single calls are wanted: making them costs a tenth of a call.
-func (r *Router) debug() bool { return r.cfg.LogLevel <= slog.LevelDebug }
+func (r *Router) debugEnabled() bool { return r.cfg.LogLevel <= slog.LevelDebug }
 
 func (r *Router) log(level slog.Level, text string, call uint64, attrs ...slog.Attr) {
 	if level < r.cfg.LogLevel {
@@ -312,70 +312,70 @@
 }
 
 // sorted gives the calls in the order in which they came.
-func (r *Router) sorted() []*call {
+func (r *Router) callsInOrder() []*call {
 	ids := make([]uint64, 0, len(r.calls))
 	for id := range r.calls {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	out := make([]*call, len(ids))
+	calls := make([]*call, len(ids))
 	for i, id := range ids {
-		out[i] = r.calls[id]
+		calls[i] = r.calls[id]
 	}
-	return out
+	return calls
 }
 
 // timerKind tells what a timer is for.
 type timerKind byte
 
 const (
-	timerMark    timerKind = iota // of the Controller
-	timerAttempt                  // the time-out of an attempt
-	timerDue                      // the last moment for the answer of a call that ends here
-	timerPeer                     // a state machine of a peer
-	timerLease                    // a lease runs out, or a question has had no answer in time
+	timerMark           timerKind = iota // of the Controller
+	timerAttempt                         // the time-out of an attempt
+	timerAnswerDeadline                  // the last moment for the answer of a call that ends here
+	timerPeer                            // a state machine of a peer
+	timerLease                           // a lease runs out, or a question has had no answer in time
 )
 
 type timer struct {
-	at      time.Duration
-	kind    timerKind
-	mark    string
-	call    uint64
-	attempt int
-	peer    PeerID
+	expiresAt time.Duration
+	kind      timerKind
+	mark      string
+	call      uint64
+	attempt   int
+	peer      PeerID
 }
 
-func (r *Router) arm(at time.Duration, t timer) {
-	t.at = at
+func (r *Router) armTimer(at time.Duration, t timer) {
+	t.expiresAt = at
 	r.timers.Arm(at, t)
 }
 
-func (r *Router) fire(t timer) {
+func (r *Router) fireTimer(t timer) {
 	switch t.kind {
 	case timerMark:
-		r.ctl.Timer(r.now, t.mark)
+		r.controller.Timer(r.now, t.mark)
 	case timerAttempt:
-		if c := r.calls[t.call]; c != nil && c.out != nil && !c.answered && c.attempts-1 == t.attempt {
-			r.timeOut(c)
+		if c := r.calls[t.call]; c != nil && c.outgoing != nil && !c.established && c.attempts-1 == t.attempt {
+			r.timeOutAttempt(c)
 		}
-	case timerDue:
-		if c := r.calls[t.call]; c != nil && !c.answered && !c.managed {
-			r.abandon(c, isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork})
+	case timerAnswerDeadline:
+		if c := r.calls[t.call]; c != nil && !c.established && !c.managed {
+			r.releaseCall(c, isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork})
 		}
 	case timerLease:
-		if c := r.calls[t.call]; c != nil && c.lease != nil && c.in == nil && r.now >= c.lease.until {
-			r.lapse(c)
+		if c := r.calls[t.call]; c != nil && c.lease != nil && c.incoming == nil && r.now >= c.lease.expiresAt {
+			r.expireLease(c)
 		}
 	case timerPeer:
 		p := r.peers[t.peer]
-		if p.wake == t.at {
-			p.wake = 0
+		if p.timerAt == t.expiresAt {
+			p.timerAt = 0
 			for _, l := range p.links {
 				l.assoc.Tick(r.now)
 			}
 			p.as.Tick(r.now)
 			p.group.Tick(r.now)
-			r.touch(p)
+			r.markPending(p)
 		}
 	}
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -13,104 +13,104 @@
 )
 
 func TestCallThereAndBack(t *testing.T) {
-	n := newNet(t, 2, 4)
-	n.call("a", 1, "5521", 1)
-	n.call("a", 4, "5522", 2)
-	n.run(n.now + time.Second)
+	n := newTestNetwork(t, 2, 4)
+	n.offerCall("a", 1, "5521", 1)
+	n.offerCall("a", 4, "5522", 2)
+	n.runUntil(n.now + time.Second)
 	for _, cic := range []uint16{1, 4} {
-		if got := n.heard("a", cic); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
+		if got := n.receivedTypes("a", cic); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
 			t.Errorf("circuit %d: %v", cic, got)
 		}
 	}
 	if g := n.routers["a"].Groups()[0]; g.Spare != 1 || g.Out != 3 {
 		t.Errorf("group %+v", g)
 	}
-	n.ends["a/counters"].send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
-	n.ends["a/counters"].send(isup.NewRelease(4, isup.ReleaseInfo{Cause: 16}))
-	n.run(n.now + time.Second)
-	if err := n.idle(); err != nil {
+	n.endpoints["a/counters"].send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
+	n.endpoints["a/counters"].send(isup.NewRelease(4, isup.ReleaseInfo{Cause: 16}))
+	n.runUntil(n.now + time.Second)
+	if err := n.checkIdle(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestTandemAndTurnBack(t *testing.T) {
-	n := newNet(t, 3, 1)
-	n.call("a", 1, "5521", 1) // takes the direct circuit
-	n.run(n.now + time.Second)
-	n.call("a", 2, "5522", 1) // over c
-	n.run(n.now + time.Second)
-	if got := n.heard("a", 2); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
+	n := newTestNetwork(t, 3, 1)
+	n.offerCall("a", 1, "5521", 1) // takes the direct circuit
+	n.runUntil(n.now + time.Second)
+	n.offerCall("a", 2, "5522", 1) // over c
+	n.runUntil(n.now + time.Second)
+	if got := n.receivedTypes("a", 2); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
 		t.Fatalf("over the tandem: %v; %v", got, n.decisions("a"))
 	}
 	if calls := n.routers["c"].Calls(n.now, 9); len(calls) != 1 || calls[0].From != "a" || calls[0].To != "b" {
 		t.Errorf("at the tandem: %+v", calls)
 	}
-	n.call("b", 1, "5511", 1) // no circuit anywhere: refused with cause 34
-	n.run(n.now + 3*time.Second)
-	if got, cause := n.heard("b", 1), n.cause("b", 1); !slices.Equal(got, []isup.Type{isup.REL}) || cause != isup.CauseNoCircuit {
+	n.offerCall("b", 1, "5511", 1) // no circuit anywhere: refused with cause 34
+	n.runUntil(n.now + 3*time.Second)
+	if got, cause := n.receivedTypes("b", 1), n.releaseCause("b", 1); !slices.Equal(got, []isup.Type{isup.REL}) || cause != isup.CauseNoCircuit {
 		t.Errorf("without a circuit: %v, cause %d", got, cause)
 	}
 	for _, cic := range []uint16{1, 2} {
-		n.ends["a/counters"].send(isup.NewRelease(cic, isup.ReleaseInfo{Cause: 16}))
+		n.endpoints["a/counters"].send(isup.NewRelease(cic, isup.ReleaseInfo{Cause: 16}))
 	}
-	n.run(n.now + time.Second)
-	if err := n.idle(); err != nil {
+	n.runUntil(n.now + time.Second)
+	if err := n.checkIdle(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestCausesReachTheCaller(t *testing.T) {
-	n := newNet(t, 2, 4)
-	lines := n.ends["b/lines"]
-	lines.on = func(m *isup.Message) {
+	n := newTestNetwork(t, 2, 4)
+	lines := n.endpoints["b/lines"]
+	lines.onMessage = func(m *isup.Message) {
 		if m.Type == isup.IAM {
 			lines.send(isup.NewRelease(m.CIC, isup.ReleaseInfo{Cause: isup.CauseUserBusy}))
 		}
 	}
-	n.call("a", 1, "5521", 1)
-	n.call("a", 2, "5591", 1) // no such prefix
-	n.run(n.now + time.Second)
-	if c := n.cause("a", 1); c != isup.CauseUserBusy {
+	n.offerCall("a", 1, "5521", 1)
+	n.offerCall("a", 2, "5591", 1) // no such prefix
+	n.runUntil(n.now + time.Second)
+	if c := n.releaseCause("a", 1); c != isup.CauseUserBusy {
 		t.Errorf("busy number: cause %d", c)
 	}
-	if c := n.cause("a", 2); c != isup.CauseUnallocated {
+	if c := n.releaseCause("a", 2); c != isup.CauseUnallocated {
 		t.Errorf("unallocated number: cause %d", c)
 	}
-	if err := n.idle(); err != nil {
+	if err := n.checkIdle(); err != nil {
 		t.Error(err)
 	}
 }
 
 // A silent far end: the caller gets one answer before the patience is over, and what the attempt held is released.
 func TestNoAnswerInTime(t *testing.T) {
-	n := newNet(t, 2, 4)
-	n.ends["b/lines"].on = nil
+	n := newTestNetwork(t, 2, 4)
+	n.endpoints["b/lines"].onMessage = nil
 	start := n.now
-	n.call("a", 1, "5521", 1)
-	n.run(start + 2900*time.Millisecond)
-	if got := n.heard("a", 1); len(got) != 0 {
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(start + 2900*time.Millisecond)
+	if got := n.receivedTypes("a", 1); len(got) != 0 {
 		t.Fatalf("told %v early", got)
 	}
-	n.run(start + 3*time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
+	n.runUntil(start + 3*time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
 		t.Errorf("at the end: %v", got)
 	}
-	n.ends["b/lines"].on = func(m *isup.Message) {
+	n.endpoints["b/lines"].onMessage = func(m *isup.Message) {
 		if m.Type == isup.REL {
-			n.ends["b/lines"].send(isup.Simple(isup.RLC, m.CIC))
+			n.endpoints["b/lines"].send(isup.Simple(isup.RLC, m.CIC))
 		}
 	}
-	n.run(start + 8*time.Second)
-	if err := n.idle(); err != nil {
+	n.runUntil(start + 8*time.Second)
+	if err := n.checkIdle(); err != nil {
 		t.Error(err)
 	}
 }
 
 // The answer and the time-out cross on the wire: the caller gets the time-out only, and the late answer dies.
 func TestAnswerCrossesTimeOut(t *testing.T) {
-	n := newNet(t, 2, 4)
-	lines := n.ends["b/lines"]
-	lines.on = func(m *isup.Message) {
+	n := newTestNetwork(t, 2, 4)
+	lines := n.endpoints["b/lines"]
+	lines.onMessage = func(m *isup.Message) {
 		switch m.Type {
 		case isup.IAM:
 			n.after(2970*time.Millisecond, func() { lines.send(isup.Simple(isup.ANM, m.CIC)) })
@@ -118,57 +118,57 @@
 			lines.send(isup.Simple(isup.RLC, m.CIC))
 		}
 	}
-	n.delay = 15 * time.Millisecond
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + 6*time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
+	n.linkDelay = 15 * time.Millisecond
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + 6*time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
 		t.Errorf("caller heard %v", got)
 	}
-	if err := n.idle(); err != nil {
+	if err := n.checkIdle(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestDualSeizureRepeatsOnAnotherCircuit(t *testing.T) {
-	n := newNet(t, 2, 3)
-	n.call("a", 1, "5521", 1)
-	n.call("b", 1, "5511", 1)
-	n.run(n.now + time.Second)
-	n.call("a", 2, "5522", 1) // the last circuit, from both ends at once
-	n.call("b", 2, "5512", 1)
-	n.run(n.now + 4*time.Second)
-	a, b := n.heard("a", 2), n.heard("b", 2)
-	stood := []isup.Type{isup.ACM, isup.ANM}
-	if slices.Equal(a, stood) == slices.Equal(b, stood) || !slices.Equal(a, stood) && !slices.Equal(a, []isup.Type{isup.REL}) {
+	n := newTestNetwork(t, 2, 3)
+	n.offerCall("a", 1, "5521", 1)
+	n.offerCall("b", 1, "5511", 1)
+	n.runUntil(n.now + time.Second)
+	n.offerCall("a", 2, "5522", 1) // the last circuit, from both ends at once
+	n.offerCall("b", 2, "5512", 1)
+	n.runUntil(n.now + 4*time.Second)
+	a, b := n.receivedTypes("a", 2), n.receivedTypes("b", 2)
+	answered := []isup.Type{isup.ACM, isup.ANM}
+	if slices.Equal(a, answered) == slices.Equal(b, answered) || !slices.Equal(a, answered) && !slices.Equal(a, []isup.Type{isup.REL}) {
 		t.Errorf("one should stand: %v and %v", a, b)
 	}
-	m := newNet(t, 2, 4) // with one more the loser is repeated on it
-	m.call("a", 1, "5521", 2)
-	m.run(m.now + time.Second)
-	m.call("a", 3, "5522", 1)
-	m.call("b", 3, "5512", 2)
-	m.run(m.now + 4*time.Second)
-	if a, b := m.heard("a", 3), m.heard("b", 3); len(a) == 0 || !slices.Equal(b, stood) {
+	larger := newTestNetwork(t, 2, 4) // with one more the loser is repeated on it
+	larger.offerCall("a", 1, "5521", 2)
+	larger.runUntil(larger.now + time.Second)
+	larger.offerCall("a", 3, "5522", 1)
+	larger.offerCall("b", 3, "5512", 2)
+	larger.runUntil(larger.now + 4*time.Second)
+	if a, b := larger.receivedTypes("a", 3), larger.receivedTypes("b", 3); len(a) == 0 || !slices.Equal(b, answered) {
 		t.Errorf("the wide call should stand: %v and %v", a, b)
 	}
 }
 
 func TestAssociationLost(t *testing.T) {
-	n := newNet(t, 3, 2)
-	n.ends["b/lines"].on = nil
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + 100*time.Millisecond)
+	n := newTestNetwork(t, 3, 2)
+	n.endpoints["b/lines"].onMessage = nil
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + 100*time.Millisecond)
 	a := n.routers["a"]
 	id, _ := a.Link("b", 0)
-	lost := n.now
-	n.cut[between("a", "b")] = true
+	lostAt := n.now
+	n.disconnected[linkKey("a", "b")] = true
 	a.Disconnected(n.now, id, -1)
-	n.carry("a")
-	n.run(lost + 2*time.Second)
+	n.deliver("a")
+	n.runUntil(lostAt + 2*time.Second)
 	var sends []time.Duration
-	for _, s := range n.iams {
-		if s.from == "a" && s.at > lost {
-			sends = append(sends, s.at-lost)
+	for _, s := range n.setups {
+		if s.from == "a" && s.at > lostAt {
+			sends = append(sends, s.at-lostAt)
 		}
 	}
 	for _, s := range sends {
@@ -176,22 +176,22 @@
 			t.Errorf("sent again %v after the reset", s)
 		}
 	}
-	n.run(lost + 4*time.Second)
-	if got := n.heard("a", 1); len(got) == 0 || got[len(got)-1] != isup.REL {
+	n.runUntil(lostAt + 4*time.Second)
+	if got := n.receivedTypes("a", 1); len(got) == 0 || got[len(got)-1] != isup.REL {
 		t.Errorf("caller heard %v", got)
 	}
 }
 
 func TestNeverWrittenIsNoConnect(t *testing.T) {
-	n := newNet(t, 2, 2)
+	n := newTestNetwork(t, 2, 2)
 	a := n.routers["a"]
 	id, _ := a.Link("b", 0)
-	written := a.links[id].offset
-	n.cut[between("a", "b")] = true
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + 10*time.Millisecond)
+	written := a.links[id].bytesWritten
+	n.disconnected[linkKey("a", "b")] = true
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + 10*time.Millisecond)
 	a.Disconnected(n.now, id, written) // the IAM was queued and never written whole
-	n.carry("a")
+	n.deliver("a")
 	found := false
 	for _, e := range n.effects["a"] {
 		if l, ok := e.(Log); ok && l.Text == "attempt over" {
@@ -206,45 +206,45 @@
 }
 
 func TestListSaysDraining(t *testing.T) {
-	n := newNet(t, 3, 4)
-	n.ends["b/lines"].on = nil
-	n.call("a", 1, "5521", 1) // out while the list changes
-	n.run(n.now + 50*time.Millisecond)
-	told := n.now
+	n := newTestNetwork(t, 3, 4)
+	n.endpoints["b/lines"].onMessage = nil
+	n.offerCall("a", 1, "5521", 1) // out while the list changes
+	n.runUntil(n.now + 50*time.Millisecond)
+	drainedAt := n.now
 	n.routers["a"].List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
-	n.carry("a")
+	n.deliver("a")
 	for i := range 5 {
-		n.call("a", uint16(2+i), "5522", 1)
+		n.offerCall("a", uint16(2+i), "5522", 1)
 	}
-	n.run(told + 4*time.Second)
-	for _, s := range n.iams {
-		if s.from == "a" && s.to == "b" && s.at > told {
-			t.Errorf("set-up toward b %v after it drains", s.at-told)
+	n.runUntil(drainedAt + 4*time.Second)
+	for _, s := range n.setups {
+		if s.from == "a" && s.to == "b" && s.at > drainedAt {
+			t.Errorf("set-up toward b %v after it drains", s.at-drainedAt)
 		}
 	}
 	for i := range 6 {
-		if got := n.heard("a", uint16(1+i)); len(got) == 0 {
+		if got := n.receivedTypes("a", uint16(1+i)); len(got) == 0 {
 			t.Errorf("call %d has no answer", i+1)
 		}
 	}
 }
 
 func TestNeighbourTellsThatItDrains(t *testing.T) {
-	n := newNet(t, 2, 4)
+	n := newTestNetwork(t, 2, 4)
 	n.routers["b"].Drain(n.now)
-	n.carry("b")
-	n.run(n.now + 100*time.Millisecond)
+	n.deliver("b")
+	n.runUntil(n.now + 100*time.Millisecond)
 	if v := n.routers["a"].Exchanges()[1]; v.State != logic.Draining {
 		t.Errorf("a sees %+v", v)
 	}
-	n.call("b", 1, "5511", 1)
-	n.run(n.now + 100*time.Millisecond)
-	if c := n.cause("b", 1); c != isup.CauseCongestion {
+	n.offerCall("b", 1, "5511", 1)
+	n.runUntil(n.now + 100*time.Millisecond)
+	if c := n.releaseCause("b", 1); c != isup.CauseCongestion {
 		t.Errorf("a new call at b: cause %d", c)
 	}
 	n.routers["b"].Undrain(n.now)
-	n.carry("b")
-	n.run(n.now + 100*time.Millisecond)
+	n.deliver("b")
+	n.runUntil(n.now + 100*time.Millisecond)
 	if v := n.routers["a"].Exchanges()[1]; v.State != logic.Ready {
 		t.Errorf("afterwards a sees %+v", v)
 	}
@@ -252,77 +252,77 @@
 
 // An exchange restarts under a standing call: its reset cuts the call at the other end.
 func TestRestartUnderAStandingCall(t *testing.T) {
-	n := newNet(t, 2, 4)
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + time.Second)
+	n := newTestNetwork(t, 2, 4)
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + time.Second)
 	n.addRouter(testConfig(1, 2, 4))
 	a := n.routers["a"]
 	id, _ := a.Link("b", 0)
 	a.Disconnected(n.now, id, -1)
 	a.Connected(n.now, id)
 	n.connect("b")
-	n.carry("a")
-	n.run(n.now + 2*time.Second)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM, isup.REL}) {
+	n.deliver("a")
+	n.runUntil(n.now + 2*time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM, isup.REL}) {
 		t.Errorf("caller heard %v", got)
 	}
-	if err := n.idle(); err != nil {
+	if err := n.checkIdle(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestClientReturnsInTime(t *testing.T) {
-	n := newNet(t, 2, 4)
+	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + 8*time.Millisecond) // the call is out
-	s := n.ends["a/counters"]
-	n.cut[between("a", "counters")] = true
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + 8*time.Millisecond) // the call is out
+	s := n.endpoints["a/counters"]
+	n.disconnected[linkKey("a", "counters")] = true
 	a.Disconnected(n.now, id, -1)
 	s.assoc.Lost()
-	n.run(n.now + 500*time.Millisecond)
-	n.cut[between("a", "counters")] = false
+	n.runUntil(n.now + 500*time.Millisecond)
+	n.disconnected[linkKey("a", "counters")] = false
 	a.Connected(n.now, id)
 	s.assoc.Connected(n.now)
-	n.carry("a")
-	n.settle("a", "counters")
-	n.run(n.now + 500*time.Millisecond)
-	if got := n.heard("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
+	n.deliver("a")
+	n.processEndpoint("a", "counters")
+	n.runUntil(n.now + 500*time.Millisecond)
+	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
 		t.Errorf("after its return the client heard %v", got)
 	}
 }
 
 func TestClientStaysAway(t *testing.T) {
-	n := newNet(t, 2, 4)
+	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + time.Second)
-	n.cut[between("a", "counters")] = true
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + time.Second)
+	n.disconnected[linkKey("a", "counters")] = true
 	a.Disconnected(n.now, id, -1)
-	n.run(n.now + DefaultRecovery - time.Millisecond)
+	n.runUntil(n.now + DefaultRecovery - time.Millisecond)
 	if calls, _ := a.Held(); calls != 1 {
 		t.Fatalf("%d calls within the recovery time", calls)
 	}
-	n.run(n.now + time.Second)
+	n.runUntil(n.now + time.Second)
 	if calls, _ := a.Held(); calls != 0 || n.routers["b"].Groups()[0].Spare != 4 {
 		t.Errorf("after the recovery time: %d calls, %+v", calls, n.routers["b"].Groups()[0])
 	}
 }
 
 func TestReleaseAllAnswersEveryCall(t *testing.T) {
-	n := newNet(t, 2, 8)
-	n.ends["b/lines"].on = nil
+	n := newTestNetwork(t, 2, 8)
+	n.endpoints["b/lines"].onMessage = nil
 	for i := range 8 {
-		n.call("a", uint16(1+i), "5521", 1)
+		n.offerCall("a", uint16(1+i), "5521", 1)
 	}
-	n.run(n.now + 100*time.Millisecond)
+	n.runUntil(n.now + 100*time.Millisecond)
 	n.routers["a"].ReleaseAll(n.now)
-	n.carry("a")
-	n.run(n.now + 100*time.Millisecond)
+	n.deliver("a")
+	n.runUntil(n.now + 100*time.Millisecond)
 	for i := range 8 {
-		if got := n.heard("a", uint16(1+i)); !slices.Equal(got, []isup.Type{isup.REL}) {
+		if got := n.receivedTypes("a", uint16(1+i)); !slices.Equal(got, []isup.Type{isup.REL}) {
 			t.Errorf("call %d heard %v", i+1, got)
 		}
 	}
@@ -333,45 +333,45 @@
 
 // Two Routers in one process share nothing: what one does is the same whether another works beside it or not.
 func TestTwoRoutersShareNothing(t *testing.T) {
-	script := func(n *net) {
+	script := func(n *testNetwork) {
 		for i := range 20 {
-			n.call("a", uint16(1+i), "552"+string(rune('0'+i%10)), 1)
-			n.run(n.now + 37*time.Millisecond)
+			n.offerCall("a", uint16(1+i), "552"+string(rune('0'+i%10)), 1)
+			n.runUntil(n.now + 37*time.Millisecond)
 		}
-		n.run(n.now + 4*time.Second)
+		n.runUntil(n.now + 4*time.Second)
 	}
-	alone := newNet(t, 3, 4)
+	alone := newTestNetwork(t, 3, 4)
 	script(alone)
-	beside, other := newNet(t, 3, 4), newNet(t, 3, 2)
+	besideOther, other := newTestNetwork(t, 3, 4), newTestNetwork(t, 3, 2)
 	for i := range 20 {
-		other.call("a", uint16(1+i), "5531", 1)
-		beside.call("a", uint16(1+i), "552"+string(rune('0'+i%10)), 1)
-		beside.run(beside.now + 37*time.Millisecond)
-		other.run(other.now + 11*time.Millisecond)
+		other.offerCall("a", uint16(1+i), "5531", 1)
+		besideOther.offerCall("a", uint16(1+i), "552"+string(rune('0'+i%10)), 1)
+		besideOther.runUntil(besideOther.now + 37*time.Millisecond)
+		other.runUntil(other.now + 11*time.Millisecond)
 	}
-	beside.run(beside.now + 4*time.Second)
-	if a, b := alone.decisions("a"), beside.decisions("a"); len(a) < 40 || !reflect.DeepEqual(a, b) {
+	besideOther.runUntil(besideOther.now + 4*time.Second)
+	if a, b := alone.decisions("a"), besideOther.decisions("a"); len(a) < 40 || !reflect.DeepEqual(a, b) {
 		t.Errorf("%d and %d lines differ", len(a), len(b))
 	}
 }
 
 func TestUnreadableInput(t *testing.T) {
-	n := newNet(t, 2, 4)
+	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
 	var frames [][]byte
 	for _, b := range [][]byte{{}, {1}, {1, 0, 99}, {1, 0, 1, 0}} {
-		s := n.ends["a/counters"]
+		s := n.endpoints["a/counters"]
 		s.assoc.Output()
 		frames = append(frames, dataFrame(s, b))
 	}
 	for _, f := range frames {
 		a.Receive(n.now, id, f)
 	}
-	n.carry("a")
-	n.call("a", 1, "5521", 1)
-	n.run(n.now + time.Second)
-	if got := n.heard("a", 1); !slices.Contains(got, isup.ANM) {
+	n.deliver("a")
+	n.offerCall("a", 1, "5521", 1)
+	n.runUntil(n.now + time.Second)
+	if got := n.receivedTypes("a", 1); !slices.Contains(got, isup.ANM) {
 		t.Errorf("after unreadable messages a call heard %v", got)
 	}
 }
@@ -408,26 +408,26 @@
 // (rule 3).
 func TestRepeatOnlyTowardAReadyExchange(t *testing.T) {
 	for _, drains := range []bool{false, true} {
-		n := newNet(t, 2, 4)
+		n := newTestNetwork(t, 2, 4)
 		a := n.routers["a"]
 		id, _ := a.Peer("b")
 		a.Block(n.now, id, 1, isup.Maintenance, true) // circuit 4
-		n.carry("a")
-		n.call("a", 1, "5521", 1) // circuit 1
-		n.run(n.now + time.Second)
-		n.delay = 100 * time.Millisecond
-		n.call("b", 1, "5511", 2) // circuits 2 and 3: wide, it wins whatever a has sent
-		n.call("a", 2, "5522", 1) // circuit 2
-		n.run(n.now + 50*time.Millisecond)
+		n.deliver("a")
+		n.offerCall("a", 1, "5521", 1) // circuit 1
+		n.runUntil(n.now + time.Second)
+		n.linkDelay = 100 * time.Millisecond
+		n.offerCall("b", 1, "5511", 2) // circuits 2 and 3: wide, it wins whatever a has sent
+		n.offerCall("a", 2, "5522", 1) // circuit 2
+		n.runUntil(n.now + 50*time.Millisecond)
 		a.Block(n.now, id, 1, isup.Maintenance, false)
 		if drains {
 			a.List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
 		}
-		n.carry("a")
-		told, repeats := n.now, 0
-		n.run(n.now + 4*time.Second)
-		for _, s := range n.iams {
-			if s.from == "a" && s.at > told {
+		n.deliver("a")
+		drainedAt, repeats := n.now, 0
+		n.runUntil(n.now + 4*time.Second)
+		for _, s := range n.setups {
+			if s.from == "a" && s.at > drainedAt {
 				repeats++
 			}
 		}
@@ -435,7 +435,7 @@
 			t.Errorf("draining %v: %d repeats, want %d", drains, repeats, want)
 		}
 		want := map[bool][]isup.Type{false: {isup.ACM, isup.ANM}, true: {isup.REL}}[drains]
-		if got := n.heard("a", 2); !slices.Equal(got, want) {
+		if got := n.receivedTypes("a", 2); !slices.Equal(got, want) {
 			t.Errorf("draining %v: caller heard %v", drains, got)
 		}
 	}
--- a/router/status.go
+++ b/router/status.go
@@ -30,10 +30,10 @@
 
 // ExchangeView is an exchange of the list.
 type ExchangeView struct {
-	Name    string
-	State   logic.OfficeState // as the list or the exchange itself tells, the worse of the two
-	Started time.Duration
-	Leaving bool // it has said so itself
+	Name           string
+	State          logic.OfficeState // as the list or the exchange itself tells, the worse of the two
+	Started        time.Duration
+	AnnouncedDrain bool // it has said so itself
 }
 
 // AssociationView is the association with one process of a peer.
@@ -47,34 +47,34 @@
 }
 
 // Calls lists the calls held, oldest first; at most most.
-func (r *Router) Calls(now time.Duration, most int) (out []CallView) {
-	for _, c := range r.sorted() {
-		if len(out) == most {
+func (r *Router) Calls(now time.Duration, limit int) (views []CallView) {
+	for _, c := range r.callsInOrder() {
+		if len(views) == limit {
 			break
 		}
-		v := CallView{ID: c.id, Called: c.setup.Called.Digits, Class: "?", Attempts: c.attempts, State: "waiting",
-			Age: now - c.taken}
+		view := CallView{ID: c.id, Called: c.setup.Called.Digits, Class: "?", Attempts: c.attempts, State: "waiting",
+			Age: now - c.receivedAt}
 		if c.class >= 0 {
-			v.Class = r.cfg.Classes[c.class].Name
+			view.Class = r.cfg.Classes[c.class].Name
 		}
-		if c.in != nil {
-			v.From = c.in.peer.cfg.Name
+		if c.incoming != nil {
+			view.From = c.incoming.peer.cfg.Name
 		}
-		if c.out != nil {
-			v.To, v.State = c.out.peer.cfg.Name, "out"
+		if c.outgoing != nil {
+			view.To, view.State = c.outgoing.peer.cfg.Name, "out"
 		}
-		if c.answered {
-			v.State = "stands"
+		if c.established {
+			view.State = "stands"
 		}
-		out = append(out, v)
+		views = append(views, view)
 	}
-	return out
+	return views
 }
 
 // Held counts the calls, and those of them that have no final answer yet.
 func (r *Router) Held() (calls, unanswered int) {
 	for _, c := range r.calls {
-		if !c.answered && c.in != nil {
+		if !c.established && c.incoming != nil {
 			unanswered++
 		}
 	}
@@ -85,45 +85,45 @@
 func (r *Router) Draining() bool { return r.draining }
 
 // Groups lists the trunk groups in the order of the peers.
-func (r *Router) Groups() (out []GroupView) {
+func (r *Router) Groups() (views []GroupView) {
 	for _, p := range r.peers {
-		by, blocked := p.group.States()
-		out = append(out, GroupView{Peer: p.cfg.Name, Kind: p.cfg.Kind, Size: p.group.Size(), Total: p.group.Total(),
-			Spare: p.group.Spare(), Out: by[1], In: by[2], Releasing: by[3], Resetting: by[4], Blocked: blocked})
+		byState, blocked := p.group.States()
+		views = append(views, GroupView{Peer: p.cfg.Name, Kind: p.cfg.Kind, Size: p.group.Size(), Total: p.group.Total(),
+			Spare: p.group.Spare(), Out: byState[1], In: byState[2], Releasing: byState[3], Resetting: byState[4], Blocked: blocked})
 	}
-	return out
+	return views
 }
 
 // Exchanges lists the exchanges in the order of the configuration.
-func (r *Router) Exchanges() (out []ExchangeView) {
+func (r *Router) Exchanges() (views []ExchangeView) {
 	for _, e := range r.cfg.Exchanges {
-		v := ExchangeView{Name: e.Name, State: logic.Gone}
-		if o, ok := r.list[e.Name]; ok {
-			o = r.merged(o)
-			v.State, v.Started = o.State, o.Started
+		view := ExchangeView{Name: e.Name, State: logic.Gone}
+		if office, ok := r.offices[e.Name]; ok {
+			office = r.effectiveOffice(office)
+			view.State, view.Started = office.State, office.Started
 		}
-		if p := r.byName[e.Name]; p != nil {
-			v.Leaving = p.leaving
+		if p := r.peersByName[e.Name]; p != nil {
+			view.AnnouncedDrain = p.announcedDrain
 		}
-		out = append(out, v)
+		views = append(views, view)
 	}
-	return out
+	return views
 }
 
 // Associations lists the associations in the order of the peers.
-func (r *Router) Associations() (out []AssociationView) {
+func (r *Router) Associations() (views []AssociationView) {
 	for _, p := range r.peers {
 		for _, l := range p.links {
-			out = append(out, AssociationView{Peer: p.cfg.Name, ASP: l.asp, AS: p.as.State(), State: l.assoc.State(),
-				Sent: l.offset, Held: len(p.held)})
+			views = append(views, AssociationView{Peer: p.cfg.Name, ASP: l.aspIndex, AS: p.as.State(), State: l.assoc.State(),
+				Sent: l.bytesWritten, Held: len(p.heldMessages)})
 		}
 	}
-	return out
+	return views
 }
 
 // Peer finds a peer by its name.
 func (r *Router) Peer(name string) (PeerID, bool) {
-	p := r.byName[name]
+	p := r.peersByName[name]
 	if p == nil {
 		return 0, false
 	}
@@ -132,7 +132,7 @@
 
 // Link finds the connection of a process of a peer; false: there is none.
 func (r *Router) Link(peer string, asp int) (LinkID, bool) {
-	p := r.byName[peer]
+	p := r.peersByName[peer]
 	if p == nil || asp < 0 || asp >= len(p.links) {
 		return 0, false
 	}
@@ -145,11 +145,11 @@
 	if len(l.peer.links) == 1 {
 		return l.peer.cfg.Name
 	}
-	return fmt.Sprintf("%s/%d", l.peer.cfg.Name, l.asp)
+	return fmt.Sprintf("%s/%d", l.peer.cfg.Name, l.aspIndex)
 }
 
 // Name is the own exchange.
-func (r *Router) Name() string { return r.home.Name }
+func (r *Router) Name() string { return r.ownExchange.Name }
 
 // Exchange finds the configuration of an exchange.
 func (r *Router) Exchange(name string) (Exchange, bool) {
