--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -10,14 +10,14 @@
 	"finchlatch/measure"
 )
 
-// dataFrame is a DATA of a scripted end.
+// dataFrame returns a DATA message from an endpoint with an ISUP message as its payload.
 func dataFrame(end *endpoint, payload []byte) []byte {
 	p := m3ua.ProtocolData{OPC: end.pointCode, DPC: end.routerPointCode, SI: m3ua.ServiceISUP, NI: 2, Data: payload}
 	return p.Message().Append(nil)
 }
 
-// BenchmarkCall is a whole call through one Router without sockets: IAM in and out, ACM, ANM, REL and both RLCs,
-// with codec, circuits, timers and the Controller; plain, and with a Meter around the Controller.
+// BenchmarkCall measures a complete call through one Router without sockets: IAM in and out, ACM, ANM, REL and both
+// RLCs, with codec, circuits, timers and the Controller; once plain, and once with a Meter around the Controller.
 func BenchmarkCall(b *testing.B) {
 	b.Run("plain", func(b *testing.B) { benchmarkCall(b, testConfig(0, 2, 16)) })
 	b.Run("measured", func(b *testing.B) {
@@ -48,22 +48,22 @@
 		receive(id, (&m3ua.Message{Kind: m3ua.ASPUPACK}).Append(nil), (&m3ua.Message{Kind: m3ua.ASPUP}).Append(nil),
 			(&m3ua.Message{Kind: m3ua.ASPACACK}).Append(nil), (&m3ua.Message{Kind: m3ua.ASPAC}).Append(nil))
 	}
-	message := func(s *endpoint, m *isup.Message) []byte {
+	frame := func(end *endpoint, m *isup.Message) []byte {
 		raw, err := m.Append(nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		return dataFrame(s, raw)
+		return dataFrame(end, raw)
 	}
-	receive(to, message(exchange, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 15})))
-	receive(from, message(counters, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 30})))
+	receive(to, frame(exchange, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 15})))
+	receive(from, frame(counters, isup.NewGroup(isup.GRA, 1, 0, isup.Range{Range: 30})))
 	if g := r.Groups()[to]; g.Spare != 16 {
 		b.Fatalf("group %+v", g)
 	}
 	setup, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
-	iam := message(counters, setup)
-	acm, anm, rlc := message(exchange, isup.Simple(isup.ACM, 1)), message(exchange, isup.Simple(isup.ANM, 1)), message(exchange, isup.Simple(isup.RLC, 1))
-	rel := message(counters, isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
+	iam := frame(counters, setup)
+	acm, anm, rlc := frame(exchange, isup.Simple(isup.ACM, 1)), frame(exchange, isup.Simple(isup.ANM, 1)), frame(exchange, isup.Simple(isup.RLC, 1))
+	rel := frame(counters, isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
 	r.Effects()
 	b.ReportAllocs()
 	established := 0
@@ -81,7 +81,7 @@
 		}
 	}
 	if established != b.N {
-		b.Fatalf("%d of %d calls stood", established, b.N)
+		b.Fatalf("%d of %d calls were established", established, b.N)
 	}
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
 }
--- a/router/client_loss_test.go
+++ b/router/client_loss_test.go
@@ -9,7 +9,7 @@
 	"finchlatch/m3ua"
 )
 
-// drop breaks the connection of the counters of a. Bytes on the way are lost.
+// dropClient breaks the connection between exchange a and its counters. Bytes in flight are lost.
 func (n *testNetwork) dropClient(written int64) {
 	id, _ := n.routers["a"].Link("counters", 0)
 	n.disconnected[linkKey("a", "counters")] = true
@@ -18,7 +18,7 @@
 	n.deliver("a")
 }
 
-// back brings it up again.
+// reconnectClient restores the connection between exchange a and its counters.
 func (n *testNetwork) reconnectClient() {
 	id, _ := n.routers["a"].Link("counters", 0)
 	n.disconnected[linkKey("a", "counters")] = false
@@ -28,19 +28,19 @@
 	n.processEndpoint("a", "counters")
 }
 
-// TestClientDropsAtEachStep drops the counters' connection at each step of a set-up and brings it back inside and
-// outside the recovery time. What the counters must have heard in the end is one answer, or none and a free circuit.
+// TestClientDropsAtEachStep breaks the counters' connection at each step of a set-up and restores it within and after
+// the recovery time. In the end the counters must have received one final answer, or none and the circuit is free.
 func TestClientDropsAtEachStep(t *testing.T) {
 	const ringTime = 20 * time.Millisecond
 	type outcome struct{ inside, outside []isup.Type }
 	for _, c := range []struct {
 		name string
 		at   time.Duration // after the IAM was sent
-		half bool          // only half of it
-		rel  bool          // the far side releases in place of the answer, and the drop follows its REL
-		want outcome       // heard after the return, without what was heard before
+		half bool          // only half of the IAM is received
+		rel  bool          // the called side sends REL instead of answering, and the connection breaks after it
+		want outcome       // messages received after the return, without those received before
 	}{
-		{"before the IAM is whole", 0, true, false, outcome{nil, nil}},
+		{"before the IAM is complete", 0, true, false, outcome{nil, nil}},
 		{"after the IAM", 3 * time.Millisecond, false, false, outcome{[]isup.Type{isup.ACM, isup.ANM}, nil}},
 		{"after ACM", 25 * time.Millisecond, false, false, outcome{[]isup.Type{isup.ANM}, nil}},
 		{"with ANM in flight", 14*time.Millisecond + ringTime, false, false, outcome{[]isup.Type{isup.ANM}, nil}},
@@ -55,12 +55,12 @@
 					}
 				}
 			}
-			s := n.endpoints["a/counters"]
+			client := n.endpoints["a/counters"]
 			if c.half {
 				id, _ := n.routers["a"].Link("counters", 0)
 				m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 				b, _ := m.Append(nil)
-				frame := dataFrame(s, b)
+				frame := dataFrame(client, b)
 				n.routers["a"].Receive(n.now, id, frame[:len(frame)/2])
 			} else {
 				n.offerCall("a", 1, "5521", 1)
@@ -77,27 +77,27 @@
 			}
 			got := n.receivedTypes("a", 1)[before:]
 			if absence < DefaultRecovery && !slices.Equal(got, want) {
-				t.Errorf("%s, back in %v: heard %v, want %v", c.name, absence, got, want)
+				t.Errorf("%s, back after %v: received %v, want %v", c.name, absence, got, want)
 			}
 			if absence > DefaultRecovery {
 				if slices.Contains(got, isup.ANM) {
-					t.Errorf("%s, back in %v: an answer after the recovery time: %v", c.name, absence, got)
+					t.Errorf("%s, back after %v: an answer after the recovery time: %v", c.name, absence, got)
 				}
 				if err := n.checkIdle(); err != nil {
-					t.Errorf("%s, back in %v: %v", c.name, absence, err)
+					t.Errorf("%s, back after %v: %v", c.name, absence, err)
 				}
 			}
-			// What is left of the call can be ended, and the circuit used again.
-			s.send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
+			// The rest of the call can be released, and its circuit used again.
+			client.send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
 			n.runUntil(n.now + 2*time.Second)
 			if err := n.checkIdle(); err != nil {
-				t.Errorf("%s, back in %v, released: %v", c.name, absence, err)
+				t.Errorf("%s, back after %v, released: %v", c.name, absence, err)
 			}
 		}
 	}
 }
 
-// An answer that a heartbeat has confirmed does not go out again; one that it has not does, once.
+// An answer that a heartbeat has confirmed is not sent again after a connection loss; an unconfirmed one is, once.
 func TestConfirmedAnswersAreNotRepeated(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
@@ -113,32 +113,32 @@
 	n.reconnectClient()
 	n.runUntil(n.now + time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
-		t.Errorf("heard %v", got)
+		t.Errorf("received %v", got)
 	}
 }
 
-// What a set-up waited in the process counts as its caller's patience: the answer comes that much earlier.
+// The time that a set-up waits in a queue of the process uses up its caller's patience: the answer comes earlier by it.
 func TestQueueCountsAsPatience(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	n.endpoints["b/lines"].onMessage = nil
-	a, s := n.routers["a"], n.endpoints["a/counters"]
+	a, client := n.routers["a"], n.endpoints["a/counters"]
 	id, _ := a.Link("counters", 0)
 	m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 	b, _ := m.Append(nil)
 	start := n.now
-	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(s, b), Waited: 2 * time.Second})
+	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(client, b), Waited: 2 * time.Second})
 	n.deliver("a")
 	n.runUntil(start + 900*time.Millisecond)
 	if got := n.receivedTypes("a", 1); len(got) > 0 {
-		t.Errorf("heard %v early", got)
+		t.Errorf("received %v early", got)
 	}
 	n.runUntil(start + time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
-		t.Errorf("heard %v when the caller's 3 s were over", got)
+		t.Errorf("received %v when the caller's patience of 3 s was over", got)
 	}
 }
 
-// A repeated IAM on a circuit is the same call; another one is a new call of a client that has lost its memory.
+// A repeated IAM on a circuit belongs to the same call. A different one is a new call of a client that has restarted.
 func TestRepeatedSetUp(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	n.offerCall("a", 1, "5521", 1)
@@ -146,14 +146,14 @@
 	n.offerCall("a", 1, "5521", 1)
 	n.runUntil(n.now + time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) || len(n.setups) != 1 {
-		t.Errorf("the same again: heard %v, %d set-ups", got, len(n.setups))
+		t.Errorf("same IAM again: received %v, %d set-ups", got, len(n.setups))
 	}
 	n.offerCall("a", 1, "5522", 1)
 	n.runUntil(n.now + time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM, isup.ACM, isup.ANM}) || len(n.setups) != 2 {
-		t.Errorf("another: heard %v, %d set-ups", got, len(n.setups))
+		t.Errorf("different IAM: received %v, %d set-ups", got, len(n.setups))
 	}
 	if g := n.routers["b"].Groups()[0]; g.In != 1 {
-		t.Errorf("the old call still stands: %+v", g)
+		t.Errorf("the old call is still established: %+v", g)
 	}
 }
--- a/router/established_test.go
+++ b/router/established_test.go
@@ -12,30 +12,31 @@
 	"finchlatch/m3ua"
 )
 
-// groupSize is a large group, out of 3,968 circuits: 128 systems less their time slots 0.
+// groupSize is the number of calls in one trunk group of a benchmark. The largest group has 3,968 circuits: 128 systems
+// of 32 time slots, without time slots 0.
 const groupSize = 3850
 
-// manyCircuits is a Router with groups toward clients and exchanges for 100,000 calls.
+// newLargeRouter returns a Router with enough clients, exchanges and circuits for 100,000 calls.
 func newLargeRouter(b *testing.B) (r *Router, now time.Duration, clients, exchanges []*process) {
-	const groupCount = 26 // the same for all: the module's work on a group grows with its circuits, busy or not
+	const groupCount = 26 // the same for every number of calls, because the Controller's work on a group grows with all its circuits, busy or not
 	cfg := testConfig(0, groupCount+1, 1)
 	cfg.LogLevel = slog.LevelError
-	var cics []uint16
-	for c := uint16(1); len(cics) < groupSize+100; c++ {
-		if c%32 != 0 {
-			cics = append(cics, c)
+	var circuits []uint16
+	for cic := uint16(1); len(circuits) < groupSize+100; cic++ {
+		if cic%32 != 0 { // time slot 0 of a 2,048 kbit/s system is no circuit
+			circuits = append(circuits, cic)
 		}
 	}
 	cfg.Peers = slices.DeleteFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
 	for i := range cfg.Peers {
-		cfg.Peers[i].Circuits = cics
+		cfg.Peers[i].Circuits = circuits
 	}
-	for i := range cfg.Numbering { // of one length: none is the beginning of another
+	for i := range cfg.Numbering { // equal length, so that no prefix begins with another one
 		cfg.Numbering[i].Prefix = fmt.Sprintf("55%03d", cfg.Numbering[i].Exchange)
 	}
 	for g := range groupCount {
 		cfg.Peers = append(cfg.Peers, Peer{Name: fmt.Sprintf("counters%d", g), Kind: PeerClient, PointCode: uint32(5000 + g),
-			Circuits: cics, ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}})
+			Circuits: circuits, ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}})
 	}
 	r, err := New(cfg, 1)
 	if err != nil {
@@ -50,20 +51,20 @@
 	}
 	for _, p := range append(slices.Clone(clients), exchanges...) {
 		p.connect()
-		exchangeBytes(r, p)
+		transferBytes(r, p)
 	}
 	return r, now, clients, exchanges
 }
 
-// BenchmarkStanding is a whole call through a Router that holds others: its cost must not grow with them. It tells the
-// bytes that a standing call takes too.
+// BenchmarkEstablishedCalls measures a complete call through a Router with many established calls: its cost must not
+// grow with their number. It also reports the bytes that an established call takes.
 func BenchmarkEstablishedCalls(b *testing.B) {
 	for _, calls := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint(calls), func(b *testing.B) {
 			r, now, clients, exchanges := newLargeRouter(b)
 			before := heapInUse()
 			for i := range calls {
-				if i%16 == 0 { // at a pace that the exchanges follow: one after another they are not taken for silent
+				if i%16 == 0 { // let time pass between calls, so that the exchanges, which answer in turn, do not count as unresponsive
 					now += time.Millisecond
 					r.Advance(now)
 				}
@@ -72,7 +73,7 @@
 			}
 			held, open := r.Held()
 			if held != calls || open != 0 {
-				b.Fatalf("%d calls held, %d without an answer, %d wanted", held, open, calls)
+				b.Fatalf("%d calls in progress, %d without an answer, want %d", held, open, calls)
 			}
 			bytesPerCall := float64(heapInUse()-before) / float64(calls)
 			b.ReportAllocs()
@@ -86,6 +87,7 @@
 	}
 }
 
+// heapInUse returns the bytes of live heap objects.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -93,7 +95,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// oneCall sets a call up, and takes it down again where that is asked for.
+// setUpCall sets up a call, and with release releases it again.
 func setUpCall(b *testing.B, r *Router, now time.Duration, client, exchange *process, cic uint16, release bool) {
 	frame := func(p *process, m *isup.Message) []byte {
 		raw, err := m.Append(nil)
@@ -114,13 +116,13 @@
 		if !ok || w.Link != exchange.linkID {
 			continue
 		}
-		f := m3ua.Framer{}
-		f.Write(w.Bytes)
-		for raw, _ := f.Next(); raw != nil; raw, _ = f.Next() {
+		framer := m3ua.Framer{}
+		framer.Write(w.Bytes)
+		for raw, _ := framer.Next(); raw != nil; raw, _ = framer.Next() {
 			m, _ := m3ua.Decode(raw)
-			d, _ := m3ua.ReadProtocolData(m)
-			if i, err := isup.Decode(d.Data); err == nil && i.Type == isup.IAM {
-				outgoingCIC = i.CIC
+			payload, _ := m3ua.ReadProtocolData(m)
+			if message, err := isup.Decode(payload.Data); err == nil && message.Type == isup.IAM {
+				outgoingCIC = message.CIC
 			}
 		}
 	}
@@ -136,7 +138,7 @@
 	r.Effects()
 }
 
-// BenchmarkLease is a question, its lease and its end unused. It tells the bytes that a lease takes.
+// BenchmarkLease measures a query whose lease expires unused. It also reports the bytes that a lease takes.
 func BenchmarkLease(b *testing.B) {
 	cfg := testConfig(0, 2, 3900)
 	cfg.LogLevel = slog.LevelError
@@ -150,7 +152,7 @@
 	r.Start(now, nil)
 	exchange := newProcess(&testing.T{}, r, &now, "b", 0, 102, m3ua.RoleIPSPServer)
 	exchange.connect()
-	exchangeBytes(r, exchange)
+	transferBytes(r, exchange)
 	before := heapInUse()
 	const leases = 3000
 	for i := range leases {
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -12,26 +12,26 @@
 	"finchlatch/router"
 )
 
-// far is the other end of a link, as a test of your own would play it: an association, and what it does with messages.
-type far struct {
-	link  router.LinkID
-	own   uint32
-	assoc *m3ua.Assoc
-	take  func(f *far, m *isup.Message)
+// farEnd is the far end of a connection, simulated as in a test of your own: an association and a message handler.
+type farEnd struct {
+	link      router.LinkID
+	pointCode uint32
+	assoc     *m3ua.Assoc
+	onMessage func(f *farEnd, m *isup.Message)
 }
 
-func (f *far) send(m *isup.Message) {
+func (f *farEnd) send(m *isup.Message) {
 	b, err := m.Append(nil)
 	if err != nil {
 		panic(err)
 	}
-	_ = f.assoc.Send(m3ua.ProtocolData{OPC: f.own, DPC: 101, SI: m3ua.ServiceISUP, NI: 2, Data: b})
+	_ = f.assoc.Send(m3ua.ProtocolData{OPC: f.pointCode, DPC: 101, SI: m3ua.ServiceISUP, NI: 2, Data: b})
 }
 
-// carry passes bytes between a Router and the far ends until all is quiet, and shows decisions and answers.
-func carry(r *router.Router, now time.Duration, ends ...*far) {
-	for quiet := false; !quiet; {
-		quiet = true
+// transferBytes transports bytes between a Router and the far ends until none is left, and prints decisions and answers.
+func transferBytes(r *router.Router, now time.Duration, ends ...*farEnd) {
+	for done := false; !done; {
+		done = true
 		for _, e := range r.Effects() {
 			switch e := e.(type) {
 			case router.Write:
@@ -50,20 +50,20 @@
 			for _, i := range f.assoc.Indications() {
 				if i.Kind == m3ua.IndData {
 					if m, err := isup.Decode(i.Data.Data); err == nil {
-						f.take(f, m)
+						f.onMessage(f, m)
 					}
 				}
 			}
 			if b := f.assoc.Output(); len(b) > 0 {
-				quiet = false
+				done = false
 				r.Receive(now, f.link, b)
 			}
 		}
 	}
 }
 
-// reset answers a circuit group reset, as every far end must.
-func reset(f *far, m *isup.Message) {
+// acknowledgeReset answers a circuit group reset, as every far end must.
+func acknowledgeReset(f *farEnd, m *isup.Message) {
 	if m.Type == isup.GRS {
 		rng, _ := m.RangeStatus()
 		f.send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: rng.Range}))
@@ -87,7 +87,7 @@
 	}
 }
 
-// A test harness of your own: a Router between a counter and an exchange that you play, with time as you like it.
+// A test harness: a Router between counters and an exchange, both simulated by the test, in simulated time.
 func Example() {
 	r, err := router.New(exampleConfig(), 1)
 	if err != nil {
@@ -96,31 +96,31 @@
 	}
 	now := time.Hour
 	r.Start(now, nil)
-	end := func(peer string, own uint32, role m3ua.Role, take func(*far, *isup.Message)) *far {
+	connect := func(peer string, pointCode uint32, role m3ua.Role, onMessage func(*farEnd, *isup.Message)) *farEnd {
 		id, _ := r.Link(peer, 0)
-		f := &far{link: id, own: own, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role}), take: take}
+		f := &farEnd{link: id, pointCode: pointCode, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role}), onMessage: onMessage}
 		r.Connected(now, id)
 		f.assoc.Connected(now)
 		return f
 	}
-	porto := end("porto", 102, m3ua.RoleIPSPClient, func(f *far, m *isup.Message) {
-		reset(f, m)
+	porto := connect("porto", 102, m3ua.RoleIPSPClient, func(f *farEnd, m *isup.Message) {
+		acknowledgeReset(f, m)
 		if m.Type == isup.IAM {
 			f.send(isup.Simple(isup.ACM, m.CIC))
 			f.send(isup.Simple(isup.ANM, m.CIC))
 		}
 	})
-	counters := end("counters", 2001, m3ua.RoleASP, reset)
-	carry(r, now, porto, counters)
+	counters := connect("counters", 2001, m3ua.RoleASP, acknowledgeReset)
+	transferBytes(r, now, porto, counters)
 
-	for cic := uint16(1); cic <= 3; cic++ { // two circuits, three calls: the third one waits, and is refused
+	for cic := uint16(1); cic <= 3; cic++ { // three calls for two circuits: the third one waits, and is refused
 		iam, _ := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "55020042", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 		counters.send(iam)
 	}
-	carry(r, now, porto, counters)
+	transferBytes(r, now, porto, counters)
 	now += 3 * time.Second
 	r.Advance(now)
-	carry(r, now, porto, counters)
+	transferBytes(r, now, porto, counters)
 	// Output:
 	// call 1: send porto
 	// call 2: send porto
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -9,7 +9,7 @@
 	"finchlatch/m3ua"
 )
 
-// process is one process of a client, or an exchange, joined to a Router without delay.
+// process is a process of a client, or an exchange, connected to a Router without delay.
 type process struct {
 	t         *testing.T
 	router    *Router
@@ -18,19 +18,20 @@
 	pointCode uint32
 	received  []*isup.Message
 	now       *time.Duration
-	dead      bool
+	dead      bool // its bytes are lost in both directions
 }
 
-func newProcess(t *testing.T, r *Router, now *time.Duration, peer string, asp int, pointCode uint32, role m3ua.Role) *process {
-	id, ok := r.Link(peer, asp)
+// newProcess returns the far end of the connection of a peer's ASP.
+func newProcess(t *testing.T, r *Router, now *time.Duration, peer string, aspIndex int, pointCode uint32, role m3ua.Role) *process {
+	id, ok := r.Link(peer, aspIndex)
 	if !ok {
-		t.Fatalf("no link %s %d", peer, asp)
+		t.Fatalf("no link %s %d", peer, aspIndex)
 	}
 	return &process{t: t, router: r, linkID: id, pointCode: pointCode, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, Beat: -1})}
 }
 
-// pump carries bytes both ways between a Router and its processes until none is left.
-func exchangeBytes(r *Router, processes ...*process) {
+// transferBytes transports bytes between a Router and its processes in both directions until none is left.
+func transferBytes(r *Router, processes ...*process) {
 	for busy := true; busy; {
 		busy = false
 		for _, e := range r.Effects() {
@@ -89,7 +90,7 @@
 	return n
 }
 
-// clientOfTwo is a Router whose counters are two processes, with an exchange behind it.
+// newTwoProcessClient returns a Router with a client of two processes and one exchange.
 func newTwoProcessClient(t *testing.T, mode m3ua.Mode) (r *Router, now *time.Duration, first, second, exchange *process) {
 	cfg := testConfig(0, 2, 30)
 	client := slices.IndexFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
@@ -106,11 +107,12 @@
 	exchange = newProcess(t, r, now, "b", 0, 102, m3ua.RoleIPSPServer)
 	for _, p := range []*process{exchange, first, second} {
 		p.connect()
-		exchangeBytes(r, first, second, exchange)
+		transferBytes(r, first, second, exchange)
 	}
 	return r, now, first, second, exchange
 }
 
+// sendSetup sends the IAM of a call on a circuit.
 func sendSetup(t *testing.T, p *process, cic uint16) {
 	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 	if err != nil {
@@ -119,14 +121,14 @@
 	p.send(m)
 }
 
-// An ASP fails in a burst: calls that it offered are answered to the one that takes over, each once.
+// An ASP fails during a burst of calls: the calls that it offered are answered to the ASP that takes over, each once.
 func TestFailoverInABurst(t *testing.T) {
 	for _, mode := range []m3ua.Mode{m3ua.Override, m3ua.Loadshare} {
 		r, now, first, second, exchange := newTwoProcessClient(t, mode)
-		active, other := second, first // in override mode the later one has the traffic
+		active, standby := second, first // in override mode the ASP that connected last has the traffic
 		for cic := uint16(1); cic <= 20; cic++ {
 			sendSetup(t, active, cic)
-			exchangeBytes(r, first, second, exchange)
+			transferBytes(r, first, second, exchange)
 			*now += time.Millisecond
 			r.Advance(*now)
 		}
@@ -136,21 +138,21 @@
 		active.dead = true
 		r.Disconnected(*now, active.linkID, -1)
 		active.assoc.Lost()
-		exchangeBytes(r, first, second, exchange)
+		transferBytes(r, first, second, exchange)
 		if mode == m3ua.Override {
-			other.assoc.Connected(*now) // the standby activates
-			r.Connected(*now, other.linkID)
-			exchangeBytes(r, first, second, exchange)
+			standby.assoc.Connected(*now) // the standby activates
+			r.Connected(*now, standby.linkID)
+			transferBytes(r, first, second, exchange)
 		}
-		before := other.countReceived(isup.ANM) + other.countReceived(isup.CON)
+		before := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON)
 		for _, m := range exchange.received {
 			if m.Type == isup.IAM {
 				exchange.send(isup.Simple(isup.ACM, m.CIC))
 				exchange.send(isup.Simple(isup.ANM, m.CIC))
 			}
 		}
-		exchangeBytes(r, first, second, exchange)
-		if got := other.countReceived(isup.ANM) + other.countReceived(isup.CON) - before; got != 20 {
+		transferBytes(r, first, second, exchange)
+		if got := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON) - before; got != 20 {
 			t.Errorf("%v: %d answers after the failover", mode, got)
 		}
 		if calls, open := r.Held(); calls != 20 || open != 0 {
@@ -159,8 +161,8 @@
 	}
 }
 
-// Both processes active in override mode by mistake: the newer one has the traffic, the older one is told and its
-// DATA is not taken.
+// Both processes of a client become active in override mode by mistake: the newer one gets the traffic, the older one is
+// notified and its DATA messages are rejected.
 func TestBothActiveInOverrideMode(t *testing.T) {
 	r, _, first, second, exchange := newTwoProcessClient(t, m3ua.Override)
 	views := r.Associations()
@@ -173,10 +175,10 @@
 	if states[m3ua.Active] != 1 || states[m3ua.Inactive] != 1 {
 		t.Fatalf("associations %+v", views)
 	}
-	sendSetup(t, first, 1) // it still believes that it is active
+	sendSetup(t, first, 1) // it still considers itself active
 	sendSetup(t, second, 2)
-	exchangeBytes(r, first, second, exchange)
-	if n := exchange.countReceived(isup.IAM); n != 1 {
-		t.Errorf("%d set-ups reached the exchange, the one of the active process was due", n)
+	transferBytes(r, first, second, exchange)
+	if setups := exchange.countReceived(isup.IAM); setups != 1 {
+		t.Errorf("%d set-ups reached the exchange, want only the one of the active process", setups)
 	}
 }
--- a/router/fair_test.go
+++ b/router/fair_test.go
@@ -10,51 +10,55 @@
 	"finchlatch/m3ua"
 )
 
-// crowd is a Router with a few clients and one exchange with few circuits, in simulated time: calls of clients arrive at
-// random, are answered at once and hold for a while.
+// loadHarness runs a Router with several clients and one exchange with few circuits, in simulated time. Calls of the
+// clients arrive at random, are answered at once and last for a random hold time.
 type loadHarness struct {
 	router         *Router
 	now            time.Duration
 	rng            *rand.Rand
 	exchange       *process
 	clients        []*process
-	freeCircuits   [][]uint16
+	freeCircuits   [][]uint16 // of each client
 	releases       releaseQueue
-	callsByCircuit map[uint16]clientCall // by circuit toward the exchange, of calls that were offered
-	earned         []float64
-	offered        []float64
+	callsByCircuit map[uint16]clientCall // calls offered to the exchange, by circuit
+	established    []float64             // calls established, by client
+	offered        []float64             // calls offered, by client
 }
 
+// clientCall identifies a call by its client and its circuit there.
 type clientCall struct {
 	client int
 	cic    uint16
 }
 
+// scheduledRelease is the end of the hold time of a call.
 type scheduledRelease struct {
 	releaseAt time.Duration
 	clientCall
 }
 
+// releaseQueue is a heap of releases, the earliest first.
 type releaseQueue []scheduledRelease
 
-func (h releaseQueue) Len() int           { return len(h) }
-func (h releaseQueue) Less(i, j int) bool { return h[i].releaseAt < h[j].releaseAt }
-func (h releaseQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *releaseQueue) Push(x any)        { *h = append(*h, x.(scheduledRelease)) }
-func (h *releaseQueue) Pop() any {
-	x := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
-	return x
+func (q releaseQueue) Len() int           { return len(q) }
+func (q releaseQueue) Less(i, j int) bool { return q[i].releaseAt < q[j].releaseAt }
+func (q releaseQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *releaseQueue) Push(x any)        { *q = append(*q, x.(scheduledRelease)) }
+func (q *releaseQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
 }
 
-// newCrowd makes clients in front of a group of circuits. Together all clients are one for the shares where alone.
+// newLoadHarness returns a Router with clients and a trunk group with circuits toward one exchange. Without shares the
+// fair shares of clients are turned off.
 func newLoadHarness(t testing.TB, clients, circuits int, shares bool) *loadHarness {
 	cfg := testConfig(0, 2, circuits)
 	cfg.LogLevel = 12
 	var clientCircuits []uint16
-	for c := uint16(1); len(clientCircuits) < 400; c++ {
-		if c%32 != 0 {
-			clientCircuits = append(clientCircuits, c)
+	for cic := uint16(1); len(clientCircuits) < 400; cic++ {
+		if cic%32 != 0 { // time slot 0 of a 2,048 kbit/s system is no circuit
+			clientCircuits = append(clientCircuits, cic)
 		}
 	}
 	cfg.Peers = cfg.Peers[:1]
@@ -68,108 +72,112 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &loadHarness{router: r, now: time.Hour, rng: rand.New(rand.NewPCG(5, 5)), callsByCircuit: map[uint16]clientCall{},
-		earned: make([]float64, clients), offered: make([]float64, clients)}
-	r.Start(c.now, nil)
-	c.exchange = newProcess(&testing.T{}, r, &c.now, "b", 0, 102, m3ua.RoleIPSPServer)
-	all := []*process{c.exchange}
+	h := &loadHarness{router: r, now: time.Hour, rng: rand.New(rand.NewPCG(5, 5)), callsByCircuit: map[uint16]clientCall{},
+		established: make([]float64, clients), offered: make([]float64, clients)}
+	r.Start(h.now, nil)
+	h.exchange = newProcess(&testing.T{}, r, &h.now, "b", 0, 102, m3ua.RoleIPSPServer)
+	processes := []*process{h.exchange}
 	for i := range clients {
-		client := newProcess(&testing.T{}, r, &c.now, string(rune('A'+i)), 0, uint32(5000+i), m3ua.RoleASP)
-		c.clients, c.freeCircuits = append(c.clients, client), append(c.freeCircuits, append([]uint16(nil), clientCircuits...))
-		all = append(all, client)
+		client := newProcess(&testing.T{}, r, &h.now, string(rune('A'+i)), 0, uint32(5000+i), m3ua.RoleASP)
+		h.clients, h.freeCircuits = append(h.clients, client), append(h.freeCircuits, append([]uint16(nil), clientCircuits...))
+		processes = append(processes, client)
 	}
-	for _, client := range all {
+	for _, client := range processes {
 		client.connect()
-		exchangeBytes(r, client)
+		transferBytes(r, client)
 	}
-	return c
+	return h
 }
 
-// play offers calls at rates for a while; worth counts in the second half.
-func (c *loadHarness) offerCalls(rates []float64, length time.Duration) {
+// offerCalls offers calls at the given rates per client and second for a length of time. Only the second half counts in
+// the results.
+func (h *loadHarness) offerCalls(rates []float64, length time.Duration) {
 	total := 0.0
-	for _, x := range rates {
-		total += x
+	for _, rate := range rates {
+		total += rate
 	}
-	start := c.now
-	nextOffer := c.now
-	for c.now < start+length {
-		if len(c.releases) > 0 && c.releases[0].releaseAt < nextOffer {
-			e := heap.Pop(&c.releases).(scheduledRelease)
-			c.advance(e.releaseAt)
-			c.clients[e.client].send(isup.NewRelease(e.cic, isup.ReleaseInfo{Cause: 16}))
-			c.processMessages(start + length/2)
+	start := h.now
+	nextOffer := h.now
+	for h.now < start+length {
+		if len(h.releases) > 0 && h.releases[0].releaseAt < nextOffer {
+			release := heap.Pop(&h.releases).(scheduledRelease)
+			h.advance(release.releaseAt)
+			h.clients[release.client].send(isup.NewRelease(release.cic, isup.ReleaseInfo{Cause: 16}))
+			h.processMessages(start + length/2)
 			continue
 		}
-		c.advance(nextOffer)
-		nextOffer += time.Duration(c.rng.ExpFloat64() / total * float64(time.Second))
-		x, client := c.rng.Float64()*total, 0
-		for ; x > rates[client]; client++ {
-			x -= rates[client]
+		h.advance(nextOffer)
+		nextOffer += time.Duration(h.rng.ExpFloat64() / total * float64(time.Second))
+		rate, client := h.rng.Float64()*total, 0
+		for ; rate > rates[client]; client++ {
+			rate -= rates[client]
 		}
-		if len(c.freeCircuits[client]) == 0 {
+		if len(h.freeCircuits[client]) == 0 {
 			continue
 		}
-		cic := c.freeCircuits[client][0]
-		c.freeCircuits[client] = c.freeCircuits[client][1:]
-		if c.now > start+length/2 {
-			c.offered[client]++
+		cic := h.freeCircuits[client][0]
+		h.freeCircuits[client] = h.freeCircuits[client][1:]
+		if h.now > start+length/2 {
+			h.offered[client]++
 		}
-		sendSetup(&testing.T{}, c.clients[client], cic)
-		c.processMessages(start + length/2)
+		sendSetup(&testing.T{}, h.clients[client], cic)
+		h.processMessages(start + length/2)
 	}
 }
 
-func (c *loadHarness) advance(at time.Duration) {
-	c.now = max(c.now, at)
-	c.router.Advance(c.now)
+// advance moves the time forward, and the Router with it.
+func (h *loadHarness) advance(at time.Duration) {
+	h.now = max(h.now, at)
+	h.router.Advance(h.now)
 }
 
-// settle lets the far end answer and the clients take what they are told.
-func (c *loadHarness) processMessages(countFrom time.Duration) {
+// processMessages lets the exchange answer calls and the clients handle their messages until none is left. Calls
+// established after countFrom are counted.
+func (h *loadHarness) processMessages(countFrom time.Duration) {
 	for busy := true; busy; {
 		busy = false
-		exchangeBytes(c.router, append([]*process{c.exchange}, c.clients...)...)
-		for _, m := range c.exchange.received {
+		transferBytes(h.router, append([]*process{h.exchange}, h.clients...)...)
+		for _, m := range h.exchange.received {
 			switch busy = true; m.Type {
 			case isup.IAM:
-				c.exchange.send(isup.Simple(isup.ACM, m.CIC))
-				c.exchange.send(isup.Simple(isup.ANM, m.CIC))
+				h.exchange.send(isup.Simple(isup.ACM, m.CIC))
+				h.exchange.send(isup.Simple(isup.ANM, m.CIC))
 			case isup.REL:
-				c.exchange.send(isup.Simple(isup.RLC, m.CIC))
+				h.exchange.send(isup.Simple(isup.RLC, m.CIC))
 			}
 		}
-		c.exchange.received = nil
-		for i, p := range c.clients {
-			for _, m := range p.received {
+		h.exchange.received = nil
+		for i, client := range h.clients {
+			for _, m := range client.received {
 				switch busy = true; m.Type {
 				case isup.ANM, isup.CON:
-					if c.now > countFrom {
-						c.earned[i]++
+					if h.now > countFrom {
+						h.established[i]++
 					}
-					heap.Push(&c.releases, scheduledRelease{c.now + time.Duration(c.rng.ExpFloat64()*float64(3*time.Second)), clientCall{i, m.CIC}})
+					heap.Push(&h.releases, scheduledRelease{h.now + time.Duration(h.rng.ExpFloat64()*float64(3*time.Second)), clientCall{i, m.CIC}})
 				case isup.REL:
-					p.send(isup.Simple(isup.RLC, m.CIC))
-					c.freeCircuits[i] = append(c.freeCircuits[i], m.CIC)
+					client.send(isup.Simple(isup.RLC, m.CIC))
+					h.freeCircuits[i] = append(h.freeCircuits[i], m.CIC)
 				case isup.RLC:
-					c.freeCircuits[i] = append(c.freeCircuits[i], m.CIC)
+					h.freeCircuits[i] = append(h.freeCircuits[i], m.CIC)
 				}
 			}
-			p.received = nil
+			client.received = nil
 		}
 	}
 }
 
-// parts are the shares of their calls that stood: of the first client, which floods, and of the others.
-func (c *loadHarness) successRates() (flood, others float64) {
-	earned, offered := 0.0, 0.0
-	for i := 1; i < len(c.clients); i++ {
-		earned, offered = earned+c.earned[i], offered+c.offered[i]
+// successRates returns the share of the offered calls that were established: of the first client, which floods the
+// Router, and of all others together.
+func (h *loadHarness) successRates() (flood, others float64) {
+	established, offered := 0.0, 0.0
+	for i := 1; i < len(h.clients); i++ {
+		established, offered = established+h.established[i], offered+h.offered[i]
 	}
-	return c.earned[0] / c.offered[0], earned / offered
+	return h.established[0] / h.offered[0], established / offered
 }
 
-// TestFairSharesInTheRouter: one client at ten times the part of each of the others, through the whole Router.
+// One client offers ten times as many calls as each of the others: fair shares must protect the others.
 func TestFairSharesInTheRouter(t *testing.T) {
 	rates := []float64{50, 5, 5, 5, 5} // 210 erlangs on 90 circuits
 	withShares, withoutShares := newLoadHarness(t, 5, 90, true), newLoadHarness(t, 5, 90, false)
@@ -178,19 +186,20 @@
 	_, othersWithShares := withShares.successRates()
 	_, othersWithoutShares := withoutShares.successRates()
 	if othersWithShares < 0.8 || othersWithShares < 1.8*othersWithoutShares {
-		t.Errorf("of the others' calls %.2f stood with shares, %.2f without", othersWithShares, othersWithoutShares)
+		t.Errorf("success rate of the other clients: %.2f with shares, %.2f without", othersWithShares, othersWithoutShares)
 	}
 }
 
-// BenchmarkFairness tells what part of the calls of four clients stands while a fifth offers ten times as much.
+// BenchmarkFairness reports the share of the calls of four clients that are established while a fifth client offers ten
+// times as many as each of them.
 func BenchmarkFairness(b *testing.B) {
 	for name, shares := range map[string]bool{"shares": true, "none": false} {
 		b.Run(name, func(b *testing.B) {
 			var flood, others float64
 			for b.Loop() {
-				c := newLoadHarness(b, 5, 90, shares)
-				c.offerCalls([]float64{50, 5, 5, 5, 5}, 2*time.Minute)
-				flood, others = c.successRates()
+				h := newLoadHarness(b, 5, 90, shares)
+				h.offerCalls([]float64{50, 5, 5, 5, 5}, 2*time.Minute)
+				flood, others = h.successRates()
 			}
 			b.ReportMetric(others, "others-stood")
 			b.ReportMetric(flood, "flood-stood")
--- a/router/late_answer_test.go
+++ b/router/late_answer_test.go
@@ -9,12 +9,12 @@
 	"finchlatch/logic"
 )
 
-// breakLink breaks the association between two exchanges for a while; bytes on the way are lost.
+// breakLink breaks the association between two exchanges for a duration. Bytes in flight are lost.
 func (n *testNetwork) breakLink(a, b string, duration time.Duration) {
-	disconnect := func(at, to string) {
-		id, _ := n.routers[at].Link(to, 0)
-		n.routers[at].Disconnected(n.now, id, -1)
-		n.deliver(at)
+	disconnect := func(name, peer string) {
+		id, _ := n.routers[name].Link(peer, 0)
+		n.routers[name].Disconnected(n.now, id, -1)
+		n.deliver(name)
 	}
 	n.disconnected[linkKey(a, b)] = true
 	disconnect(a, b)
@@ -30,8 +30,9 @@
 	})
 }
 
-// An attempt is reset by a lost association and tried again 200 ms later. The exchange answers the first one all the
-// same: before, during and after the next set-up. The caller hears one answer; every circuit is free in the end.
+// An attempt is reset by a lost association, and the next one follows 200 ms later. The exchange answers the first one
+// nevertheless: before, during or after the next set-up. The caller must receive one final answer, and every circuit must
+// be free in the end.
 func TestLateAnswerAroundTheNextAttempt(t *testing.T) {
 	for name, answerDelay := range map[string]time.Duration{"before": 120 * time.Millisecond, "during": 203 * time.Millisecond,
 		"after": 260 * time.Millisecond, "long after": 900 * time.Millisecond} {
@@ -40,7 +41,7 @@
 		lines.onMessage = func(m *isup.Message) {
 			switch m.Type {
 			case isup.IAM:
-				wait := answerDelay // of the first; the next is answered soon
+				wait := answerDelay // for the first attempt; later ones are answered sooner
 				if calls++; calls > 1 {
 					wait = 50 * time.Millisecond
 				}
@@ -62,7 +63,7 @@
 			}
 		}
 		if answers != 1 {
-			t.Errorf("%s: caller heard %v", name, got)
+			t.Errorf("%s: caller received %v", name, got)
 		}
 		outstanding := slices.ContainsFunc(n.setups[1:], func(s sentSetup) bool { return s.at < start+200*time.Millisecond })
 		if len(n.setups) < 2 || outstanding {
@@ -76,7 +77,8 @@
 	}
 }
 
-// The list says draining while attempts are out: they may be answered; nothing new goes out after a reset.
+// Service discovery reports an exchange as draining while an attempt toward it is outstanding. After a reset of that
+// attempt, no new one may go to this exchange.
 func TestResetTowardADrainingExchange(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	n.endpoints["b/lines"].onMessage = nil
@@ -84,10 +86,10 @@
 	n.runUntil(n.now + 20*time.Millisecond)
 	n.routers["a"].List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
 	n.deliver("a")
-	sent := len(n.setups)
+	setupsBefore := len(n.setups)
 	n.breakLink("a", "b", 40*time.Millisecond)
 	n.runUntil(n.now + 4*time.Second)
-	if len(n.setups) != sent || n.releaseCause("a", 1) == 0 {
-		t.Errorf("%d set-ups after the drain was told; caller heard %v", len(n.setups)-sent, n.receivedTypes("a", 1))
+	if len(n.setups) != setupsBefore || n.releaseCause("a", 1) == 0 {
+		t.Errorf("%d set-ups after the drain was reported; caller received %v", len(n.setups)-setupsBefore, n.receivedTypes("a", 1))
 	}
 }
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -9,7 +9,7 @@
 	"finchlatch/logic"
 )
 
-// askNet is a fleet whose first exchange takes questions of "dns", for calls of its counters.
+// newENUMNetwork returns a network whose exchanges accept queries of the ENUM client "dns", for calls of their counters.
 func newENUMNetwork(t *testing.T, count, circuits int) *testNetwork {
 	n := &testNetwork{t: t, routers: map[string]*Router{}, endpoints: map[string]*endpoint{}, effects: map[string][]Effect{},
 		linkDelay: 5 * time.Millisecond, disconnected: map[string]bool{}, now: time.Hour}
@@ -27,12 +27,13 @@
 	return n
 }
 
+// query sends a query of the ENUM client to an exchange.
 func (n *testNetwork) query(exchange string, queryID uint64, number string) {
 	n.routers[exchange].Apply(Input{At: n.now, Kind: InAsk, Ask: queryID, Asker: "dns", Number: number})
 	n.deliver(exchange)
 }
 
-// replies lists the answers to questions.
+// replies lists the replies of an exchange to queries.
 func (n *testNetwork) replies(exchange string) (out []Reply) {
 	for _, e := range n.effects[exchange] {
 		if r, ok := e.(Reply); ok {
@@ -56,7 +57,7 @@
 	n.offerCall("a", 1, got[0].Routing, 1)
 	n.runUntil(n.now + time.Second)
 	if received := n.receivedTypes("a", 1); !slices.Equal(received, []isup.Type{isup.ACM, isup.ANM}) {
-		t.Errorf("heard %v; %v", received, n.decisions("a"))
+		t.Errorf("received %v; %v", received, n.decisions("a"))
 	}
 	if calls := n.routers["b"].Calls(n.now, 1); len(calls) != 1 || calls[0].Called != "5521" {
 		t.Errorf("at b %+v", calls)
@@ -88,27 +89,28 @@
 	n.offerCall("a", 1, routing, 1) // too late
 	n.runUntil(n.now + 100*time.Millisecond)
 	if c := n.releaseCause("a", 1); c != isup.CauseRejected {
-		t.Errorf("a lease that ran out: cause %d", c)
+		t.Errorf("set-up after the lease expired: cause %d", c)
 	}
-	n.query("a", 2, "5521") // a new question is a new call
+	n.query("a", 2, "5521") // a new query is a new call
 	if got := n.replies("a"); len(got) != 2 || got[1].Routing == routing {
 		t.Errorf("replies %+v", got)
 	}
 }
 
-// A take-over at the very instant of expiry: one of the two, and the books agree.
+// A set-up arrives at the very instant of lease expiry: the lease is either used or expired, and circuit accounting is
+// consistent.
 func TestTakeOverAtTheInstantOfExpiry(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Microsecond, 0, time.Microsecond} {
 		n := newENUMNetwork(t, 2, 4)
 		n.query("a", 1, "5521")
-		at := n.replies("a")[0].Until + offset - time.Millisecond // a millisecond on the way
+		at := n.replies("a")[0].Until + offset - time.Millisecond // the IAM takes a millisecond to arrive
 		n.runUntil(at)
 		n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
 		n.runUntil(n.now + time.Second)
 		received := n.receivedTypes("a", 1)
 		answered, refused := slices.Equal(received, []isup.Type{isup.ACM, isup.ANM}), slices.Equal(received, []isup.Type{isup.REL})
 		if !answered && !refused || offset < 0 && !answered || offset > 0 && !refused {
-			t.Errorf("%v after expiry: heard %v", offset, received)
+			t.Errorf("%v after expiry: received %v", offset, received)
 		}
 		n.endpoints["a/counters"].send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
 		n.runUntil(n.now + time.Second)
@@ -123,29 +125,29 @@
 	n.query("a", 1, "5521")
 	routing := n.replies("a")[0].Routing
 	n.offerCall("a", 1, "9900000001", 1)
-	n.offerCall("b", 1, routing, 1) // of another call server
-	n.offerCall("a", 2, routing, 2) // of another width
+	n.offerCall("b", 1, routing, 1) // leased by another call server
+	n.offerCall("a", 2, routing, 2) // another width than leased
 	n.runUntil(n.now + 100*time.Millisecond)
-	for at, cic := range map[string]uint16{"a": 1, "b": 1} {
-		if c := n.releaseCause(at, cic); c != isup.CauseRejected {
-			t.Errorf("%s: cause %d", at, c)
+	for name, cic := range map[string]uint16{"a": 1, "b": 1} {
+		if c := n.releaseCause(name, cic); c != isup.CauseRejected {
+			t.Errorf("%s: cause %d", name, c)
 		}
 	}
 	if c := n.releaseCause("a", 2); c != isup.CauseRejected {
 		t.Errorf("other width: cause %d", c)
 	}
-	n.offerCall("a", 4, routing, 1) // the right one still has it, once
+	n.offerCall("a", 4, routing, 1) // the matching set-up can still use the lease, once
 	n.offerCall("a", 5, routing, 1)
 	n.runUntil(n.now + 500*time.Millisecond)
 	if got := n.receivedTypes("a", 4); !slices.Contains(got, isup.ANM) {
-		t.Errorf("the lease's own set-up heard %v", got)
+		t.Errorf("matching set-up: received %v", got)
 	}
 	if c := n.releaseCause("a", 5); c != isup.CauseRejected {
-		t.Errorf("a second take-over: cause %d", c)
+		t.Errorf("second use of a lease: cause %d", c)
 	}
 }
 
-// An exchange drains between the answer and the set-up: nothing goes there, the call goes on another way.
+// An exchange starts to drain between the reply and the set-up: no IAM goes there, the call takes another route.
 func TestDrainBetweenAnswerAndSetUp(t *testing.T) {
 	n := newENUMNetwork(t, 3, 4)
 	n.query("a", 1, "5521")
@@ -166,7 +168,7 @@
 	}
 }
 
-// Two askers after the last circuit: one gets it, the other an answer that it does not.
+// Two queries compete for the last circuit: one is granted a lease, the other one is not.
 func TestLastCircuit(t *testing.T) {
 	n := newENUMNetwork(t, 2, 1)
 	n.query("a", 1, "5521")
@@ -180,23 +182,23 @@
 	}
 }
 
-// The far end seizes a circuit that is only reserved here: it goes first.
+// The far end seizes a circuit that is only reserved here: the far end wins.
 func TestFarEndGoesFirstOnAReservation(t *testing.T) {
 	n := newENUMNetwork(t, 2, 2)
-	n.query("a", 1, "5521")        // circuit 1
-	n.offerCall("b", 4, "5513", 2) // both circuits: it crosses the reservation
+	n.query("a", 1, "5521")        // reserves circuit 1
+	n.offerCall("b", 4, "5513", 2) // seizes both circuits, one of them reserved at a
 	n.runUntil(n.now + 50*time.Millisecond)
 	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
 	n.runUntil(n.now + 4*time.Second)
 	if got := n.receivedTypes("b", 4); !slices.Contains(got, isup.ANM) {
-		t.Errorf("b heard %v", got)
+		t.Errorf("b received %v", got)
 	}
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
-		t.Errorf("the lease's set-up heard %v", got)
+		t.Errorf("set-up of the lease: received %v", got)
 	}
 }
 
-func TestAskerIsBounded(t *testing.T) {
+func TestENUMClientLeasesAreLimited(t *testing.T) {
 	n := newENUMNetwork(t, 2, 8)
 	for i := range 5 {
 		n.query("a", uint64(i), "5521")
@@ -210,9 +212,9 @@
 	if got := n.replies("a"); granted != 3 || len(got) != 5 || got[4].Verdict != Refused {
 		t.Errorf("%d granted of %+v", granted, got)
 	}
-	n.query("a", 10, "5529") // the bound holds
-	n.query("a", 11, "7700") // nobody's
-	n.query("a", 12, "5511") // the own exchange's: no route is needed
+	n.query("a", 10, "5529") // still over the limit
+	n.query("a", 11, "7700") // unallocated
+	n.query("a", 12, "5511") // of the own exchange: no route needed
 	n.routers["a"].Apply(Input{At: n.now, Kind: InAsk, Ask: 13, Asker: "stranger", Number: "5521"})
 	n.deliver("a")
 	got := n.replies("a")
@@ -221,7 +223,8 @@
 	}
 }
 
-// The association goes between answer and set-up: the attempt never ran, and the caller has an answer in time.
+// The association is lost between the reply and the set-up: the attempt never ran, and the caller gets a final answer in
+// time.
 func TestAssociationLostUnderALease(t *testing.T) {
 	n := newENUMNetwork(t, 2, 4)
 	n.query("a", 1, "5521")
@@ -230,12 +233,12 @@
 	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
 	n.runUntil(start + 3*time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
-		t.Errorf("heard %v", got)
+		t.Errorf("received %v", got)
 	}
 }
 
-// The same calls by either front get the same decisions: asked for and set up, or set up at once.
-func TestSameDecisionsByEitherFront(t *testing.T) {
+// The same calls get the same decisions whether they are queried first or set up directly.
+func TestSameDecisionsWithAndWithoutQuery(t *testing.T) {
 	decisions := func(queryFirst bool) (out []string) {
 		n := newENUMNetwork(t, 3, 3)
 		for i := range 12 {
@@ -260,6 +263,6 @@
 		return out
 	}
 	if setUpDirectly, afterQuery := decisions(false), decisions(true); len(setUpDirectly) < 5 || !slices.Contains(setUpDirectly, "c") || !slices.Equal(setUpDirectly, afterQuery) {
-		t.Errorf("set up at once: %v\nasked first: %v", setUpDirectly, afterQuery)
+		t.Errorf("set up directly: %v\nqueried first: %v", setUpDirectly, afterQuery)
 	}
 }
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -14,7 +14,7 @@
 	"finchlatch/trunk"
 )
 
-// net is a few Routers with scripted counters and lines, joined without sockets, in time of its own.
+// testNetwork connects several Routers with scripted counters and lines, without sockets and in simulated time.
 type testNetwork struct {
 	t            *testing.T
 	now          time.Duration
@@ -23,29 +23,33 @@
 	endpoints    map[string]*endpoint // scripted, by "router/peer"
 	effects      map[string][]Effect
 	linkDelay    time.Duration
-	disconnected map[string]bool // links "a|b" that carry nothing
+	disconnected map[string]bool // links, by linkKey, whose bytes are lost
 	setups       []sentSetup     // IAMs that Routers sent to other exchanges
 }
 
+// scheduledAction is an action that runs at a point in simulated time.
 type scheduledAction struct {
 	at     time.Duration
 	action func()
 }
 
+// sentSetup is an IAM from one exchange to another.
 type sentSetup struct {
 	at       time.Duration
 	from, to string
 }
 
-// end is a scripted endpoint.
+// endpoint is a scripted peer of a Router.
 type endpoint struct {
-	assoc                      *m3ua.Assoc
-	pointCode, routerPointCode uint32
-	received                   []*isup.Message
-	onMessage                  func(m *isup.Message)
-	send                       func(m *isup.Message)
+	assoc           *m3ua.Assoc
+	pointCode       uint32 // of the endpoint
+	routerPointCode uint32 // of the Router that it is connected to
+	received        []*isup.Message
+	onMessage       func(m *isup.Message) // called for each message except group and circuit resets
+	send            func(m *isup.Message)
 }
 
+// after schedules an action.
 func (n *testNetwork) after(delay time.Duration, action func()) {
 	due := n.now + delay
 	i := len(n.schedule)
@@ -55,7 +59,7 @@
 	n.schedule = slices.Insert(n.schedule, i, scheduledAction{due, action})
 }
 
-// run plays until a time.
+// runUntil runs scheduled actions and timers up to a point in time.
 func (n *testNetwork) runUntil(until time.Duration) {
 	for {
 		nextDue, nextRouter := until+1, ""
@@ -65,10 +69,10 @@
 			}
 		}
 		if len(n.schedule) > 0 && n.schedule[0].at <= nextDue && n.schedule[0].at <= until {
-			e := n.schedule[0]
+			next := n.schedule[0]
 			n.schedule = n.schedule[1:]
-			n.now = e.at
-			e.action()
+			n.now = next.at
+			next.action()
 			continue
 		}
 		if nextRouter == "" {
@@ -81,17 +85,18 @@
 	}
 }
 
-func (n *testNetwork) exchangeNames() (out []string) {
+func (n *testNetwork) exchangeNames() (names []string) {
 	for name := range n.routers {
-		out = append(out, name)
+		names = append(names, name)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
+// linkKey returns the key of a link in disconnected, whatever the order of its ends.
 func linkKey(a, b string) string { return min(a, b) + "|" + max(a, b) }
 
-// carry passes on what a Router wants written.
+// deliver records the effects of a Router and transports its written bytes to the other ends.
 func (n *testNetwork) deliver(name string) {
 	r := n.routers[name]
 	for _, e := range r.Effects() {
@@ -115,24 +120,25 @@
 	}
 }
 
+// recordSetups records the IAMs among written bytes.
 func (n *testNetwork) recordSetups(from, to string, data []byte) {
-	f := m3ua.Framer{}
-	f.Write(data)
-	for raw, _ := f.Next(); raw != nil; raw, _ = f.Next() {
+	framer := m3ua.Framer{}
+	framer.Write(data)
+	for raw, _ := framer.Next(); raw != nil; raw, _ = framer.Next() {
 		m, _ := m3ua.Decode(raw)
 		if m.Kind == m3ua.DATA {
 			p, _ := m3ua.ReadProtocolData(m)
-			if i, err := isup.Decode(p.Data); err == nil && i.Type == isup.IAM {
+			if message, err := isup.Decode(p.Data); err == nil && message.Type == isup.IAM {
 				n.setups = append(n.setups, sentSetup{n.now, from, to})
 			}
 		}
 	}
 }
 
-// settle passes on what a scripted end has to say.
+// processEndpoint handles the received messages of an endpoint and transports its output to its Router.
 func (n *testNetwork) processEndpoint(router, peer string) {
 	end := n.endpoints[router+"/"+peer]
-	for _, indication := range slices.Clone(end.assoc.Indications()) { // sending settles too
+	for _, indication := range slices.Clone(end.assoc.Indications()) { // send calls processEndpoint too
 		if indication.Kind != m3ua.IndData {
 			continue
 		}
@@ -156,12 +162,13 @@
 	}
 }
 
-// testConfig is one of count exchanges "a", "b", ... with circuits in each group.
+// testConfig returns the Config of one of count exchanges "a", "b", ..., with the given number of circuits in each trunk
+// group between exchanges.
 func testConfig(index, count, circuits int) Config {
 	var trunkCircuits []uint16
-	for c := uint16(1); len(trunkCircuits) < circuits; c++ {
-		if c%32 != 0 {
-			trunkCircuits = append(trunkCircuits, c)
+	for cic := uint16(1); len(trunkCircuits) < circuits; cic++ {
+		if cic%32 != 0 { // time slot 0 of a 2,048 kbit/s system is no circuit
+			trunkCircuits = append(trunkCircuits, cic)
 		}
 	}
 	clientCircuits := make([]uint16, 31)
@@ -195,7 +202,7 @@
 
 func exchangeName(i int) string { return string(rune('a' + i)) }
 
-// newNet makes and starts a fleet; lines answer every call after 20 ms.
+// newTestNetwork creates and starts a network of count exchanges. Their lines answer every call after 20 ms.
 func newTestNetwork(t *testing.T, count, circuits int) *testNetwork {
 	n := &testNetwork{t: t, routers: map[string]*Router{}, endpoints: map[string]*endpoint{}, effects: map[string][]Effect{},
 		linkDelay: 5 * time.Millisecond, disconnected: map[string]bool{}, now: time.Hour}
@@ -210,6 +217,7 @@
 	return n
 }
 
+// addRouter creates and starts a Router, or replaces the one of the same name as after a restart.
 func (n *testNetwork) addRouter(config Config) {
 	r, err := New(config, 7)
 	if err != nil {
@@ -220,7 +228,7 @@
 	n.deliver(config.Name)
 }
 
-// connect brings up the links of a Router.
+// connect establishes all connections of a Router.
 func (n *testNetwork) connect(name string) {
 	r := n.routers[name]
 	for _, p := range r.cfg.Peers {
@@ -233,17 +241,18 @@
 	}
 }
 
-func (n *testNetwork) addEndpoint(name string, p Peer) {
-	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, Beat: -1}), pointCode: p.PointCode, routerPointCode: n.routers[name].ownExchange.PointCode}
+// addEndpoint creates the scripted endpoint for a peer of an exchange, and connects it.
+func (n *testNetwork) addEndpoint(exchange string, peer Peer) {
+	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, Beat: -1}), pointCode: peer.PointCode, routerPointCode: n.routers[exchange].ownExchange.PointCode}
 	end.send = func(m *isup.Message) {
 		b, err := m.Append(nil)
 		if err != nil {
 			n.t.Fatal(err)
 		}
 		_ = end.assoc.Send(m3ua.ProtocolData{OPC: end.pointCode, DPC: end.routerPointCode, SI: 5, NI: 2, Data: b})
-		n.processEndpoint(name, p.Name)
+		n.processEndpoint(exchange, peer.Name)
 	}
-	if p.Kind == PeerSubscribers {
+	if peer.Kind == PeerSubscribers {
 		end.onMessage = func(m *isup.Message) {
 			switch m.Type {
 			case isup.IAM:
@@ -260,44 +269,46 @@
 			}
 		}
 	}
-	n.endpoints[name+"/"+p.Name] = end
+	n.endpoints[exchange+"/"+peer.Name] = end
 	end.assoc.Connected(n.now)
-	n.processEndpoint(name, p.Name)
+	n.processEndpoint(exchange, peer.Name)
 }
 
-// call offers a call at an exchange, on a circuit of its counters.
+// offerCall offers a call to an exchange, on a circuit of its counters.
 func (n *testNetwork) offerCall(exchange string, cic uint16, number string, width int) {
-	set := isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: byte(9 + width), Width: width, Hops: -1}
+	setup := isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: byte(9 + width), Width: width, Hops: -1}
 	if width == 2 {
-		set.Map = 3 << (cic - 1)
+		setup.Map = 3 << (cic - 1)
 	}
-	m, err := isup.NewSetup(cic, set)
+	m, err := isup.NewSetup(cic, setup)
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	n.endpoints[exchange+"/counters"].send(m)
 }
 
-// heard lists what the counters of an exchange were told on a circuit, without group messages.
-func (n *testNetwork) receivedTypes(exchange string, cic uint16) (out []isup.Type) {
+// receivedTypes lists the types of the messages that the counters of an exchange received on a circuit, except group
+// resets.
+func (n *testNetwork) receivedTypes(exchange string, cic uint16) (types []isup.Type) {
 	for _, m := range n.endpoints[exchange+"/counters"].received {
 		if m.CIC == cic && m.Type != isup.GRS {
-			out = append(out, m.Type)
+			types = append(types, m.Type)
 		}
 	}
-	return out
+	return types
 }
 
-func (n *testNetwork) releaseCause(exchange string, cic uint16) (c isup.Cause) {
+// releaseCause returns the cause of the last REL that the counters of an exchange received on a circuit; 0: none came.
+func (n *testNetwork) releaseCause(exchange string, cic uint16) (cause isup.Cause) {
 	for _, m := range n.endpoints[exchange+"/counters"].received {
 		if m.CIC == cic && m.Type == isup.REL {
-			c = m.Release().Cause
+			cause = m.Release().Cause
 		}
 	}
-	return c
+	return cause
 }
 
-// idle tells whether all circuits everywhere are free and no call is held.
+// checkIdle returns an error unless all circuits are free and no Router has a call in progress.
 func (n *testNetwork) checkIdle() error {
 	for _, name := range n.exchangeNames() {
 		r := n.routers[name]
@@ -313,7 +324,8 @@
 	return nil
 }
 
-// decisions are what the Controller of a Router decided, and the answers given.
+// decisions lists the decisions of the Controller of an exchange and the final answers. It reports logged errors as
+// test failures.
 func (n *testNetwork) decisions(exchange string) (out []string) {
 	for _, e := range n.effects[exchange] {
 		switch e := e.(type) {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -12,7 +12,7 @@
 	"finchlatch/logic"
 )
 
-func TestCallThereAndBack(t *testing.T) {
+func TestCallSetUpAndRelease(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	n.offerCall("a", 1, "5521", 1)
 	n.offerCall("a", 4, "5522", 2)
@@ -81,7 +81,8 @@
 	}
 }
 
-// A silent far end: the caller gets one answer before the patience is over, and what the attempt held is released.
+// The far end does not respond: the caller gets one final answer before its patience is over, and the circuits of the
+// attempt are released.
 func TestNoAnswerInTime(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	n.endpoints["b/lines"].onMessage = nil
@@ -89,7 +90,7 @@
 	n.offerCall("a", 1, "5521", 1)
 	n.runUntil(start + 2900*time.Millisecond)
 	if got := n.receivedTypes("a", 1); len(got) != 0 {
-		t.Fatalf("told %v early", got)
+		t.Fatalf("received %v early", got)
 	}
 	n.runUntil(start + 3*time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// The answer and the time-out cross on the wire: the caller gets the time-out only, and the late answer dies.
+// The answer and the time-out cross on the wire: the caller gets only the time-out, and the late answer is discarded.
 func TestAnswerCrossesTimeOut(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	lines := n.endpoints["b/lines"]
@@ -122,7 +123,7 @@
 	n.offerCall("a", 1, "5521", 1)
 	n.runUntil(n.now + 6*time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
-		t.Errorf("caller heard %v", got)
+		t.Errorf("caller received %v", got)
 	}
 	if err := n.checkIdle(); err != nil {
 		t.Error(err)
@@ -134,22 +135,22 @@
 	n.offerCall("a", 1, "5521", 1)
 	n.offerCall("b", 1, "5511", 1)
 	n.runUntil(n.now + time.Second)
-	n.offerCall("a", 2, "5522", 1) // the last circuit, from both ends at once
+	n.offerCall("a", 2, "5522", 1) // both ends seize the last circuit at once
 	n.offerCall("b", 2, "5512", 1)
 	n.runUntil(n.now + 4*time.Second)
-	a, b := n.receivedTypes("a", 2), n.receivedTypes("b", 2)
+	receivedAtA, receivedAtB := n.receivedTypes("a", 2), n.receivedTypes("b", 2)
 	answered := []isup.Type{isup.ACM, isup.ANM}
-	if slices.Equal(a, answered) == slices.Equal(b, answered) || !slices.Equal(a, answered) && !slices.Equal(a, []isup.Type{isup.REL}) {
-		t.Errorf("one should stand: %v and %v", a, b)
+	if slices.Equal(receivedAtA, answered) == slices.Equal(receivedAtB, answered) || !slices.Equal(receivedAtA, answered) && !slices.Equal(receivedAtA, []isup.Type{isup.REL}) {
+		t.Errorf("want exactly one call established: %v and %v", receivedAtA, receivedAtB)
 	}
-	larger := newTestNetwork(t, 2, 4) // with one more the loser is repeated on it
+	larger := newTestNetwork(t, 2, 4) // with one more circuit, the set-up that lost is repeated on it
 	larger.offerCall("a", 1, "5521", 2)
 	larger.runUntil(larger.now + time.Second)
 	larger.offerCall("a", 3, "5522", 1)
 	larger.offerCall("b", 3, "5512", 2)
 	larger.runUntil(larger.now + 4*time.Second)
-	if a, b := larger.receivedTypes("a", 3), larger.receivedTypes("b", 3); len(a) == 0 || !slices.Equal(b, answered) {
-		t.Errorf("the wide call should stand: %v and %v", a, b)
+	if receivedAtA, receivedAtB := larger.receivedTypes("a", 3), larger.receivedTypes("b", 3); len(receivedAtA) == 0 || !slices.Equal(receivedAtB, answered) {
+		t.Errorf("want the wide call established: %v and %v", receivedAtA, receivedAtB)
 	}
 }
 
@@ -173,12 +174,12 @@
 	}
 	for _, s := range sends {
 		if s < 200*time.Millisecond {
-			t.Errorf("sent again %v after the reset", s)
+			t.Errorf("next set-up %v after the reset", s)
 		}
 	}
 	n.runUntil(lostAt + 4*time.Second)
 	if got := n.receivedTypes("a", 1); len(got) == 0 || got[len(got)-1] != isup.REL {
-		t.Errorf("caller heard %v", got)
+		t.Errorf("caller received %v", got)
 	}
 }
 
@@ -190,7 +191,7 @@
 	n.disconnected[linkKey("a", "b")] = true
 	n.offerCall("a", 1, "5521", 1)
 	n.runUntil(n.now + 10*time.Millisecond)
-	a.Disconnected(n.now, id, written) // the IAM was queued and never written whole
+	a.Disconnected(n.now, id, written) // the IAM was queued and never written completely
 	n.deliver("a")
 	found := false
 	for _, e := range n.effects["a"] {
@@ -201,14 +202,14 @@
 		}
 	}
 	if g := a.Groups()[id]; !found || g.Spare != 2 {
-		t.Errorf("NoConnect told: %v; group %+v", found, g)
+		t.Errorf("NoConnect reported: %v; group %+v", found, g)
 	}
 }
 
-func TestListSaysDraining(t *testing.T) {
+func TestDiscoveryReportsDraining(t *testing.T) {
 	n := newTestNetwork(t, 3, 4)
 	n.endpoints["b/lines"].onMessage = nil
-	n.offerCall("a", 1, "5521", 1) // out while the list changes
+	n.offerCall("a", 1, "5521", 1) // outstanding when the drain is reported
 	n.runUntil(n.now + 50*time.Millisecond)
 	drainedAt := n.now
 	n.routers["a"].List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
@@ -219,7 +220,7 @@
 	n.runUntil(drainedAt + 4*time.Second)
 	for _, s := range n.setups {
 		if s.from == "a" && s.to == "b" && s.at > drainedAt {
-			t.Errorf("set-up toward b %v after it drains", s.at-drainedAt)
+			t.Errorf("set-up toward b %v after the start of its drain", s.at-drainedAt)
 		}
 	}
 	for i := range 6 {
@@ -229,7 +230,7 @@
 	}
 }
 
-func TestNeighbourTellsThatItDrains(t *testing.T) {
+func TestExchangeAnnouncesDrain(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	n.routers["b"].Drain(n.now)
 	n.deliver("b")
@@ -250,8 +251,8 @@
 	}
 }
 
-// An exchange restarts under a standing call: its reset cuts the call at the other end.
-func TestRestartUnderAStandingCall(t *testing.T) {
+// An exchange restarts during an established call: its group reset drops the call at the other end.
+func TestRestartDuringEstablishedCall(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	n.offerCall("a", 1, "5521", 1)
 	n.runUntil(n.now + time.Second)
@@ -264,7 +265,7 @@
 	n.deliver("a")
 	n.runUntil(n.now + 2*time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM, isup.REL}) {
-		t.Errorf("caller heard %v", got)
+		t.Errorf("caller received %v", got)
 	}
 	if err := n.checkIdle(); err != nil {
 		t.Error(err)
@@ -276,24 +277,24 @@
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
 	n.offerCall("a", 1, "5521", 1)
-	n.runUntil(n.now + 8*time.Millisecond) // the call is out
-	s := n.endpoints["a/counters"]
+	n.runUntil(n.now + 8*time.Millisecond) // the attempt is outstanding
+	client := n.endpoints["a/counters"]
 	n.disconnected[linkKey("a", "counters")] = true
 	a.Disconnected(n.now, id, -1)
-	s.assoc.Lost()
+	client.assoc.Lost()
 	n.runUntil(n.now + 500*time.Millisecond)
 	n.disconnected[linkKey("a", "counters")] = false
 	a.Connected(n.now, id)
-	s.assoc.Connected(n.now)
+	client.assoc.Connected(n.now)
 	n.deliver("a")
 	n.processEndpoint("a", "counters")
 	n.runUntil(n.now + 500*time.Millisecond)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.ACM, isup.ANM}) {
-		t.Errorf("after its return the client heard %v", got)
+		t.Errorf("after its return the client received %v", got)
 	}
 }
 
-func TestClientStaysAway(t *testing.T) {
+func TestClientDoesNotReturn(t *testing.T) {
 	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
@@ -323,15 +324,15 @@
 	n.runUntil(n.now + 100*time.Millisecond)
 	for i := range 8 {
 		if got := n.receivedTypes("a", uint16(1+i)); !slices.Equal(got, []isup.Type{isup.REL}) {
-			t.Errorf("call %d heard %v", i+1, got)
+			t.Errorf("call %d received %v", i+1, got)
 		}
 	}
 	if calls, _ := n.routers["a"].Held(); calls != 0 {
-		t.Errorf("%d calls held", calls)
+		t.Errorf("%d calls in progress", calls)
 	}
 }
 
-// Two Routers in one process share nothing: what one does is the same whether another works beside it or not.
+// Two Routers in one process share no state: each behaves the same with and without another one running beside it.
 func TestTwoRoutersShareNothing(t *testing.T) {
 	script := func(n *testNetwork) {
 		for i := range 20 {
@@ -350,8 +351,8 @@
 		other.runUntil(other.now + 11*time.Millisecond)
 	}
 	besideOther.runUntil(besideOther.now + 4*time.Second)
-	if a, b := alone.decisions("a"), besideOther.decisions("a"); len(a) < 40 || !reflect.DeepEqual(a, b) {
-		t.Errorf("%d and %d lines differ", len(a), len(b))
+	if decisionsAlone, decisionsBeside := alone.decisions("a"), besideOther.decisions("a"); len(decisionsAlone) < 40 || !reflect.DeepEqual(decisionsAlone, decisionsBeside) {
+		t.Errorf("%d and %d lines differ", len(decisionsAlone), len(decisionsBeside))
 	}
 }
 
@@ -361,9 +362,9 @@
 	id, _ := a.Link("counters", 0)
 	var frames [][]byte
 	for _, b := range [][]byte{{}, {1}, {1, 0, 99}, {1, 0, 1, 0}} {
-		s := n.endpoints["a/counters"]
-		s.assoc.Output()
-		frames = append(frames, dataFrame(s, b))
+		client := n.endpoints["a/counters"]
+		client.assoc.Output()
+		frames = append(frames, dataFrame(client, b))
 	}
 	for _, f := range frames {
 		a.Receive(n.now, id, f)
@@ -372,7 +373,7 @@
 	n.offerCall("a", 1, "5521", 1)
 	n.runUntil(n.now + time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Contains(got, isup.ANM) {
-		t.Errorf("after unreadable messages a call heard %v", got)
+		t.Errorf("call after unreadable messages: received %v", got)
 	}
 }
 
@@ -399,13 +400,13 @@
 		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		} else if errors.Unwrap(err) == nil && strings.Contains(want, "MaxAttempts") {
-			t.Errorf("%s: cause is not kept", want)
+			t.Errorf("%s: the wrapped error is lost", want)
 		}
 	}
 }
 
-// A set-up that loses a dual seizure is repeated on another circuit, but not toward an exchange that drains by then
-// (rule 3).
+// A set-up that loses a dual seizure is repeated on another circuit, but not toward an exchange that is draining by then
+// (rule 3: nothing new for a draining exchange).
 func TestRepeatOnlyTowardAReadyExchange(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		n := newTestNetwork(t, 2, 4)
@@ -416,7 +417,7 @@
 		n.offerCall("a", 1, "5521", 1) // circuit 1
 		n.runUntil(n.now + time.Second)
 		n.linkDelay = 100 * time.Millisecond
-		n.offerCall("b", 1, "5511", 2) // circuits 2 and 3: wide, it wins whatever a has sent
+		n.offerCall("b", 1, "5511", 2) // circuits 2 and 3: the wide call wins any dual seizure
 		n.offerCall("a", 2, "5522", 1) // circuit 2
 		n.runUntil(n.now + 50*time.Millisecond)
 		a.Block(n.now, id, 1, isup.Maintenance, false)
@@ -436,7 +437,7 @@
 		}
 		want := map[bool][]isup.Type{false: {isup.ACM, isup.ANM}, true: {isup.REL}}[drains]
 		if got := n.receivedTypes("a", 2); !slices.Equal(got, want) {
-			t.Errorf("draining %v: caller heard %v", drains, got)
+			t.Errorf("draining %v: caller received %v", drains, got)
 		}
 	}
 }
