--- a/router/effects.go
+++ b/router/effects.go
@@ -69,7 +69,7 @@
 	Verdict Verdict
 	Cause   isup.Cause // 0 if the call is established
 	Elapsed time.Duration
-	Transit bool // in transit, or to a subscriber of this exchange: not offered by a client of this exchange to another one
+	Transit bool // in transit or ending at this exchange; false for a call of an own caller toward another exchange
 }
 
 // Reply answers a query (InAsk).
--- a/router/peer.go
+++ b/router/peer.go
@@ -35,7 +35,7 @@
 	peer         *peer
 	aspIndex     int
 	assoc        *m3ua.Assoc
-	bytesWritten int64 // bytes written since Connected
+	bytesWritten int64 // bytes of Write effects since Connected
 }
 
 // heldMessage is a message of a call that waits for its peer to become active.
@@ -168,7 +168,7 @@
 	r.controller.Report(r.now, logic.Report{Office: p.cfg.Name, OK: true, Load: []float64{float64(circuits[0]), float64(circuits[1])}})
 }
 
-// armPeerTimer arms a timer for the earliest deadline of the state machines of a peer, unless one is armed already.
+// armPeerTimer arms a timer for the earliest deadline of the state machines of a peer, unless one that early is armed.
 func (r *Router) armPeerTimer(p *peer) {
 	at, ok := p.group.Deadline()
 	earlier := func(deadline time.Duration, armed bool) {
@@ -245,8 +245,8 @@
 	}
 	held := p.heldMessages
 	p.heldMessages = nil
-	for _, message := range held {
-		r.sendOrHold(message.leg, message.message)
+	for _, waiting := range held {
+		r.sendOrHold(waiting.leg, waiting.message)
 	}
 	if r.draining && p.cfg.Kind == PeerExchange {
 		r.sendNetworkManagement(p, m3ua.DRST, 0)
--- a/router/router.go
+++ b/router/router.go
@@ -287,10 +287,10 @@
 // processPending handles everything that an input has caused, until nothing is left: deferred notifications of the
 // Controller first, then output and events of the pending peers.
 func (r *Router) processPending() {
-	done, processed := 0, 0
-	for done < len(r.deferred) || processed < len(r.pendingPeers) {
-		for ; done < len(r.deferred); done++ {
-			r.deferred[done]()
+	executed, processed := 0, 0
+	for executed < len(r.deferred) || processed < len(r.pendingPeers) {
+		for ; executed < len(r.deferred); executed++ {
+			r.deferred[executed]()
 		}
 		if processed < len(r.pendingPeers) {
 			p := r.pendingPeers[processed]
@@ -306,11 +306,14 @@
 // deferWork schedules work for after the present input, when the Controller may be called again.
 func (r *Router) deferWork(work func()) { r.deferred = append(r.deferred, work) }
 
+// emit appends an effect.
 func (r *Router) emit(effect Effect) { r.effects = append(r.effects, effect) }
 
-// debugEnabled reports whether records about single calls are wanted. Creating them would take a tenth of the time of a call.
+// debugEnabled reports whether records about single calls are wanted. Creating them would take a tenth of the time of a
+// call.
 func (r *Router) debugEnabled() bool { return r.cfg.LogLevel <= slog.LevelDebug }
 
+// log emits a Log effect unless its level is below the configured one.
 func (r *Router) log(level slog.Level, text string, call uint64, attrs ...slog.Attr) {
 	if level < r.cfg.LogLevel {
 		return
