--- a/router/call.go
+++ b/router/call.go
@@ -48,124 +48,127 @@
 }
 
 // handleGroupEvent handles an event of the trunk group of a peer.
-func (r *Router) handleGroupEvent(p *peer, e trunk.Event) {
-	if e.Kind == trunk.Alert {
-		r.log(slog.LevelWarn, e.Text, 0, slog.String("peer", p.cfg.Name))
+func (r *Router) handleGroupEvent(peer *peer, event trunk.Event) {
+	if event.Kind == trunk.Alert {
+		r.log(slog.LevelWarn, event.Text, 0, slog.String("peer", peer.cfg.Name))
 		return
 	}
-	if e.Kind == trunk.Arrived {
-		r.handleSetup(p, e.Seizure, e.Message)
+	if event.Kind == trunk.Arrived {
+		r.handleSetup(peer, event.Seizure, event.Message)
 		return
 	}
-	l, ok := e.Seizure.Owner.(*leg)
+	leg, ok := event.Seizure.Owner.(*leg)
 	if !ok {
 		return
 	}
 	switch {
-	case l == l.call.outgoing && e.Kind == trunk.Progress:
-		r.handleBackwardMessage(l.call, e.Message)
-	case l == l.call.outgoing:
-		r.outgoingEnded(l.call, e)
-	case l == l.call.incoming && e.Kind != trunk.Progress:
-		r.incomingEnded(l.call, e)
+	case leg == leg.call.outgoing && event.Kind == trunk.Progress:
+		r.handleBackwardMessage(leg.call, event.Message)
+	case leg == leg.call.outgoing:
+		r.outgoingEnded(leg.call, event)
+	case leg == leg.call.incoming && event.Kind != trunk.Progress:
+		r.incomingEnded(leg.call, event)
 	}
 }
 
 // copyMessage copies a message whose parameter values point into a receive buffer.
 func copyMessage(message *isup.Message) *isup.Message {
 	size := 0
-	for _, p := range message.Params {
-		size += len(p.Value)
+	for _, param := range message.Params {
+		size += len(param.Value)
 	}
 	if len(message.Params) == 0 {
 		return &isup.Message{CIC: message.CIC, Type: message.Type}
 	}
-	values, copied := make([]byte, 0, size), &isup.Message{CIC: message.CIC, Type: message.Type, Params: make([]isup.Param, len(message.Params))}
-	for i, p := range message.Params {
+	values, copied := make([]byte, 0, size), &isup.Message{CIC: message.CIC, Type: message.Type,
+		Params: make([]isup.Param, len(message.Params))}
+	for i, param := range message.Params {
 		start := len(values)
-		values = append(values, p.Value...)
-		copied.Params[i] = isup.Param{Code: p.Code, Value: values[start:len(values):len(values)]}
+		values = append(values, param.Value...)
+		copied.Params[i] = isup.Param{Code: param.Code, Value: values[start:len(values):len(values)]}
 	}
 	return copied
 }
 
 // handleSetup handles the IAM of a new call. The Controller decides whether the call is admitted and where it goes,
 // except for calls to subscribers of this exchange.
-func (r *Router) handleSetup(p *peer, seizure *trunk.Seizure, iam *isup.Message) {
-	if r.takeOverLease(p, seizure, iam) {
+func (r *Router) handleSetup(peer *peer, seizure *trunk.Seizure, iam *isup.Message) {
+	if r.takeOverLease(peer, seizure, iam) {
 		return
 	}
 	r.lastCallID++
-	c := &call{id: r.lastCallID, iam: copyMessage(iam), receivedAt: r.now - r.queueDelay, transit: p.cfg.Kind == PeerExchange, class: -1}
-	c.incoming = &leg{call: c, peer: p, seizure: seizure}
-	seizure.Owner = c.incoming
-	c.setup, _ = iam.Setup() // cannot fail: the group has already refused unreadable set-ups
-	r.calls[c.id] = c
-	entry, found := r.numberingTable.Find(c.setup.Called.Digits)
-	if c.class = r.categories.Of(c.setup.Category); found && entry.Class >= 0 {
-		c.class = entry.Class
-	}
-	c.destination, c.hopCounter = entry.Exchange, r.cfg.Hops
-	if c.setup.Hops >= 0 {
-		c.hopCounter = c.setup.Hops
-	}
-	instruction := isup.Unrecognized(c.iam, !found || entry.Exchange != r.ownExchange.Number)
+	call := &call{id: r.lastCallID, iam: copyMessage(iam), receivedAt: r.now - r.queueDelay,
+		transit: peer.cfg.Kind == PeerExchange, class: -1}
+	call.incoming = &leg{call: call, peer: peer, seizure: seizure}
+	seizure.Owner = call.incoming
+	call.setup, _ = iam.Setup() // cannot fail: the group has already refused unreadable set-ups
+	r.calls[call.id] = call
+	entry, found := r.numberingTable.Find(call.setup.Called.Digits)
+	if call.class = r.categories.Of(call.setup.Category); found && entry.Class >= 0 {
+		call.class = entry.Class
+	}
+	call.destination, call.hopCounter = entry.Exchange, r.cfg.Hops
+	if call.setup.Hops >= 0 {
+		call.hopCounter = call.setup.Hops
+	}
+	instruction := isup.Unrecognized(call.iam, !found || entry.Exchange != r.ownExchange.Number)
 	location := isup.LocationLocalNetwork
 	switch {
 	case instruction.Release || instruction.Discard:
-		r.rejectCall(c, Failed, isup.ReleaseInfo{Cause: instruction.Cause, Location: location})
+		r.rejectCall(call, Failed, isup.ReleaseInfo{Cause: instruction.Cause, Location: location})
 	case r.draining:
-		r.rejectCall(c, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: location, Congestion: 2})
+		r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: location, Congestion: 2})
 	case !found:
-		r.rejectCall(c, Failed, isup.ReleaseInfo{Cause: isup.CauseUnallocated, Location: location})
-	case !r.admit(c, p):
-		r.rejectCall(c, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: location, Congestion: byte(c.congestionLevel)})
+		r.rejectCall(call, Failed, isup.ReleaseInfo{Cause: isup.CauseUnallocated, Location: location})
+	case !r.admit(call, peer):
+		r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: location,
+			Congestion: byte(call.congestionLevel)})
 	case entry.Exchange == r.ownExchange.Number:
-		r.routeToSubscribers(c)
-	case c.hopCounter == 0:
-		r.rejectCall(c, Failed, isup.ReleaseInfo{Cause: isup.CauseProtocolError, Location: location})
+		r.routeToSubscribers(call)
+	case call.hopCounter == 0:
+		r.rejectCall(call, Failed, isup.ReleaseInfo{Cause: isup.CauseProtocolError, Location: location})
 	default:
-		r.offerToController(c, p)
+		r.offerToController(call, peer)
 	}
 }
 
 // offerToController lets the Controller decide on a call.
-func (r *Router) offerToController(c *call, p *peer) {
-	c.managed = true
+func (r *Router) offerToController(call *call, peer *peer) {
+	call.managed = true
 	via := -1
-	if c.transit {
-		via = r.offices[p.cfg.Name].Exchange
+	if call.transit {
+		via = r.offices[peer.cfg.Name].Exchange
 	}
 	if r.debugEnabled() {
-		r.log(slog.LevelDebug, "offered", c.id, slog.String("from", p.cfg.Name), slog.String("called", c.setup.Called.Digits),
-			slog.Int("class", c.class), slog.Int("width", c.setup.Width))
+		r.log(slog.LevelDebug, "offered", call.id, slog.String("from", peer.cfg.Name), slog.String("called", call.setup.Called.Digits),
+			slog.Int("class", call.class), slog.Int("width", call.setup.Width))
 	}
-	r.controller.Offered(r.now, logic.Call{ID: c.id, Class: c.class, Dest: c.destination, Width: c.setup.Width, Via: via,
-		Transit: c.transit, Number: c.setup.Called.Digits, TimeLeft: r.remainingPatience(c)})
+	r.controller.Offered(r.now, logic.Call{ID: call.id, Class: call.class, Dest: call.destination, Width: call.setup.Width, Via: via,
+		Transit: call.transit, Number: call.setup.Called.Digits, TimeLeft: r.remainingPatience(call)})
 }
 
 // remainingPatience returns how long the caller will still wait: the patience of the class less the propagation delay
 // in the IAM and the time since the call was received.
-func (r *Router) remainingPatience(c *call) time.Duration {
-	class := r.cfg.Classes[max(0, c.class)]
-	return class.Patience - c.setup.Elapsed - (r.now - c.receivedAt)
+func (r *Router) remainingPatience(call *call) time.Duration {
+	class := r.cfg.Classes[max(0, call.class)]
+	return class.Patience - call.setup.Elapsed - (r.now - call.receivedAt)
 }
 
 // routeToSubscribers sends a call to the subscriber lines of this exchange. The final answer is due two ticks before the
 // caller's patience ends.
-func (r *Router) routeToSubscribers(c *call) {
-	deadline := r.now + r.remainingPatience(c) - 2*r.cfg.Tick - time.Millisecond
-	for _, p := range r.peers {
-		if p.cfg.Kind != PeerSubscribers || deadline <= r.now {
+func (r *Router) routeToSubscribers(call *call) {
+	deadline := r.now + r.remainingPatience(call) - 2*r.cfg.Tick - time.Millisecond
+	for _, peer := range r.peers {
+		if peer.cfg.Kind != PeerSubscribers || deadline <= r.now {
 			continue
 		}
-		c.attempts, c.office, c.sentAt = 1, p.cfg.Name, r.now
-		if status, _ := r.sendAttempt(c); status == 0 {
-			r.armTimer(deadline, timer{kind: timerAnswerDeadline, call: c.id})
+		call.attempts, call.office, call.sentAt = 1, peer.cfg.Name, r.now
+		if status, _ := r.sendAttempt(call); status == 0 {
+			r.armTimer(deadline, timer{kind: timerAnswerDeadline, call: call.id})
 			return
 		}
 	}
-	r.rejectCall(c, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
+	r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
 }
 
 // forwardedIAM returns the IAM to send onward: the received one, with its unknown parameters, but with the circuits, hop
@@ -173,9 +176,9 @@
 // patience is used up.
 func (c *call) forwardedIAM(now time.Duration, circuits uint32) *isup.Message {
 	message := &isup.Message{Type: isup.IAM, Params: make([]isup.Param, 0, len(c.iam.Params)+3)}
-	for _, p := range c.iam.Params {
-		if p.Code != isup.ParamCircuitMap {
-			message.Params = append(message.Params, p)
+	for _, param := range c.iam.Params {
+		if param.Code != isup.ParamCircuitMap {
+			message.Params = append(message.Params, param)
 		}
 	}
 	message.SetSetup(isup.Setup{Map: circuits, Elapsed: c.setup.Elapsed + now - c.receivedAt, Hops: c.hopCounter - 1})
@@ -183,78 +186,78 @@
 }
 
 // handleBackwardMessage handles a message from the called side of a call.
-func (r *Router) handleBackwardMessage(c *call, message *isup.Message) {
+func (r *Router) handleBackwardMessage(call *call, message *isup.Message) {
 	switch message.Type {
 	case isup.ACM, isup.CPG:
-		if !c.established && c.incoming != nil {
-			if message = copyMessage(message); c.acmSent && message.Type == isup.ACM { // of a later attempt: the caller already has an ACM
-				message = isup.Simple(isup.CPG, 0)
-			} else if !c.acmSent && message.Type == isup.CPG {
+		if !call.established && call.incoming != nil {
+			if message = copyMessage(message); call.acmSent && message.Type == isup.ACM {
+				message = isup.Simple(isup.CPG, 0) // ACM of a later attempt: the caller already has one
+			} else if !call.acmSent && message.Type == isup.CPG {
 				return
 			}
-			c.acmSent = true
-			r.sendOrHold(c.incoming, message)
+			call.acmSent = true
+			r.sendOrHold(call.incoming, message)
 		}
 	case isup.ANM, isup.CON:
-		r.handleAnswer(c, message)
+		r.handleAnswer(call, message)
 	}
 }
 
 // handleAnswer handles ANM or CON from the called side: the call is established.
-func (r *Router) handleAnswer(c *call, message *isup.Message) {
-	if c.established || c.incoming == nil {
+func (r *Router) handleAnswer(call *call, message *isup.Message) {
+	if call.established || call.incoming == nil {
 		return
 	}
-	c.established = true
-	r.reportToShares(c, true)
+	call.established = true
+	r.reportToShares(call, true)
 	answer := copyMessage(message)
-	if !c.acmSent && message.Type == isup.ANM { // an answer without address complete is a connect (Q.764 2.1.7)
+	if !call.acmSent && message.Type == isup.ANM { // an answer without address complete is a connect (Q.764 2.1.7)
 		params := answer.Params
 		answer = isup.Simple(isup.CON, 0)
 		answer.Params = append(answer.Params, params...)
-	} else if c.acmSent && message.Type == isup.CON {
+	} else if call.acmSent && message.Type == isup.CON {
 		answer = isup.Simple(isup.ANM, 0)
 	}
-	c.answerMessage = answer
-	r.sendOrHold(c.incoming, answer)
-	r.emit(Answer{At: r.now, Call: c.id, Verdict: Stands, Elapsed: r.now - c.receivedAt, Transit: c.transit || !c.managed})
-	if c.managed {
-		r.controller.Stands(r.now, logic.Outcome{Call: c.id, Attempt: c.attempts - 1, Office: c.office, Took: r.now - c.sentAt})
+	call.answerMessage = answer
+	r.sendOrHold(call.incoming, answer)
+	r.emit(Answer{At: r.now, Call: call.id, Verdict: Stands, Elapsed: r.now - call.receivedAt, Transit: call.transit || !call.managed})
+	if call.managed {
+		r.controller.Stands(r.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Took: r.now - call.sentAt})
 	}
 }
 
 // outgoingEnded handles the end of the outgoing leg by the far side.
-func (r *Router) outgoingEnded(c *call, e trunk.Event) {
+func (r *Router) outgoingEnded(call *call, event trunk.Event) {
 	var info isup.ReleaseInfo
-	switch e.Kind {
+	switch event.Kind {
 	case trunk.Lost:
-		r.repeatSetup(c)
+		r.repeatSetup(call)
 		return
 	case trunk.Cut:
 		info = isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork}
 	case trunk.Released:
-		info = e.Message.Release()
+		info = event.Message.Release()
 	}
-	c.lastRelease = info
-	status, note := r.outcomeOf(c, info)
-	if c.established {
+	call.lastRelease = info
+	status, note := r.outcomeOf(call, info)
+	if call.established {
 		status, note = logic.Ended, 0
-		if e.Kind == trunk.Cut || info.Cause == isup.CauseTemporaryFailure {
+		if event.Kind == trunk.Cut || info.Cause == isup.CauseTemporaryFailure {
 			status = logic.Reset
 		}
-		c.outgoing = nil
-		if c.managed {
-			r.establishedEnded(c, status)
+		call.outgoing = nil
+		if call.managed {
+			r.establishedEnded(call, status)
 		}
-		r.finish(c, info)
+		r.finish(call, info)
 		return
 	}
-	if c.managed {
-		r.attemptEnded(c, status, note)
+	if call.managed {
+		r.attemptEnded(call, status, note)
 		return
 	}
-	c.outgoing = nil
-	r.rejectCall(c, verdictOf(info.Cause), info)
+	call.outgoing = nil
+	r.rejectCall(call, verdictOf(info.Cause), info)
 }
 
 // verdictOf returns the verdict of a call that ended with a cause before it was established.
@@ -266,8 +269,8 @@
 }
 
 // outcomeOf translates the cause of a failed attempt for the Controller; docs/DESIGN.md has the table.
-func (r *Router) outcomeOf(c *call, info isup.ReleaseInfo) (logic.Status, int) {
-	twoLeg := r.offices[c.office].Exchange != c.destination
+func (r *Router) outcomeOf(call *call, info isup.ReleaseInfo) (logic.Status, int) {
+	twoLeg := r.offices[call.office].Exchange != call.destination
 	switch info.Cause {
 	case isup.CauseNoCircuit:
 		if twoLeg {
@@ -290,165 +293,166 @@
 // repeatSetup repeats a set-up that lost a dual seizure on another circuit of its group, within the same attempt
 // (Q.764 2.9.1.4). The lost set-up never ran, so the two are not outstanding together. The rules apply to the repeat as
 // to any set-up: it goes only to a ready exchange, and not after the attempt's time-out.
-func (r *Router) repeatSetup(c *call) {
-	c.outgoing = nil
-	c.repeats++
-	ready := !c.managed || r.effectiveOffice(r.offices[c.office]).State == logic.Ready
-	if status, note := logic.NotSent, logic.NoteCircuit; c.repeats > maxSetupRepeats || !ready || c.managed && r.now >= c.attemptDeadline {
-		r.attemptNotSent(c, status, note)
-	} else if status, note = r.sendAttempt(c); status != 0 {
-		r.attemptNotSent(c, status, note)
+func (r *Router) repeatSetup(call *call) {
+	call.outgoing = nil
+	call.repeats++
+	ready := !call.managed || r.effectiveOffice(r.offices[call.office]).State == logic.Ready
+	if status, note := logic.NotSent, logic.NoteCircuit; call.repeats > maxSetupRepeats || !ready ||
+		call.managed && r.now >= call.attemptDeadline {
+		r.attemptNotSent(call, status, note)
+	} else if status, note = r.sendAttempt(call); status != 0 {
+		r.attemptNotSent(call, status, note)
 	}
 }
 
 // attemptNotSent ends an attempt that never ran.
-func (r *Router) attemptNotSent(c *call, status logic.Status, note int) {
-	if c.managed {
-		r.attemptEnded(c, status, note)
+func (r *Router) attemptNotSent(call *call, status logic.Status, note int) {
+	if call.managed {
+		r.attemptEnded(call, status, note)
 		return
 	}
-	r.rejectCall(c, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
+	r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
 }
 
 // timeOutAttempt ends an attempt that was not answered within the time-out set by the Controller. Its circuits stay busy
 // until RLC arrives.
-func (r *Router) timeOutAttempt(c *call) {
-	c.lastRelease = isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork}
-	c.outgoing.peer.group.Release(r.now, c.outgoing.seizure, c.lastRelease)
-	r.markPending(c.outgoing.peer)
-	r.attemptEnded(c, logic.TimedOut, 0)
+func (r *Router) timeOutAttempt(call *call) {
+	call.lastRelease = isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork}
+	call.outgoing.peer.group.Release(r.now, call.outgoing.seizure, call.lastRelease)
+	r.markPending(call.outgoing.peer)
+	r.attemptEnded(call, logic.TimedOut, 0)
 }
 
 // attemptEnded reports the outcome of the latest attempt to the Controller. The report is deferred, because the
 // Controller may be the caller.
-func (r *Router) attemptEnded(c *call, status logic.Status, note int) {
-	c.outgoing = nil
-	outcome := logic.Outcome{Call: c.id, Attempt: c.attempts - 1, Office: c.office, Status: status, Note: note,
-		Took: r.now - c.sentAt, Over: c.withoutCaller()}
+func (r *Router) attemptEnded(call *call, status logic.Status, note int) {
+	call.outgoing = nil
+	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Note: note,
+		Took: r.now - call.sentAt, Over: call.withoutCaller()}
 	if r.debugEnabled() {
-		r.log(slog.LevelDebug, "attempt ended", c.id, slog.Int("attempt", outcome.Attempt), slog.String("office", outcome.Office),
+		r.log(slog.LevelDebug, "attempt ended", call.id, slog.Int("attempt", outcome.Attempt), slog.String("office", outcome.Office),
 			slog.String("status", string(status)), slog.Int("note", note))
 	}
-	if p := r.peersByName[c.office]; p != nil && p.cfg.Kind == PeerExchange {
-		outcome.Load = []float64{float64(p.group.Spare()), float64(p.group.Total())}
+	if peer := r.peersByName[call.office]; peer != nil && peer.cfg.Kind == PeerExchange {
+		outcome.Load = []float64{float64(peer.group.Spare()), float64(peer.group.Total())}
 	}
 	r.deferWork(func() {
-		outcome.Over = outcome.Over || c.withoutCaller()
+		outcome.Over = outcome.Over || call.withoutCaller()
 		r.controller.Outcome(r.now, outcome)
-		if c.withoutCaller() {
-			r.forget(c)
+		if call.withoutCaller() {
+			r.forget(call)
 		}
 	})
 }
 
 // establishedEnded reports the end of an established call to the Controller.
-func (r *Router) establishedEnded(c *call, status logic.Status) {
-	outcome := logic.Outcome{Call: c.id, Attempt: c.attempts - 1, Office: c.office, Status: status, Took: r.now - c.sentAt,
+func (r *Router) establishedEnded(call *call, status logic.Status) {
+	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Took: r.now - call.sentAt,
 		Over: true}
 	r.deferWork(func() { r.controller.Outcome(r.now, outcome) })
 }
 
 // incomingEnded handles the end of the incoming leg by the caller's side.
-func (r *Router) incomingEnded(c *call, e trunk.Event) {
+func (r *Router) incomingEnded(call *call, event trunk.Event) {
 	info := isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork}
-	if e.Kind == trunk.Released {
-		info = e.Message.Release()
-	}
-	r.endAdmission(c)
-	c.incoming = nil
-	if !c.established {
-		r.emit(Answer{At: r.now, Call: c.id, Verdict: HungUp, Cause: info.Cause, Elapsed: r.now - c.receivedAt,
-			Transit: c.transit || !c.managed})
-		if c.managed {
+	if event.Kind == trunk.Released {
+		info = event.Message.Release()
+	}
+	r.endAdmission(call)
+	call.incoming = nil
+	if !call.established {
+		r.emit(Answer{At: r.now, Call: call.id, Verdict: HungUp, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+			Transit: call.transit || !call.managed})
+		if call.managed {
 			r.deferWork(func() {
-				r.controller.HungUp(r.now, c.id)
-				if c.outgoing == nil {
-					r.forget(c)
+				r.controller.HungUp(r.now, call.id)
+				if call.outgoing == nil {
+					r.forget(call)
 				}
 			})
 			return
 		}
 	}
-	if c.established && c.managed {
-		r.establishedEnded(c, logic.Ended)
+	if call.established && call.managed {
+		r.establishedEnded(call, logic.Ended)
 	}
-	r.releaseOutgoing(c, info)
-	r.forget(c)
+	r.releaseOutgoing(call, info)
+	r.forget(call)
 }
 
 // releaseOutgoing releases the circuits of the outgoing leg, if there is one.
-func (r *Router) releaseOutgoing(c *call, info isup.ReleaseInfo) {
-	if c.outgoing != nil {
-		c.outgoing.peer.group.Release(r.now, c.outgoing.seizure, info)
-		r.markPending(c.outgoing.peer)
-		c.outgoing = nil
+func (r *Router) releaseOutgoing(call *call, info isup.ReleaseInfo) {
+	if call.outgoing != nil {
+		call.outgoing.peer.group.Release(r.now, call.outgoing.seizure, info)
+		r.markPending(call.outgoing.peer)
+		call.outgoing = nil
 	}
 }
 
 // rejectCall gives a call that is not established its final answer: REL to the caller.
-func (r *Router) rejectCall(c *call, verdict Verdict, info isup.ReleaseInfo) {
-	if c.withoutCaller() || c.established {
+func (r *Router) rejectCall(call *call, verdict Verdict, info isup.ReleaseInfo) {
+	if call.withoutCaller() || call.established {
 		return
 	}
 	if verdict == Refused {
-		r.reportToShares(c, false)
+		r.reportToShares(call, false)
 	}
-	r.emit(Answer{At: r.now, Call: c.id, Verdict: verdict, Cause: info.Cause, Elapsed: r.now - c.receivedAt,
-		Transit: c.transit || !c.managed})
+	r.emit(Answer{At: r.now, Call: call.id, Verdict: verdict, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+		Transit: call.transit || !call.managed})
 	if r.debugEnabled() {
-		r.log(slog.LevelDebug, "answered", c.id, slog.String("answer", verdict.String()), slog.Int("cause", int(info.Cause)))
+		r.log(slog.LevelDebug, "answered", call.id, slog.String("answer", verdict.String()), slog.Int("cause", int(info.Cause)))
 	}
-	r.finish(c, info)
+	r.finish(call, info)
 }
 
 // finish releases the incoming leg or the lease, and removes the call unless its outgoing leg is still in use.
-func (r *Router) finish(c *call, info isup.ReleaseInfo) {
-	if c.incoming == nil && c.lease != nil {
-		r.endLease(c, info)
+func (r *Router) finish(call *call, info isup.ReleaseInfo) {
+	if call.incoming == nil && call.lease != nil {
+		r.endLease(call, info)
 	}
-	if c.incoming != nil {
-		r.endAdmission(c)
-		c.incoming.peer.group.Release(r.now, c.incoming.seizure, info)
-		r.markPending(c.incoming.peer)
-		c.incoming = nil
+	if call.incoming != nil {
+		r.endAdmission(call)
+		call.incoming.peer.group.Release(r.now, call.incoming.seizure, info)
+		r.markPending(call.incoming.peer)
+		call.incoming = nil
 	}
-	if c.outgoing == nil {
-		r.forget(c)
+	if call.outgoing == nil {
+		r.forget(call)
 	}
 }
 
 // releaseCall ends a call from this exchange, in any state.
-func (r *Router) releaseCall(c *call, info isup.ReleaseInfo) {
-	if c.established {
-		if c.managed {
-			r.establishedEnded(c, logic.Reset)
+func (r *Router) releaseCall(call *call, info isup.ReleaseInfo) {
+	if call.established {
+		if call.managed {
+			r.establishedEnded(call, logic.Reset)
 		}
-		r.releaseOutgoing(c, info)
-		r.finish(c, info)
+		r.releaseOutgoing(call, info)
+		r.finish(call, info)
 		return
 	}
-	if c.managed {
-		if c.outgoing != nil { // cancel the outstanding attempt first: nothing may be sent after the final answer
-			r.releaseOutgoing(c, info)
-			r.attemptEnded(c, logic.Cancelled, 0)
+	if call.managed {
+		if call.outgoing != nil { // cancel the outstanding attempt first: nothing may be sent after the final answer
+			r.releaseOutgoing(call, info)
+			r.attemptEnded(call, logic.Cancelled, 0)
 		}
-		r.rejectCall(c, Failed, info)
-		r.deferWork(func() { r.controller.HungUp(r.now, c.id) })
+		r.rejectCall(call, Failed, info)
+		r.deferWork(func() { r.controller.HungUp(r.now, call.id) })
 		return
 	}
-	r.releaseOutgoing(c, info)
-	r.rejectCall(c, Failed, info)
+	r.releaseOutgoing(call, info)
+	r.rejectCall(call, Failed, info)
 }
 
 // reportToShares reports to the fair shares whether a call that they admitted was established or refused.
-func (r *Router) reportToShares(c *call, established bool) {
-	if c.admitted && c.managed {
+func (r *Router) reportToShares(call *call, established bool) {
+	if call.admitted && call.managed {
 		r.clientShares.Answered(r.now, established)
 	}
 }
 
 // forget removes a call.
-func (r *Router) forget(c *call) { delete(r.calls, c.id) }
+func (r *Router) forget(call *call) { delete(r.calls, call.id) }
 
 // withoutCaller reports whether no caller or ENUM client waits for the call any more.
 func (c *call) withoutCaller() bool { return c.incoming == nil && c.lease == nil }
--- a/router/client_loss_test.go
+++ b/router/client_loss_test.go
@@ -33,7 +33,7 @@
 func TestClientDropsAtEachStep(t *testing.T) {
 	const ringTime = 20 * time.Millisecond
 	type outcome struct{ inside, outside []isup.Type }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		at   time.Duration // after the IAM was sent
 		half bool          // only half of the IAM is received
@@ -48,7 +48,7 @@
 	} {
 		for _, absence := range []time.Duration{time.Second, DefaultRecovery + time.Second} {
 			n := newTestNetwork(t, 2, 4)
-			if c.rel {
+			if test.rel {
 				n.endpoints["b/lines"].onMessage = func(m *isup.Message) {
 					if m.Type == isup.IAM {
 						n.endpoints["b/lines"].send(isup.NewRelease(m.CIC, isup.ReleaseInfo{Cause: isup.CauseUserBusy}))
@@ -56,7 +56,7 @@
 				}
 			}
 			client := n.endpoints["a/counters"]
-			if c.half {
+			if test.half {
 				id, _ := n.routers["a"].Link("counters", 0)
 				m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 				b, _ := m.Append(nil)
@@ -65,33 +65,33 @@
 			} else {
 				n.offerCall("a", 1, "5521", 1)
 			}
-			n.runUntil(n.now + c.at)
+			n.runUntil(n.now + test.at)
 			n.dropClient(-1)
 			before := len(n.receivedTypes("a", 1))
 			n.runUntil(n.now + absence)
 			n.reconnectClient()
 			n.runUntil(n.now + 2*time.Second)
-			want := c.want.inside
+			want := test.want.inside
 			if absence > DefaultRecovery {
-				want = c.want.outside
+				want = test.want.outside
 			}
 			got := n.receivedTypes("a", 1)[before:]
 			if absence < DefaultRecovery && !slices.Equal(got, want) {
-				t.Errorf("%s, back after %v: received %v, want %v", c.name, absence, got, want)
+				t.Errorf("%s, back after %v: received %v, want %v", test.name, absence, got, want)
 			}
 			if absence > DefaultRecovery {
 				if slices.Contains(got, isup.ANM) {
-					t.Errorf("%s, back after %v: an answer after the recovery time: %v", c.name, absence, got)
+					t.Errorf("%s, back after %v: an answer after the recovery time: %v", test.name, absence, got)
 				}
 				if err := n.checkIdle(); err != nil {
-					t.Errorf("%s, back after %v: %v", c.name, absence, err)
+					t.Errorf("%s, back after %v: %v", test.name, absence, err)
 				}
 			}
 			// The rest of the call can be released, and its circuit used again.
 			client.send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
 			n.runUntil(n.now + 2*time.Second)
 			if err := n.checkIdle(); err != nil {
-				t.Errorf("%s, back after %v, released: %v", c.name, absence, err)
+				t.Errorf("%s, back after %v, released: %v", test.name, absence, err)
 			}
 		}
 	}
--- a/router/config.go
+++ b/router/config.go
@@ -84,20 +84,24 @@
 	Overload   float64       // rule 4: multiple of its present capacity above which an exchange is overloaded
 	ColdFrom   float64       // rule 4: least share of its capacity that an exchange starts with
 	ColdFor    time.Duration // rule 4: time after its start for which an exchange is cold
-	Timers     trunk.Timers
-	Recovery   time.Duration                                      // T(r): how long the calls of a peer survive without an active association
-	Askers     []Asker                                            // ENUM clients, which query the route of a call before its set-up
-	Routing    string                                             // prefix of routing numbers; it must not overlap the numbers of any exchange
-	Lease      time.Duration                                      // how long circuits stay reserved for an ENUM client; at most a fifth of the shortest aim
-	AskWithin  time.Duration                                      // time limit for the reply to a query
-	NoShares   bool                                               // turns off the fair shares of clients under overload
-	MaxCalls   int                                                // most calls of one client at a time; 0: as many as it has circuits
-	Held       int                                                // most messages kept for a peer without an active association; 0: 4 for each circuit
-	Network    byte                                               // network indicator of M3UA; 2: national network
-	Hops       int                                                // initial hop counter of calls that arrive without one; 0: 3
-	Baseline   func(s logic.Settings, seed int64) (Policy, error) // replaces logic.Controller, for comparisons only
-	Meter      *measure.Meter                                     // measures the traffic, for one Router only; nil: no measurement
-	LogLevel   slog.Level                                         // lowest level of Log effects; the zero level is info
+	Timers     trunk.Timers  // timers of the trunk groups
+	Recovery   time.Duration // T(r): how long the calls of a peer survive without an active association
+
+	Askers    []Asker       // ENUM clients, which query the route of a call before its set-up
+	Routing   string        // prefix of routing numbers; it must not overlap the numbers of any exchange
+	Lease     time.Duration // how long circuits stay reserved for an ENUM client; at most a fifth of the shortest aim
+	AskWithin time.Duration // time limit for the reply to a query
+
+	NoShares bool // turns off the fair shares of clients under overload
+	MaxCalls int  // most calls of one client at a time; 0: as many as it has circuits
+	Held     int  // most messages kept for a peer without an active association; 0: 4 for each circuit
+	Network  byte // network indicator of M3UA; 2: national network
+	Hops     int  // initial hop counter of calls that arrive without one; 0: 3
+
+	// Baseline replaces logic.Controller, for comparisons only.
+	Baseline func(s logic.Settings, seed int64) (Policy, error)
+	Meter    *measure.Meter // measures the traffic, for one Router only; nil: no measurement
+	LogLevel slog.Level     // lowest level of Log effects; the zero level is info
 }
 
 // DefaultRecovery is the time for which calls survive the loss of their association. It covers T(r) of RFC 4666, which
@@ -113,9 +117,9 @@
 
 // ownExchange returns the exchange named by c.Name.
 func (c *Config) ownExchange() (Exchange, error) {
-	for _, e := range c.Exchanges {
-		if e.Name == c.Name {
-			return e, nil
+	for _, exchange := range c.Exchanges {
+		if exchange.Name == c.Name {
+			return exchange, nil
 		}
 	}
 	return Exchange{}, fmt.Errorf("router: own exchange %q is not among the exchanges", c.Name)
@@ -130,29 +134,31 @@
 		return errors.New("router: no classes")
 	}
 	names, pointCodes, numbers := map[string]bool{}, map[uint32]string{}, map[int]bool{}
-	for _, e := range c.Exchanges {
-		if names[e.Name] || numbers[e.Number] {
-			return fmt.Errorf("router: exchange %q or its number %d is configured twice", e.Name, e.Number)
+	for _, exchange := range c.Exchanges {
+		if names[exchange.Name] || numbers[exchange.Number] {
+			return fmt.Errorf("router: exchange %q or its number %d is configured twice", exchange.Name, exchange.Number)
 		}
-		if other, ok := pointCodes[e.PointCode]; ok || e.PointCode > 0x3fff {
-			return fmt.Errorf("router: exchange %q: point code %d is not free (used by %s) or exceeds 14 bits", e.Name, e.PointCode, other)
+		if other, ok := pointCodes[exchange.PointCode]; ok || exchange.PointCode > 0x3fff {
+			return fmt.Errorf("router: exchange %q: point code %d is not free (used by %s) or exceeds 14 bits",
+				exchange.Name, exchange.PointCode, other)
 		}
-		names[e.Name], numbers[e.Number], pointCodes[e.PointCode] = true, true, e.Name
+		names[exchange.Name], numbers[exchange.Number], pointCodes[exchange.PointCode] = true, true, exchange.Name
 	}
 	peers := map[string]bool{}
-	for _, p := range c.Peers {
-		if peers[p.Name] {
-			return fmt.Errorf("router: peer %q is configured twice", p.Name)
+	for _, peer := range c.Peers {
+		if peers[peer.Name] {
+			return fmt.Errorf("router: peer %q is configured twice", peer.Name)
 		}
-		peers[p.Name] = true
-		if len(p.ASPs) == 0 || p.Kind == PeerExchange && len(p.ASPs) > 1 || p.Needed > len(p.ASPs) {
-			return fmt.Errorf("router: peer %q has %d processes and needs %d; it must have at least one and as many as it needs, an exchange exactly one", p.Name, len(p.ASPs), p.Needed)
+		peers[peer.Name] = true
+		if len(peer.ASPs) == 0 || peer.Kind == PeerExchange && len(peer.ASPs) > 1 || peer.Needed > len(peer.ASPs) {
+			return fmt.Errorf("router: peer %q: invalid number of processes: %d, of which %d must be active; an exchange has exactly one",
+				peer.Name, len(peer.ASPs), peer.Needed)
 		}
-		if p.Kind == PeerExchange && (!names[p.Name] || pointCodes[p.PointCode] != p.Name || p.Name == c.Name) {
-			return fmt.Errorf("router: peer %q with point code %d does not match another exchange", p.Name, p.PointCode)
+		if peer.Kind == PeerExchange && (!names[peer.Name] || pointCodes[peer.PointCode] != peer.Name || peer.Name == c.Name) {
+			return fmt.Errorf("router: peer %q with point code %d does not match another exchange", peer.Name, peer.PointCode)
 		}
-		if other, ok := pointCodes[p.PointCode]; ok && p.Kind != PeerExchange {
-			return fmt.Errorf("router: peer %q has the point code %d of %s", p.Name, p.PointCode, other)
+		if other, ok := pointCodes[peer.PointCode]; ok && peer.Kind != PeerExchange {
+			return fmt.Errorf("router: peer %q has the point code %d of %s", peer.Name, peer.PointCode, other)
 		}
 	}
 	return c.checkRules()
@@ -161,16 +167,17 @@
 // checkRules checks the classes, the ENUM clients and the times of the rules.
 func (c *Config) checkRules() error {
 	categories := map[byte]string{}
-	for _, k := range c.Classes {
-		if other, ok := categories[k.Category]; ok {
-			return fmt.Errorf("router: classes %s and %s have the same category %d", other, k.Name, k.Category)
+	for _, class := range c.Classes {
+		if other, ok := categories[class.Category]; ok {
+			return fmt.Errorf("router: classes %s and %s have the same category %d", other, class.Name, class.Category)
 		}
-		categories[k.Category] = k.Name
-		if k.Patience <= 0 || k.Patience > k.Deadline && k.Deadline > 0 {
-			return fmt.Errorf("router: class %s: patience %v must be positive and not above its deadline %v", k.Name, k.Patience, k.Deadline)
+		categories[class.Category] = class.Name
+		if class.Patience <= 0 || class.Patience > class.Deadline && class.Deadline > 0 {
+			return fmt.Errorf("router: class %s: patience %v must be positive and not above its deadline %v",
+				class.Name, class.Patience, class.Deadline)
 		}
-		if k.Width < 1 || k.Width > 30 {
-			return fmt.Errorf("router: class %s: no transmission medium has %d circuits", k.Name, k.Width)
+		if class.Width < 1 || class.Width > 30 {
+			return fmt.Errorf("router: class %s: no transmission medium has %d circuits", class.Name, class.Width)
 		}
 	}
 	if err := c.checkENUMClients(); err != nil {
@@ -192,26 +199,28 @@
 		return nil
 	}
 	shortestAim := c.Classes[0].Aim
-	for _, k := range c.Classes {
-		shortestAim = min(shortestAim, k.Aim)
+	for _, class := range c.Classes {
+		shortestAim = min(shortestAim, class.Aim)
 	}
 	if c.Lease <= 0 || c.Lease > shortestAim/leaseAimDivisor {
-		return fmt.Errorf("router: lease %v must be positive and at most a fifth of the shortest aim, %v", c.Lease, shortestAim/leaseAimDivisor)
+		return fmt.Errorf("router: lease %v must be positive and at most a fifth of the shortest aim, %v",
+			c.Lease, shortestAim/leaseAimDivisor)
 	}
 	if c.AskWithin <= 0 || len(c.Routing) < 2 || len(c.Routing) > 8 {
-		return fmt.Errorf("router: ENUM clients need a positive query time limit (%v) and a routing prefix of 2 to 8 digits (%q)", c.AskWithin, c.Routing)
+		return fmt.Errorf("router: ENUM clients need a positive query time limit (%v) and a routing prefix of 2 to 8 digits (%q)",
+			c.AskWithin, c.Routing)
 	}
-	for _, a := range c.Askers {
-		if a.Class < 0 || a.Class >= len(c.Classes) {
-			return fmt.Errorf("router: ENUM client %q has the unknown class %d", a.Name, a.Class)
+	for _, client := range c.Askers {
+		if client.Class < 0 || client.Class >= len(c.Classes) {
+			return fmt.Errorf("router: ENUM client %q has the unknown class %d", client.Name, client.Class)
 		}
-		if !slices.ContainsFunc(c.Peers, func(p Peer) bool { return p.Name == a.Client && p.Kind == PeerClient }) {
-			return fmt.Errorf("router: ENUM client %q sets up its calls through %q, which is not a client peer", a.Name, a.Client)
+		if !slices.ContainsFunc(c.Peers, func(peer Peer) bool { return peer.Name == client.Client && peer.Kind == PeerClient }) {
+			return fmt.Errorf("router: ENUM client %q sets up its calls through %q, which is not a client peer", client.Name, client.Client)
 		}
 	}
-	for _, n := range c.Numbering {
-		if strings.HasPrefix(n.Prefix, c.Routing) || strings.HasPrefix(c.Routing, n.Prefix) {
-			return fmt.Errorf("router: routing prefix %s overlaps the number prefix %s of an exchange", c.Routing, n.Prefix)
+	for _, entry := range c.Numbering {
+		if strings.HasPrefix(entry.Prefix, c.Routing) || strings.HasPrefix(c.Routing, entry.Prefix) {
+			return fmt.Errorf("router: routing prefix %s overlaps the number prefix %s of an exchange", c.Routing, entry.Prefix)
 		}
 	}
 	return nil
@@ -220,14 +229,14 @@
 // ingressSettings returns the settings of the clients' fair shares, with the clients in the order of Peers.
 func (c *Config) ingressSettings() ingress.Settings {
 	settings := ingress.Settings{MaxCalls: c.MaxCalls}
-	for _, p := range c.Peers {
-		if p.Kind == PeerClient {
+	for _, peer := range c.Peers {
+		if peer.Kind == PeerClient {
 			settings.Alone = c.NoShares
-			settings.Weights = append(settings.Weights, p.Weight)
+			settings.Weights = append(settings.Weights, peer.Weight)
 		}
 	}
-	for _, k := range c.Classes {
-		settings.TopWorth = max(settings.TopWorth, k.Worth)
+	for _, class := range c.Classes {
+		settings.TopWorth = max(settings.TopWorth, class.Worth)
 	}
 	return settings
 }
@@ -240,8 +249,8 @@
 	if settings.Instances == 0 {
 		settings.Instances = len(c.Exchanges)
 	}
-	for i, e := range c.Exchanges {
-		if e.Number == ownNumber {
+	for i, exchange := range c.Exchanges {
+		if exchange.Number == ownNumber {
 			settings.Me = i
 		}
 	}
@@ -251,8 +260,8 @@
 
 // LogicClasses returns the classes in the form of package logic.
 func (c *Config) LogicClasses() (classes []logic.Class) {
-	for _, k := range c.Classes {
-		classes = append(classes, k.Class)
+	for _, class := range c.Classes {
+		classes = append(classes, class.Class)
 	}
 	return classes
 }
--- a/router/established_test.go
+++ b/router/established_test.go
@@ -18,7 +18,9 @@
 
 // newLargeRouter returns a Router with enough clients, exchanges and circuits for 100,000 calls.
 func newLargeRouter(b *testing.B) (r *Router, now time.Duration, clients, exchanges []*process) {
-	const groupCount = 26 // the same for every number of calls, because the Controller's work on a group grows with all its circuits, busy or not
+	// The same for every number of calls, because the Controller's work on a group grows with all its circuits, busy or
+	// not.
+	const groupCount = 26
 	cfg := testConfig(0, groupCount+1, 1)
 	cfg.LogLevel = slog.LevelError
 	var circuits []uint16
@@ -27,15 +29,15 @@
 			circuits = append(circuits, cic)
 		}
 	}
-	cfg.Peers = slices.DeleteFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
+	cfg.Peers = slices.DeleteFunc(cfg.Peers, func(process Peer) bool { return process.Kind == PeerClient })
 	for i := range cfg.Peers {
 		cfg.Peers[i].Circuits = circuits
 	}
 	for i := range cfg.Numbering { // equal length, so that no prefix begins with another one
 		cfg.Numbering[i].Prefix = fmt.Sprintf("55%03d", cfg.Numbering[i].Exchange)
 	}
-	for g := range groupCount {
-		cfg.Peers = append(cfg.Peers, Peer{Name: fmt.Sprintf("counters%d", g), Kind: PeerClient, PointCode: uint32(5000 + g),
+	for group := range groupCount {
+		cfg.Peers = append(cfg.Peers, Peer{Name: fmt.Sprintf("counters%d", group), Kind: PeerClient, PointCode: uint32(5000 + group),
 			Circuits: circuits, ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}})
 	}
 	r, err := New(cfg, 1)
@@ -45,13 +47,13 @@
 	now = time.Hour
 	r.Start(now, nil)
 	t := &testing.T{}
-	for g := range groupCount {
-		exchanges = append(exchanges, newProcess(t, r, &now, exchangeName(g+1), 0, uint32(102+g), m3ua.RoleIPSPServer))
-		clients = append(clients, newProcess(t, r, &now, fmt.Sprintf("counters%d", g), 0, uint32(5000+g), m3ua.RoleASP))
+	for group := range groupCount {
+		exchanges = append(exchanges, newProcess(t, r, &now, exchangeName(group+1), 0, uint32(102+group), m3ua.RoleIPSPServer))
+		clients = append(clients, newProcess(t, r, &now, fmt.Sprintf("counters%d", group), 0, uint32(5000+group), m3ua.RoleASP))
 	}
-	for _, p := range append(slices.Clone(clients), exchanges...) {
-		p.connect()
-		transferBytes(r, p)
+	for _, process := range append(slices.Clone(clients), exchanges...) {
+		process.connect()
+		transferBytes(r, process)
 	}
 	return r, now, clients, exchanges
 }
@@ -97,12 +99,12 @@
 
 // setUpCall sets up a call, and with release releases it again.
 func setUpCall(b *testing.B, r *Router, now time.Duration, client, exchange *process, cic uint16, release bool) {
-	frame := func(p *process, m *isup.Message) []byte {
+	frame := func(from *process, m *isup.Message) []byte {
 		raw, err := m.Append(nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		return dataFrame(&endpoint{pointCode: p.pointCode, routerPointCode: 101}, raw)
+		return dataFrame(&endpoint{pointCode: from.pointCode, routerPointCode: 101}, raw)
 	}
 	number := fmt.Sprintf("55%03d1234", exchange.pointCode-102+2)
 	setup, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
@@ -112,12 +114,12 @@
 	r.Receive(now, client.linkID, frame(client, setup))
 	outgoingCIC := uint16(0)
 	for _, e := range r.Effects() {
-		w, ok := e.(Write)
-		if !ok || w.Link != exchange.linkID {
+		write, ok := e.(Write)
+		if !ok || write.Link != exchange.linkID {
 			continue
 		}
 		framer := m3ua.Framer{}
-		framer.Write(w.Bytes)
+		framer.Write(write.Bytes)
 		for raw, _ := framer.Next(); raw != nil; raw, _ = framer.Next() {
 			m, _ := m3ua.Decode(raw)
 			payload, _ := m3ua.ReadProtocolData(m)
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -35,34 +35,34 @@
 	for busy := true; busy; {
 		busy = false
 		for _, e := range r.Effects() {
-			w, ok := e.(Write)
+			write, ok := e.(Write)
 			if !ok {
 				continue
 			}
 			busy = true
-			for _, p := range processes {
-				if p.linkID == w.Link && !p.dead {
-					p.assoc.Receive(*p.now, w.Bytes)
+			for _, process := range processes {
+				if process.linkID == write.Link && !process.dead {
+					process.assoc.Receive(*process.now, write.Bytes)
 				}
 			}
 		}
-		for _, p := range processes {
-			for _, i := range p.assoc.Indications() {
-				if i.Kind == m3ua.IndData {
-					m, err := isup.Decode(i.Data.Data)
+		for _, process := range processes {
+			for _, indication := range process.assoc.Indications() {
+				if indication.Kind == m3ua.IndData {
+					message, err := isup.Decode(indication.Data.Data)
 					if err != nil {
-						p.t.Fatal(err)
+						process.t.Fatal(err)
 					}
-					p.received = append(p.received, m)
-					if m.Type == isup.GRS {
-						rng, _ := m.RangeStatus()
-						p.send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: rng.Range}))
+					process.received = append(process.received, message)
+					if message.Type == isup.GRS {
+						rng, _ := message.RangeStatus()
+						process.send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: rng.Range}))
 					}
 				}
 			}
-			if b := p.assoc.Output(); len(b) > 0 && !p.dead {
+			if b := process.assoc.Output(); len(b) > 0 && !process.dead {
 				busy = true
-				r.Receive(*p.now, p.linkID, b)
+				r.Receive(*process.now, process.linkID, b)
 			}
 		}
 	}
@@ -81,9 +81,9 @@
 	p.assoc.Connected(*p.now)
 }
 
-func (p *process) countReceived(t isup.Type) (n int) {
+func (p *process) countReceived(messageType isup.Type) (n int) {
 	for _, m := range p.received {
-		if m.Type == t {
+		if m.Type == messageType {
 			n++
 		}
 	}
@@ -113,12 +113,12 @@
 }
 
 // sendSetup sends the IAM of a call on a circuit.
-func sendSetup(t *testing.T, p *process, cic uint16) {
+func sendSetup(t *testing.T, client *process, cic uint16) {
 	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.send(m)
+	client.send(m)
 }
 
 // An ASP fails during a burst of calls: the calls that it offered are answered to the ASP that takes over, each once.
--- a/router/fair_test.go
+++ b/router/fair_test.go
@@ -137,29 +137,29 @@
 	for busy := true; busy; {
 		busy = false
 		transferBytes(h.router, append([]*process{h.exchange}, h.clients...)...)
-		for _, m := range h.exchange.received {
-			switch busy = true; m.Type {
+		for _, message := range h.exchange.received {
+			switch busy = true; message.Type {
 			case isup.IAM:
-				h.exchange.send(isup.Simple(isup.ACM, m.CIC))
-				h.exchange.send(isup.Simple(isup.ANM, m.CIC))
+				h.exchange.send(isup.Simple(isup.ACM, message.CIC))
+				h.exchange.send(isup.Simple(isup.ANM, message.CIC))
 			case isup.REL:
-				h.exchange.send(isup.Simple(isup.RLC, m.CIC))
+				h.exchange.send(isup.Simple(isup.RLC, message.CIC))
 			}
 		}
 		h.exchange.received = nil
-		for i, client := range h.clients {
-			for _, m := range client.received {
-				switch busy = true; m.Type {
+		for clientIndex, client := range h.clients {
+			for _, message := range client.received {
+				switch busy = true; message.Type {
 				case isup.ANM, isup.CON:
 					if h.now > countFrom {
-						h.established[i]++
+						h.established[clientIndex]++
 					}
-					heap.Push(&h.releases, scheduledRelease{h.now + time.Duration(h.rng.ExpFloat64()*float64(3*time.Second)), clientCall{i, m.CIC}})
+					heap.Push(&h.releases, scheduledRelease{h.now + time.Duration(h.rng.ExpFloat64()*float64(3*time.Second)), clientCall{clientIndex, message.CIC}})
 				case isup.REL:
-					client.send(isup.Simple(isup.RLC, m.CIC))
-					h.freeCircuits[i] = append(h.freeCircuits[i], m.CIC)
+					client.send(isup.Simple(isup.RLC, message.CIC))
+					h.freeCircuits[clientIndex] = append(h.freeCircuits[clientIndex], message.CIC)
 				case isup.RLC:
-					h.freeCircuits[i] = append(h.freeCircuits[i], m.CIC)
+					h.freeCircuits[clientIndex] = append(h.freeCircuits[clientIndex], message.CIC)
 				}
 			}
 			client.received = nil
--- a/router/host.go
+++ b/router/host.go
@@ -12,91 +12,91 @@
 type host struct{ router *Router }
 
 // Send starts an attempt: it seizes circuits and sends an IAM. A failure to do so is reported as a deferred outcome.
-func (h host) Send(id uint64, office string, timeout time.Duration) {
+func (h host) Send(callID uint64, office string, timeout time.Duration) {
 	r := h.router
-	c := r.calls[id]
-	if c == nil || c.outgoing != nil {
-		r.log(slog.LevelError, "attempt for an unknown call, or for one with an outstanding attempt", id, slog.String("office", office))
+	call := r.calls[callID]
+	if call == nil || call.outgoing != nil {
+		r.log(slog.LevelError, "attempt for an unknown call, or for one with an outstanding attempt", callID, slog.String("office", office))
 		return
 	}
-	c.attempts++
-	c.office, c.sentAt, c.attemptDeadline, c.repeats = office, r.now, r.now+timeout, 0
-	r.emit(Decision{At: r.now, Call: id, Action: logic.ActSend, Attempt: c.attempts - 1, Office: office})
-	if status, note := r.sendAttempt(c); status != 0 {
-		r.attemptEnded(c, status, note)
+	call.attempts++
+	call.office, call.sentAt, call.attemptDeadline, call.repeats = office, r.now, r.now+timeout, 0
+	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActSend, Attempt: call.attempts - 1, Office: office})
+	if status, note := r.sendAttempt(call); status != 0 {
+		r.attemptEnded(call, status, note)
 		return
 	}
-	r.armTimer(c.attemptDeadline, timer{kind: timerAttempt, call: id, attempt: c.attempts - 1})
+	r.armTimer(call.attemptDeadline, timer{kind: timerAttempt, call: callID, attempt: call.attempts - 1})
 }
 
 // sendAttempt sends the IAM of an attempt, or reserves its circuits while the call has no set-up. A status other than 0
 // is the reason why it could not.
-func (r *Router) sendAttempt(c *call) (status logic.Status, note int) {
-	p := r.peersByName[c.office]
-	if p == nil {
+func (r *Router) sendAttempt(call *call) (status logic.Status, note int) {
+	peer := r.peersByName[call.office]
+	if peer == nil {
 		return logic.NotSent, 0
 	}
-	if !p.active() {
+	if !peer.active() {
 		return logic.NoConnect, 0
 	}
 	takeCircuits := r.seize
 	switch {
-	case c.withoutCaller():
+	case call.withoutCaller():
 		return logic.NotSent, 0
-	case c.incoming == nil:
+	case call.incoming == nil:
 		takeCircuits = r.reserve
 	}
-	l, ok := takeCircuits(c, p)
+	leg, ok := takeCircuits(call, peer)
 	if !ok {
 		return logic.NotSent, logic.NoteCircuit
 	}
-	c.outgoing = l
+	call.outgoing = leg
 	return 0, 0
 }
 
 // seize seizes circuits toward a peer and sends the IAM of a call on them. It returns false if too few are free.
-func (r *Router) seize(c *call, p *peer) (*leg, bool) {
-	l := &leg{call: c, peer: p}
-	seizure := p.group.Seize(max(1, c.setup.Width), l)
+func (r *Router) seize(call *call, peer *peer) (*leg, bool) {
+	leg := &leg{call: call, peer: peer}
+	seizure := peer.group.Seize(max(1, call.setup.Width), leg)
 	if seizure == nil {
 		return nil, false
 	}
-	l.seizure = seizure
-	p.group.Send(seizure, c.forwardedIAM(r.now, seizure.Map))
-	r.flush(p)
-	r.recordSendPosition(l)
-	r.markPending(p)
-	return l, true
+	leg.seizure = seizure
+	peer.group.Send(seizure, call.forwardedIAM(r.now, seizure.Map))
+	r.flush(peer)
+	r.recordSendPosition(leg)
+	r.markPending(peer)
+	return leg, true
 }
 
 // Refuse gives the final answer that a call is refused.
-func (h host) Refuse(id uint64, wait time.Duration) {
-	if c := h.router.calls[id]; c != nil {
-		h.router.emit(Decision{At: h.router.now, Call: id, Action: logic.ActRefuse})
-		h.router.rejectCall(c, Refused, c.refusalInfo())
+func (h host) Refuse(callID uint64, wait time.Duration) {
+	if call := h.router.calls[callID]; call != nil {
+		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActRefuse})
+		h.router.rejectCall(call, Refused, call.refusalInfo())
 	}
 }
 
 // Fail gives the final answer that a call has failed.
-func (h host) Fail(id uint64) {
-	if c := h.router.calls[id]; c != nil {
-		h.router.emit(Decision{At: h.router.now, Call: id, Action: logic.ActFail})
-		h.router.rejectCall(c, Failed, c.failureInfo())
+func (h host) Fail(callID uint64) {
+	if call := h.router.calls[callID]; call != nil {
+		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActFail})
+		h.router.rejectCall(call, Failed, call.failureInfo())
 	}
 }
 
 // Cancel releases an outstanding attempt.
-func (h host) Cancel(id uint64, attempt int) {
+func (h host) Cancel(callID uint64, attempt int) {
 	r := h.router
-	c := r.calls[id]
-	if c == nil || c.outgoing == nil || c.established || c.attempts-1 != attempt {
+	call := r.calls[callID]
+	if call == nil || call.outgoing == nil || call.established || call.attempts-1 != attempt {
 		return
 	}
-	r.emit(Decision{At: r.now, Call: id, Action: logic.ActCancel, Attempt: attempt, Office: c.office})
-	c.outgoing.peer.group.Release(r.now, c.outgoing.seizure, isup.ReleaseInfo{Cause: isup.CauseNormalUnspecified,
+	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActCancel, Attempt: attempt, Office: call.office})
+	call.outgoing.peer.group.Release(r.now, call.outgoing.seizure, isup.ReleaseInfo{Cause: isup.CauseNormalUnspecified,
 		Location: isup.LocationLocalNetwork})
-	r.markPending(c.outgoing.peer)
-	r.attemptEnded(c, logic.Cancelled, 0)
+	r.markPending(call.outgoing.peer)
+	r.attemptEnded(call, logic.Cancelled, 0)
 }
 
 // Probe does nothing: ISUP has no such message, and the Controller's settings do not allow it.
--- a/router/input.go
+++ b/router/input.go
@@ -47,36 +47,36 @@
 }
 
 // Apply handles an input. It returns the number of circuits changed for InBlock and InReset, and 0 otherwise.
-func (r *Router) Apply(in Input) int {
-	switch in.Kind {
+func (r *Router) Apply(input Input) int {
+	switch input.Kind {
 	case InStart:
-		r.Start(in.At, in.List)
+		r.Start(input.At, input.List)
 	case InConnected:
-		r.Connected(in.At, in.Link)
+		r.Connected(input.At, input.Link)
 	case InDisconnected:
-		r.Disconnected(in.At, in.Link, in.Count)
+		r.Disconnected(input.At, input.Link, input.Count)
 	case InReceive:
-		r.queueDelay = max(0, in.Waited)
-		r.Receive(in.At, in.Link, in.Bytes)
+		r.queueDelay = max(0, input.Waited)
+		r.Receive(input.At, input.Link, input.Bytes)
 		r.queueDelay = 0
 	case InAdvance:
-		r.Advance(in.At)
+		r.Advance(input.At)
 	case InList:
-		r.List(in.At, in.ListKind, in.List)
+		r.List(input.At, input.ListKind, input.List)
 	case InDrain:
-		r.Drain(in.At)
+		r.Drain(input.At)
 	case InUndrain:
-		r.Undrain(in.At)
+		r.Undrain(input.At)
 	case InLeave:
-		r.Leave(in.At)
+		r.Leave(input.At)
 	case InReleaseAll:
-		r.ReleaseAll(in.At)
+		r.ReleaseAll(input.At)
 	case InBlock:
-		return r.Block(in.At, in.Peer, int(in.Count), in.Group, in.On)
+		return r.Block(input.At, input.Peer, int(input.Count), input.Group, input.On)
 	case InAsk:
-		r.Ask(in.At, in.Ask, in.Asker, in.Number)
+		r.Ask(input.At, input.Ask, input.Asker, input.Number)
 	case InReset:
-		return r.Reset(in.At, in.Peer, int(in.Count))
+		return r.Reset(input.At, input.Peer, int(input.Count))
 	}
 	return 0
 }
--- a/router/lease.go
+++ b/router/lease.go
@@ -41,12 +41,13 @@
 // initENUMClients prepares the state of the configured ENUM clients.
 func (r *Router) initENUMClients(seed int64) {
 	r.leasedCalls, r.enumClients = map[string]*call{}, map[string]*enumClient{}
-	r.routingRand = rand.New(rand.NewPCG(uint64(seed), 0x6c65617365)) // a separate source: the Controller's random numbers do not depend on queries
-	for _, a := range r.cfg.Askers {
-		if a.Leases == 0 {
-			a.Leases = defaultMaxLeases
+	// A separate source, so that the Controller's random numbers do not depend on queries. The constant is "lease".
+	r.routingRand = rand.New(rand.NewPCG(uint64(seed), 0x6c65617365))
+	for _, client := range r.cfg.Askers {
+		if client.Leases == 0 {
+			client.Leases = defaultMaxLeases
 		}
-		r.enumClients[a.Name] = &enumClient{Asker: a}
+		r.enumClients[client.Name] = &enumClient{Asker: client}
 	}
 }
 
@@ -84,131 +85,132 @@
 	if entry.Class >= 0 {
 		class = entry.Class
 	}
-	c := &call{id: r.lastCallID, managed: true, class: class, destination: entry.Exchange, hopCounter: r.cfg.Hops, receivedAt: r.now,
+	call := &call{id: r.lastCallID, managed: true, class: class, destination: entry.Exchange, hopCounter: r.cfg.Hops, receivedAt: r.now,
 		setup: isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Width: r.cfg.Classes[class].Width, Hops: -1},
 		lease: &lease{queryID: queryID, enumClient: client, expiresAt: r.now + r.cfg.AskWithin}}
-	r.calls[c.id] = c
+	r.calls[call.id] = call
 	client.activeLeases++
-	if !r.admit(c, client.peer) {
-		r.rejectCall(c, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion})
+	if !r.admit(call, client.peer) {
+		r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion})
 		return
 	}
-	r.armTimer(c.lease.expiresAt, timer{kind: timerLease, call: c.id})
+	r.armTimer(call.lease.expiresAt, timer{kind: timerLease, call: call.id})
 	if r.debugEnabled() {
-		r.log(slog.LevelDebug, "asked", c.id, slog.String("asker", clientName), slog.String("called", number))
+		r.log(slog.LevelDebug, "asked", call.id, slog.String("asker", clientName), slog.String("called", number))
 	}
-	r.controller.Offered(r.now, logic.Call{ID: c.id, Class: class, Dest: c.destination, Width: c.setup.Width, Via: -1, Number: number,
-		TimeLeft: r.remainingPatience(c)})
+	r.controller.Offered(r.now, logic.Call{ID: call.id, Class: class, Dest: call.destination, Width: call.setup.Width,
+		Via: -1, Number: number, TimeLeft: r.remainingPatience(call)})
 }
 
 // reserve reserves circuits for the call of an ENUM client. The first reservation grants the lease.
-func (r *Router) reserve(c *call, p *peer) (*leg, bool) {
-	l := &leg{call: c, peer: p}
-	seizure := p.group.Reserve(max(1, c.setup.Width), l)
+func (r *Router) reserve(call *call, peer *peer) (*leg, bool) {
+	leg := &leg{call: call, peer: peer}
+	seizure := peer.group.Reserve(max(1, call.setup.Width), leg)
 	if seizure == nil {
 		return nil, false
 	}
-	l.seizure = seizure
-	r.markPending(p)
-	if c.lease.routingNumber == "" {
-		for c.lease.routingNumber == "" || r.leasedCalls[c.lease.routingNumber] != nil {
-			c.lease.routingNumber = fmt.Sprintf("%s%0*d", r.cfg.Routing, routingTokenDigits, r.routingRand.IntN(100_000_000))
+	leg.seizure = seizure
+	r.markPending(peer)
+	if call.lease.routingNumber == "" {
+		for call.lease.routingNumber == "" || r.leasedCalls[call.lease.routingNumber] != nil {
+			call.lease.routingNumber = fmt.Sprintf("%s%0*d", r.cfg.Routing, routingTokenDigits, r.routingRand.IntN(100_000_000))
 		}
-		r.leasedCalls[c.lease.routingNumber] = c
-		c.lease.expiresAt = r.now + r.cfg.Lease
-		r.armTimer(c.lease.expiresAt, timer{kind: timerLease, call: c.id})
-		r.emit(Reply{Ask: c.lease.queryID, Verdict: Stands, Routing: c.lease.routingNumber, Exchange: c.office, Until: c.lease.expiresAt})
+		r.leasedCalls[call.lease.routingNumber] = call
+		call.lease.expiresAt = r.now + r.cfg.Lease
+		r.armTimer(call.lease.expiresAt, timer{kind: timerLease, call: call.id})
+		r.emit(Reply{Ask: call.lease.queryID, Verdict: Stands, Routing: call.lease.routingNumber, Exchange: call.office,
+			Until: call.lease.expiresAt})
 	}
-	return l, true
+	return leg, true
 }
 
 // expireLease ends a lease that was not used, or a query that the Controller has not decided in time. It is reported to
 // the Controller as a caller that hung up: nothing was sent, so it says nothing about the exchange.
-func (r *Router) expireLease(c *call) {
-	if c.lease.routingNumber == "" {
-		r.emit(Reply{Ask: c.lease.queryID, Verdict: Refused, Cause: isup.CauseCongestion})
+func (r *Router) expireLease(call *call) {
+	if call.lease.routingNumber == "" {
+		r.emit(Reply{Ask: call.lease.queryID, Verdict: Refused, Cause: isup.CauseCongestion})
 	}
-	r.emit(Answer{At: r.now, Call: c.id, Verdict: HungUp, Elapsed: r.now - c.receivedAt})
-	r.removeLease(c)
-	r.controller.HungUp(r.now, c.id)
-	if c.outgoing == nil {
-		r.forget(c)
+	r.emit(Answer{At: r.now, Call: call.id, Verdict: HungUp, Elapsed: r.now - call.receivedAt})
+	r.removeLease(call)
+	r.controller.HungUp(r.now, call.id)
+	if call.outgoing == nil {
+		r.forget(call)
 	}
 }
 
 // endLease ends the lease of a call that was refused or failed before a set-up came.
-func (r *Router) endLease(c *call, info isup.ReleaseInfo) {
-	if c.lease.routingNumber == "" {
-		r.emit(Reply{Ask: c.lease.queryID, Verdict: verdictOf(info.Cause), Cause: info.Cause})
+func (r *Router) endLease(call *call, info isup.ReleaseInfo) {
+	if call.lease.routingNumber == "" {
+		r.emit(Reply{Ask: call.lease.queryID, Verdict: verdictOf(info.Cause), Cause: info.Cause})
 	}
-	r.removeLease(c)
+	r.removeLease(call)
 }
 
 // removeLease detaches the lease from a call and ends the call's place in the fair share of its client.
-func (r *Router) removeLease(c *call) {
-	r.endAdmission(c)
-	c.lease.enumClient.activeLeases--
-	delete(r.leasedCalls, c.lease.routingNumber)
-	c.lease = nil
+func (r *Router) removeLease(call *call) {
+	r.endAdmission(call)
+	call.lease.enumClient.activeLeases--
+	delete(r.leasedCalls, call.lease.routingNumber)
+	call.lease = nil
 }
 
 // takeOverLease handles an IAM that calls a routing number: the call of its lease goes on with this set-up. It returns
 // false if the called number is not a routing number.
-func (r *Router) takeOverLease(p *peer, seizure *trunk.Seizure, iam *isup.Message) bool {
+func (r *Router) takeOverLease(client *peer, seizure *trunk.Seizure, iam *isup.Message) bool {
 	setup, err := iam.Setup()
 	if err != nil || r.cfg.Routing == "" || !strings.HasPrefix(setup.Called.Digits, r.cfg.Routing) {
 		return false
 	}
-	c := r.leasedCalls[setup.Called.Digits]
-	if c == nil || c.lease.enumClient.peer != p || max(1, setup.Width) != max(1, c.setup.Width) {
-		r.log(slog.LevelWarn, "set-up with a routing number that is not leased to this client", 0, slog.String("peer", p.cfg.Name))
+	leased := r.leasedCalls[setup.Called.Digits]
+	if leased == nil || leased.lease.enumClient.peer != client || max(1, setup.Width) != max(1, leased.setup.Width) {
+		r.log(slog.LevelWarn, "set-up with a routing number that is not leased to this client", 0, slog.String("peer", client.cfg.Name))
 		r.lastCallID++
 		rejected := &call{id: r.lastCallID, receivedAt: r.now - r.queueDelay}
-		rejected.incoming = &leg{call: rejected, peer: p, seizure: seizure}
+		rejected.incoming = &leg{call: rejected, peer: client, seizure: seizure}
 		seizure.Owner = rejected.incoming
 		r.calls[rejected.id] = rejected
 		r.rejectCall(rejected, Failed, isup.ReleaseInfo{Cause: isup.CauseRejected, Location: isup.LocationLocalNetwork})
 		return true
 	}
-	c.iam = copyMessage(iam)
-	if err := c.iam.SetCalled(c.setup.Called); err != nil {
-		r.log(slog.LevelError, "called number of a lease cannot be encoded", c.id, slog.Any("err", err))
+	leased.iam = copyMessage(iam)
+	if err := leased.iam.SetCalled(leased.setup.Called); err != nil {
+		r.log(slog.LevelError, "called number of a lease cannot be encoded", leased.id, slog.Any("err", err))
 	}
-	c.setup.Elapsed = setup.Elapsed
-	c.incoming = &leg{call: c, peer: p, seizure: seizure}
-	seizure.Owner = c.incoming
-	r.emit(Taken{Ask: c.lease.queryID})
-	admitted := c.admitted
-	c.admitted = false // stays in the fair share; the incoming leg ends it
-	r.removeLease(c)
-	c.admitted = admitted
-	r.sendReservedSetup(c)
+	leased.setup.Elapsed = setup.Elapsed
+	leased.incoming = &leg{call: leased, peer: client, seizure: seizure}
+	seizure.Owner = leased.incoming
+	r.emit(Taken{Ask: leased.lease.queryID})
+	admitted := leased.admitted
+	leased.admitted = false // stays in the fair share; the incoming leg ends it
+	r.removeLease(leased)
+	leased.admitted = admitted
+	r.sendReservedSetup(leased)
 	return true
 }
 
 // sendReservedSetup sends the IAM of a call whose lease was taken over, on its reserved circuits. If the exchange is no
 // longer ready (rule 3), its association is down or the circuits were lost, the attempt ends without having run, and the
 // Controller decides again.
-func (r *Router) sendReservedSetup(c *call) {
-	l := c.outgoing
-	if l == nil {
+func (r *Router) sendReservedSetup(call *call) {
+	leg := call.outgoing
+	if leg == nil {
 		return // the reservation was lost and the Controller has found no other route yet; its next attempt will send the IAM
 	}
-	p := l.peer
-	ready := r.effectiveOffice(r.offices[c.office]).State == logic.Ready
-	if !ready || !p.active() || !p.group.Begin(l.seizure) {
-		p.group.Drop(l.seizure)
-		r.markPending(p)
+	peer := leg.peer
+	ready := r.effectiveOffice(r.offices[call.office]).State == logic.Ready
+	if !ready || !peer.active() || !peer.group.Begin(leg.seizure) {
+		peer.group.Drop(leg.seizure)
+		r.markPending(peer)
 		status := logic.NotSent
-		if ready && !p.active() {
+		if ready && !peer.active() {
 			status = logic.NoConnect
 		}
-		r.attemptEnded(c, status, logic.NoteCircuit)
+		r.attemptEnded(call, status, logic.NoteCircuit)
 		return
 	}
-	c.sentAt = r.now // so that the Controller measures the delay of the exchange, without that of the ENUM client
-	p.group.Send(l.seizure, c.forwardedIAM(r.now, l.seizure.Map))
-	r.flush(p)
-	r.recordSendPosition(l)
-	r.markPending(p)
+	call.sentAt = r.now // so that the Controller measures the delay of the exchange, without that of the ENUM client
+	peer.group.Send(leg.seizure, call.forwardedIAM(r.now, leg.seizure.Map))
+	r.flush(peer)
+	r.recordSendPosition(leg)
+	r.markPending(peer)
 }
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -14,10 +14,10 @@
 	n := &testNetwork{t: t, routers: map[string]*Router{}, endpoints: map[string]*endpoint{}, effects: map[string][]Effect{},
 		linkDelay: 5 * time.Millisecond, disconnected: map[string]bool{}, now: time.Hour}
 	for i := range count {
-		c := testConfig(i, count, circuits)
-		c.Askers = []Asker{{Name: "dns", Client: "counters", Leases: 3}}
-		c.Routing, c.Lease, c.AskWithin = "99", 200*time.Millisecond, time.Second
-		n.addRouter(c)
+		config := testConfig(i, count, circuits)
+		config.Askers = []Asker{{Name: "dns", Client: "counters", Leases: 3}}
+		config.Routing, config.Lease, config.AskWithin = "99", 200*time.Millisecond, time.Second
+		n.addRouter(config)
 	}
 	for _, name := range n.exchangeNames() {
 		n.connect(name)
@@ -218,7 +218,8 @@
 	n.routers["a"].Apply(Input{At: n.now, Kind: InAsk, Ask: 13, Asker: "stranger", Number: "5521"})
 	n.deliver("a")
 	got := n.replies("a")
-	if got[5].Cause != isup.CauseCongestion || got[6].Cause != isup.CauseUnallocated || got[7].Cause != isup.CauseRejected || got[8].Cause != isup.CauseRejected {
+	if got[5].Cause != isup.CauseCongestion || got[6].Cause != isup.CauseUnallocated ||
+		got[7].Cause != isup.CauseRejected || got[8].Cause != isup.CauseRejected {
 		t.Errorf("replies %+v", got[5:])
 	}
 }
@@ -262,7 +263,8 @@
 		}
 		return out
 	}
-	if setUpDirectly, afterQuery := decisions(false), decisions(true); len(setUpDirectly) < 5 || !slices.Contains(setUpDirectly, "c") || !slices.Equal(setUpDirectly, afterQuery) {
+	if setUpDirectly, afterQuery := decisions(false), decisions(true); len(setUpDirectly) < 5 ||
+		!slices.Contains(setUpDirectly, "c") || !slices.Equal(setUpDirectly, afterQuery) {
 		t.Errorf("set up directly: %v\nqueried first: %v", setUpDirectly, afterQuery)
 	}
 }
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -101,22 +101,22 @@
 	r := n.routers[name]
 	for _, e := range r.Effects() {
 		n.effects[name] = append(n.effects[name], e)
-		w, ok := e.(Write)
+		write, ok := e.(Write)
 		if !ok {
 			continue
 		}
-		peer := r.links[w.Link].peer.cfg.Name
+		peer := r.links[write.Link].peer.cfg.Name
 		if n.disconnected[linkKey(name, peer)] {
 			continue
 		}
 		if to := n.routers[peer]; to != nil {
-			n.recordSetups(name, peer, w.Bytes)
+			n.recordSetups(name, peer, write.Bytes)
 			id, _ := to.Link(name, 0)
-			n.after(n.linkDelay, func() { to.Receive(n.now, id, w.Bytes); n.deliver(peer) })
+			n.after(n.linkDelay, func() { to.Receive(n.now, id, write.Bytes); n.deliver(peer) })
 			continue
 		}
 		end := n.endpoints[name+"/"+peer]
-		n.after(time.Millisecond, func() { end.assoc.Receive(n.now, w.Bytes); n.processEndpoint(name, peer) })
+		n.after(time.Millisecond, func() { end.assoc.Receive(n.now, write.Bytes); n.processEndpoint(name, peer) })
 	}
 }
 
@@ -142,18 +142,18 @@
 		if indication.Kind != m3ua.IndData {
 			continue
 		}
-		m, err := isup.Decode(indication.Data.Data)
+		message, err := isup.Decode(indication.Data.Data)
 		if err != nil {
 			n.t.Fatal(err)
 		}
-		end.received = append(end.received, m)
-		if m.Type == isup.GRS {
-			r, _ := m.RangeStatus()
-			end.send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: r.Range}))
-		} else if m.Type == isup.RSC {
-			end.send(isup.Simple(isup.RLC, m.CIC))
+		end.received = append(end.received, message)
+		if message.Type == isup.GRS {
+			r, _ := message.RangeStatus()
+			end.send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: r.Range}))
+		} else if message.Type == isup.RSC {
+			end.send(isup.Simple(isup.RLC, message.CIC))
 		} else if end.onMessage != nil {
-			end.onMessage(m)
+			end.onMessage(message)
 		}
 	}
 	if b := end.assoc.Output(); len(b) > 0 && !n.disconnected[linkKey(router, peer)] {
@@ -175,8 +175,9 @@
 	for i := range clientCircuits {
 		clientCircuits[i] = uint16(i + 1)
 	}
-	c := Config{Name: exchangeName(index), Attempts: 5, Tick: 5 * time.Millisecond, Release: 200 * time.Millisecond,
-		DrainGrace: time.Second, TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 12 * time.Second, Network: 2, LogLevel: slog.LevelDebug,
+	config := Config{Name: exchangeName(index), Attempts: 5, Tick: 5 * time.Millisecond, Release: 200 * time.Millisecond,
+		DrainGrace: time.Second, TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 12 * time.Second,
+		Network: 2, LogLevel: slog.LevelDebug,
 		Timers: trunk.Timers{T1: time.Second, T5: 5 * time.Second, T12: time.Second, T13: 5 * time.Second},
 		Classes: []Class{
 			{Class: logic.Class{Name: "one", Worth: 1, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, Safe: true},
@@ -184,20 +185,22 @@
 			{Class: logic.Class{Name: "wide", Worth: 3, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 2, Safe: true},
 				Category: 11, Patience: 3 * time.Second}}}
 	for i := range count {
-		c.Exchanges = append(c.Exchanges, Exchange{i + 1, exchangeName(i), uint32(101 + i)})
-		c.Numbering = append(c.Numbering, numbering.Entry{Prefix: fmt.Sprintf("55%d", i+1), Exchange: i + 1, Class: -1})
+		config.Exchanges = append(config.Exchanges, Exchange{i + 1, exchangeName(i), uint32(101 + i)})
+		config.Numbering = append(config.Numbering, numbering.Entry{Prefix: fmt.Sprintf("55%d", i+1), Exchange: i + 1, Class: -1})
 		if i != index {
 			role := m3ua.RoleIPSPServer
 			if index < i {
 				role = m3ua.RoleIPSPClient
 			}
-			c.Peers = append(c.Peers, Peer{Name: exchangeName(i), PointCode: uint32(101 + i), Circuits: trunkCircuits, ASPs: []m3ua.Settings{{Role: role, Beat: -1}}})
+			config.Peers = append(config.Peers, Peer{Name: exchangeName(i), PointCode: uint32(101 + i), Circuits: trunkCircuits,
+				ASPs: []m3ua.Settings{{Role: role, Beat: -1}}})
 		}
 	}
 	sgp := []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}
-	c.Peers = append(c.Peers, Peer{Name: "counters", Kind: PeerClient, PointCode: uint32(2001 + index), Circuits: clientCircuits, ASPs: sgp},
+	config.Peers = append(config.Peers,
+		Peer{Name: "counters", Kind: PeerClient, PointCode: uint32(2001 + index), Circuits: clientCircuits, ASPs: sgp},
 		Peer{Name: "lines", Kind: PeerSubscribers, PointCode: uint32(3001 + index), Circuits: clientCircuits, ASPs: sgp})
-	return c
+	return config
 }
 
 func exchangeName(i int) string { return string(rune('a' + i)) }
@@ -231,11 +234,11 @@
 // connect establishes all connections of a Router.
 func (n *testNetwork) connect(name string) {
 	r := n.routers[name]
-	for _, p := range r.cfg.Peers {
-		id, _ := r.Link(p.Name, 0)
+	for _, peer := range r.cfg.Peers {
+		id, _ := r.Link(peer.Name, 0)
 		r.Connected(n.now, id)
-		if p.Kind != PeerExchange {
-			n.addEndpoint(name, p)
+		if peer.Kind != PeerExchange {
+			n.addEndpoint(name, peer)
 		}
 		n.deliver(name)
 	}
@@ -243,7 +246,8 @@
 
 // addEndpoint creates the scripted endpoint for a peer of an exchange, and connects it.
 func (n *testNetwork) addEndpoint(exchange string, peer Peer) {
-	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, Beat: -1}), pointCode: peer.PointCode, routerPointCode: n.routers[exchange].ownExchange.PointCode}
+	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, Beat: -1}), pointCode: peer.PointCode,
+		routerPointCode: n.routers[exchange].ownExchange.PointCode}
 	end.send = func(m *isup.Message) {
 		b, err := m.Append(nil)
 		if err != nil {
--- a/router/router.go
+++ b/router/router.go
@@ -59,20 +59,21 @@
 		cfg.Hops = defaultHopCounter
 	}
 	r := &Router{cfg: cfg, ownExchange: own, peersByName: map[string]*peer{}, peersByPointCode: map[uint32]*peer{},
-		calls: map[uint64]*call{}, offices: map[string]logic.Office{}, exchangeNumbers: map[string]int{}, categories: numbering.Categories{}}
+		calls: map[uint64]*call{}, offices: map[string]logic.Office{}, exchangeNumbers: map[string]int{},
+		categories: numbering.Categories{}}
 	r.initENUMClients(seed)
 	var err error
 	if r.numberingTable, err = numbering.NewTable(cfg.Numbering); err != nil {
 		return nil, err
 	}
-	for _, e := range cfg.Exchanges {
-		r.exchangeNumbers[e.Name] = e.Number
+	for _, exchange := range cfg.Exchanges {
+		r.exchangeNumbers[exchange.Name] = exchange.Number
 	}
-	for i, k := range cfg.Classes {
-		r.categories[k.Category] = i
+	for i, class := range cfg.Classes {
+		r.categories[class.Category] = i
 	}
-	for i, p := range cfg.Peers {
-		if err := r.addPeer(PeerID(i), p); err != nil {
+	for i, peer := range cfg.Peers {
+		if err := r.addPeer(PeerID(i), peer); err != nil {
 			return nil, err
 		}
 	}
@@ -88,22 +89,22 @@
 func (r *Router) Start(now time.Duration, offices []logic.Office) {
 	r.now = now
 	if len(offices) == 0 {
-		for _, e := range r.cfg.Exchanges {
-			offices = append(offices, logic.Office{ID: e.Name, Exchange: e.Number})
+		for _, exchange := range r.cfg.Exchanges {
+			offices = append(offices, logic.Office{ID: exchange.Name, Exchange: exchange.Number})
 		}
 	}
 	r.List(now, logic.ListRestored, offices)
-	for _, p := range r.peers {
-		r.reportCircuits(p)
+	for _, peer := range r.peers {
+		r.reportCircuits(peer)
 	}
 	r.processPending()
 }
 
 // Connected reports that a transport connection has been established.
 func (r *Router) Connected(now time.Duration, id LinkID) {
-	l := r.beginLinkInput(now, id)
-	l.bytesWritten = 0
-	l.assoc.Connected(now)
+	link := r.beginLinkInput(now, id)
+	link.bytesWritten = 0
+	link.assoc.Connected(now)
 	r.processPending()
 }
 
@@ -111,18 +112,18 @@
 // since Connected that were handed to the transport; a negative value means all of them. An IAM that was not written
 // completely never reached the peer, so its attempt never ran.
 func (r *Router) Disconnected(now time.Duration, id LinkID, written int64) {
-	l := r.beginLinkInput(now, id)
-	confirmed := l.assoc.Confirmed()
-	l.assoc.Lost()
+	link := r.beginLinkInput(now, id)
+	confirmed := link.assoc.Confirmed()
+	link.assoc.Lost()
 	r.processPending() // first decide which process takes over the traffic
-	r.handleConnectionLoss(l, written, confirmed)
+	r.handleConnectionLoss(link, written, confirmed)
 	r.processPending()
 }
 
 // Receive handles bytes read from a connection. They may be split at any position.
 func (r *Router) Receive(now time.Duration, id LinkID, data []byte) {
-	l := r.beginLinkInput(now, id)
-	l.assoc.Receive(now, data)
+	link := r.beginLinkInput(now, id)
+	link.assoc.Receive(now, data)
 	r.processPending()
 }
 
@@ -160,7 +161,7 @@
 // effectiveOffice returns the office as it is reported to the Controller: an exchange that has announced itself that it
 // goes out of service counts as draining, even where service discovery still has it as ready.
 func (r *Router) effectiveOffice(office logic.Office) logic.Office {
-	if p := r.peersByName[office.ID]; p != nil && p.announcedDrain && office.State == logic.Ready {
+	if peer := r.peersByName[office.ID]; peer != nil && peer.announcedDrain && office.State == logic.Ready {
 		office.State = logic.Draining
 	}
 	return office
@@ -211,9 +212,9 @@
 
 // announce sends a network management message to all other exchanges.
 func (r *Router) announce(kind m3ua.Kind) {
-	for _, p := range r.peers {
-		if p.cfg.Kind == PeerExchange {
-			r.sendNetworkManagement(p, kind, 0)
+	for _, peer := range r.peers {
+		if peer.cfg.Kind == PeerExchange {
+			r.sendNetworkManagement(peer, kind, 0)
 		}
 	}
 }
@@ -221,11 +222,11 @@
 // Leave closes the associations in order (ASPIA, ASPDN). Calls should have ended before.
 func (r *Router) Leave(now time.Duration) {
 	r.now = now
-	for _, p := range r.peers {
-		for _, l := range p.links {
-			l.assoc.Leave(now)
+	for _, peer := range r.peers {
+		for _, link := range peer.links {
+			link.assoc.Leave(now)
 		}
-		r.markPending(p)
+		r.markPending(peer)
 	}
 	r.processPending()
 }
@@ -234,28 +235,28 @@
 // with a failure.
 func (r *Router) ReleaseAll(now time.Duration) {
 	r.now = now
-	for _, c := range r.callsInOrder() {
-		r.releaseCall(c, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder, Location: isup.LocationLocalNetwork})
+	for _, call := range r.callsInOrder() {
+		r.releaseCall(call, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder, Location: isup.LocationLocalNetwork})
 		r.processPending()
 	}
 }
 
 // Block blocks n circuits of the group toward a peer from this end, or unblocks n. It returns the number of circuits
 // that changed.
-func (r *Router) Block(now time.Duration, id PeerID, n int, kind isup.GroupType, blocked bool) int {
-	p := r.beginPeerInput(now, id)
-	n = p.group.Block(now, n, kind, blocked)
+func (r *Router) Block(now time.Duration, id PeerID, count int, kind isup.GroupType, blocked bool) int {
+	peer := r.beginPeerInput(now, id)
+	count = peer.group.Block(now, count, kind, blocked)
 	r.processPending()
-	return n
+	return count
 }
 
 // Reset resets the first n circuits with calls on the group toward a peer, which drops these calls at both ends. It
 // returns the number of circuits reset.
-func (r *Router) Reset(now time.Duration, id PeerID, n int) int {
-	p := r.beginPeerInput(now, id)
-	busy := p.group.Busy()
-	busy = busy[:min(max(n, 0), len(busy))]
-	p.group.Reset(now, busy)
+func (r *Router) Reset(now time.Duration, id PeerID, count int) int {
+	peer := r.beginPeerInput(now, id)
+	busy := peer.group.Busy()
+	busy = busy[:min(max(count, 0), len(busy))]
+	peer.group.Reset(now, busy)
 	r.processPending()
 	return len(busy)
 }
@@ -263,24 +264,24 @@
 // beginPeerInput advances the time for an input about a peer, and marks the peer as pending.
 func (r *Router) beginPeerInput(now time.Duration, id PeerID) *peer {
 	r.now = now
-	p := r.peers[id]
-	r.markPending(p)
-	return p
+	peer := r.peers[id]
+	r.markPending(peer)
+	return peer
 }
 
 // beginLinkInput advances the time for an input about a connection, and marks its peer as pending.
 func (r *Router) beginLinkInput(now time.Duration, id LinkID) *link {
 	r.now = now
-	l := r.links[id]
-	r.markPending(l.peer)
-	return l
+	link := r.links[id]
+	r.markPending(link.peer)
+	return link
 }
 
 // markPending makes processPending look at a peer.
-func (r *Router) markPending(p *peer) {
-	if !p.pending {
-		p.pending = true
-		r.pendingPeers = append(r.pendingPeers, p)
+func (r *Router) markPending(peer *peer) {
+	if !peer.pending {
+		peer.pending = true
+		r.pendingPeers = append(r.pendingPeers, peer)
 	}
 }
 
@@ -293,10 +294,10 @@
 			r.deferred[executed]()
 		}
 		if processed < len(r.pendingPeers) {
-			p := r.pendingPeers[processed]
+			peer := r.pendingPeers[processed]
 			processed++
-			p.pending = false
-			r.processPeer(p)
+			peer.pending = false
+			r.processPeer(peer)
 		}
 	}
 	clear(r.deferred)
@@ -357,39 +358,39 @@
 }
 
 // armTimer arms a timer that expires at the given time.
-func (r *Router) armTimer(at time.Duration, t timer) {
-	t.expiresAt = at
-	r.timers.Arm(at, t)
+func (r *Router) armTimer(expiresAt time.Duration, t timer) {
+	t.expiresAt = expiresAt
+	r.timers.Arm(expiresAt, t)
 }
 
 // fireTimer handles an expired timer. Timers are never disarmed, so those of calls and peers are checked first for
 // whether they still apply.
-func (r *Router) fireTimer(t timer) {
-	switch t.kind {
+func (r *Router) fireTimer(expired timer) {
+	switch expired.kind {
 	case timerMark:
-		r.controller.Timer(r.now, t.mark)
+		r.controller.Timer(r.now, expired.mark)
 	case timerAttempt:
-		if c := r.calls[t.call]; c != nil && c.outgoing != nil && !c.established && c.attempts-1 == t.attempt {
-			r.timeOutAttempt(c)
+		if call := r.calls[expired.call]; call != nil && call.outgoing != nil && !call.established && call.attempts-1 == expired.attempt {
+			r.timeOutAttempt(call)
 		}
 	case timerAnswerDeadline:
-		if c := r.calls[t.call]; c != nil && !c.established && !c.managed {
-			r.releaseCall(c, isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork})
+		if call := r.calls[expired.call]; call != nil && !call.established && !call.managed {
+			r.releaseCall(call, isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork})
 		}
 	case timerLease:
-		if c := r.calls[t.call]; c != nil && c.lease != nil && c.incoming == nil && r.now >= c.lease.expiresAt {
-			r.expireLease(c)
+		if call := r.calls[expired.call]; call != nil && call.lease != nil && call.incoming == nil && r.now >= call.lease.expiresAt {
+			r.expireLease(call)
 		}
 	case timerPeer:
-		p := r.peers[t.peer]
-		if p.timerAt == t.expiresAt {
-			p.timerAt = 0
-			for _, l := range p.links {
-				l.assoc.Tick(r.now)
+		peer := r.peers[expired.peer]
+		if peer.timerAt == expired.expiresAt {
+			peer.timerAt = 0
+			for _, link := range peer.links {
+				link.assoc.Tick(r.now)
 			}
-			p.as.Tick(r.now)
-			p.group.Tick(r.now)
-			r.markPending(p)
+			peer.as.Tick(r.now)
+			peer.group.Tick(r.now)
+			r.markPending(peer)
 		}
 	}
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -140,7 +140,8 @@
 	n.runUntil(n.now + 4*time.Second)
 	receivedAtA, receivedAtB := n.receivedTypes("a", 2), n.receivedTypes("b", 2)
 	answered := []isup.Type{isup.ACM, isup.ANM}
-	if slices.Equal(receivedAtA, answered) == slices.Equal(receivedAtB, answered) || !slices.Equal(receivedAtA, answered) && !slices.Equal(receivedAtA, []isup.Type{isup.REL}) {
+	if slices.Equal(receivedAtA, answered) == slices.Equal(receivedAtB, answered) ||
+		!slices.Equal(receivedAtA, answered) && !slices.Equal(receivedAtA, []isup.Type{isup.REL}) {
 		t.Errorf("want exactly one call established: %v and %v", receivedAtA, receivedAtB)
 	}
 	larger := newTestNetwork(t, 2, 4) // with one more circuit, the set-up that lost is repeated on it
@@ -149,7 +150,8 @@
 	larger.offerCall("a", 3, "5522", 1)
 	larger.offerCall("b", 3, "5512", 2)
 	larger.runUntil(larger.now + 4*time.Second)
-	if receivedAtA, receivedAtB := larger.receivedTypes("a", 3), larger.receivedTypes("b", 3); len(receivedAtA) == 0 || !slices.Equal(receivedAtB, answered) {
+	if receivedAtA, receivedAtB := larger.receivedTypes("a", 3), larger.receivedTypes("b", 3); len(receivedAtA) == 0 ||
+		!slices.Equal(receivedAtB, answered) {
 		t.Errorf("want the wide call established: %v and %v", receivedAtA, receivedAtB)
 	}
 }
@@ -351,7 +353,8 @@
 		other.runUntil(other.now + 11*time.Millisecond)
 	}
 	besideOther.runUntil(besideOther.now + 4*time.Second)
-	if decisionsAlone, decisionsBeside := alone.decisions("a"), besideOther.decisions("a"); len(decisionsAlone) < 40 || !reflect.DeepEqual(decisionsAlone, decisionsBeside) {
+	if decisionsAlone, decisionsBeside := alone.decisions("a"), besideOther.decisions("a"); len(decisionsAlone) < 40 ||
+		!reflect.DeepEqual(decisionsAlone, decisionsBeside) {
 		t.Errorf("%d and %d lines differ", len(decisionsAlone), len(decisionsBeside))
 	}
 }
@@ -379,25 +382,25 @@
 
 func TestConfigFaults(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"not among":         func(c *Config) { c.Name = "z" },
-		"no classes":        func(c *Config) { c.Classes = nil },
-		"configured twice":  func(c *Config) { c.Exchanges[1].Number = 1 },
-		"point code":        func(c *Config) { c.Exchanges[1].PointCode = 101 },
-		"same category":     func(c *Config) { c.Classes[1].Category = 10 },
-		"patience":          func(c *Config) { c.Classes[0].Patience = time.Minute },
-		"transmission":      func(c *Config) { c.Classes[1].Width = 31 },
-		"release":           func(c *Config) { c.Release = 0 },
-		"not match another": func(c *Config) { c.Peers[0].PointCode = 999 },
-		"peer \"lines\"":    func(c *Config) { c.Peers[1].Name = "lines" },
-		"has the point":     func(c *Config) { c.Peers[1].PointCode = 102 },
-		"slot 0":            func(c *Config) { c.Peers[0].Circuits = []uint16{64} },
-		"not 1 to 15":       func(c *Config) { c.Numbering[0].Prefix = "x" },
-		"negative value":    func(c *Config) { c.Classes[0].Hold = -1 },
-		"MaxAttempts":       func(c *Config) { c.Attempts = -1 },
+		"not among":         func(config *Config) { config.Name = "z" },
+		"no classes":        func(config *Config) { config.Classes = nil },
+		"configured twice":  func(config *Config) { config.Exchanges[1].Number = 1 },
+		"point code":        func(config *Config) { config.Exchanges[1].PointCode = 101 },
+		"same category":     func(config *Config) { config.Classes[1].Category = 10 },
+		"patience":          func(config *Config) { config.Classes[0].Patience = time.Minute },
+		"transmission":      func(config *Config) { config.Classes[1].Width = 31 },
+		"release":           func(config *Config) { config.Release = 0 },
+		"not match another": func(config *Config) { config.Peers[0].PointCode = 999 },
+		"peer \"lines\"":    func(config *Config) { config.Peers[1].Name = "lines" },
+		"has the point":     func(config *Config) { config.Peers[1].PointCode = 102 },
+		"slot 0":            func(config *Config) { config.Peers[0].Circuits = []uint16{64} },
+		"not 1 to 15":       func(config *Config) { config.Numbering[0].Prefix = "x" },
+		"negative value":    func(config *Config) { config.Classes[0].Hold = -1 },
+		"MaxAttempts":       func(config *Config) { config.Attempts = -1 },
 	} {
-		c := testConfig(0, 2, 4)
-		change(&c)
-		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), want) {
+		config := testConfig(0, 2, 4)
+		change(&config)
+		if _, err := New(config, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		} else if errors.Unwrap(err) == nil && strings.Contains(want, "MaxAttempts") {
 			t.Errorf("%s: the wrapped error is lost", want)
--- a/router/status.go
+++ b/router/status.go
@@ -54,22 +54,22 @@
 
 // Calls lists up to limit calls in progress, oldest first.
 func (r *Router) Calls(now time.Duration, limit int) (views []CallView) {
-	for _, c := range r.callsInOrder() {
+	for _, call := range r.callsInOrder() {
 		if len(views) == limit {
 			break
 		}
-		view := CallView{ID: c.id, Called: c.setup.Called.Digits, Class: "?", Attempts: c.attempts, State: "waiting",
-			Age: now - c.receivedAt}
-		if c.class >= 0 {
-			view.Class = r.cfg.Classes[c.class].Name
+		view := CallView{ID: call.id, Called: call.setup.Called.Digits, Class: "?", Attempts: call.attempts, State: "waiting",
+			Age: now - call.receivedAt}
+		if call.class >= 0 {
+			view.Class = r.cfg.Classes[call.class].Name
 		}
-		if c.incoming != nil {
-			view.From = c.incoming.peer.cfg.Name
+		if call.incoming != nil {
+			view.From = call.incoming.peer.cfg.Name
 		}
-		if c.outgoing != nil {
-			view.To, view.State = c.outgoing.peer.cfg.Name, "out"
+		if call.outgoing != nil {
+			view.To, view.State = call.outgoing.peer.cfg.Name, "out"
 		}
-		if c.established {
+		if call.established {
 			view.State = "stands"
 		}
 		views = append(views, view)
@@ -79,8 +79,8 @@
 
 // Held returns the number of calls in progress, and how many of them have no final answer yet.
 func (r *Router) Held() (calls, unanswered int) {
-	for _, c := range r.calls {
-		if !c.established && c.incoming != nil {
+	for _, call := range r.calls {
+		if !call.established && call.incoming != nil {
 			unanswered++
 		}
 	}
@@ -92,24 +92,24 @@
 
 // Groups lists the trunk groups in the order of Config.Peers.
 func (r *Router) Groups() (views []GroupView) {
-	for _, p := range r.peers {
-		byState, blocked := p.group.States()
-		views = append(views, GroupView{Peer: p.cfg.Name, Kind: p.cfg.Kind, Size: p.group.Size(), Total: p.group.Total(),
-			Spare: p.group.Spare(), Out: byState[1], In: byState[2], Releasing: byState[3], Resetting: byState[4], Blocked: blocked})
+	for _, peer := range r.peers {
+		byState, blocked := peer.group.States()
+		views = append(views, GroupView{Peer: peer.cfg.Name, Kind: peer.cfg.Kind, Size: peer.group.Size(), Total: peer.group.Total(),
+			Spare: peer.group.Spare(), Out: byState[1], In: byState[2], Releasing: byState[3], Resetting: byState[4], Blocked: blocked})
 	}
 	return views
 }
 
 // Exchanges lists the exchanges in the order of Config.Exchanges.
 func (r *Router) Exchanges() (views []ExchangeView) {
-	for _, e := range r.cfg.Exchanges {
-		view := ExchangeView{Name: e.Name, State: logic.Gone}
-		if office, ok := r.offices[e.Name]; ok {
+	for _, exchange := range r.cfg.Exchanges {
+		view := ExchangeView{Name: exchange.Name, State: logic.Gone}
+		if office, ok := r.offices[exchange.Name]; ok {
 			office = r.effectiveOffice(office)
 			view.State, view.Started = office.State, office.Started
 		}
-		if p := r.peersByName[e.Name]; p != nil {
-			view.AnnouncedDrain = p.announcedDrain
+		if peer := r.peersByName[exchange.Name]; peer != nil {
+			view.AnnouncedDrain = peer.announcedDrain
 		}
 		views = append(views, view)
 	}
@@ -118,10 +118,10 @@
 
 // Associations lists the associations in the order of Config.Peers and Peer.ASPs.
 func (r *Router) Associations() (views []AssociationView) {
-	for _, p := range r.peers {
-		for _, l := range p.links {
-			views = append(views, AssociationView{Peer: p.cfg.Name, ASP: l.aspIndex, AS: p.as.State(), State: l.assoc.State(),
-				Sent: l.bytesWritten, Held: len(p.heldMessages)})
+	for _, peer := range r.peers {
+		for _, link := range peer.links {
+			views = append(views, AssociationView{Peer: peer.cfg.Name, ASP: link.aspIndex, AS: peer.as.State(), State: link.assoc.State(),
+				Sent: link.bytesWritten, Held: len(peer.heldMessages)})
 		}
 	}
 	return views
@@ -129,29 +129,29 @@
 
 // Peer returns the peer with a name, or false if there is none.
 func (r *Router) Peer(name string) (PeerID, bool) {
-	p := r.peersByName[name]
-	if p == nil {
+	peer := r.peersByName[name]
+	if peer == nil {
 		return 0, false
 	}
-	return p.id, true
+	return peer.id, true
 }
 
 // Link returns the connection of a process of a peer, or false if there is none.
 func (r *Router) Link(peer string, asp int) (LinkID, bool) {
-	p := r.peersByName[peer]
-	if p == nil || asp < 0 || asp >= len(p.links) {
+	found := r.peersByName[peer]
+	if found == nil || asp < 0 || asp >= len(found.links) {
 		return 0, false
 	}
-	return p.links[asp].id, true
+	return found.links[asp].id, true
 }
 
 // LinkName returns the name of a connection for operators.
 func (r *Router) LinkName(id LinkID) string {
-	l := r.links[id]
-	if len(l.peer.links) == 1 {
-		return l.peer.cfg.Name
+	link := r.links[id]
+	if len(link.peer.links) == 1 {
+		return link.peer.cfg.Name
 	}
-	return fmt.Sprintf("%s/%d", l.peer.cfg.Name, l.aspIndex)
+	return fmt.Sprintf("%s/%d", link.peer.cfg.Name, link.aspIndex)
 }
 
 // Name returns the name of the own exchange.
@@ -159,9 +159,9 @@
 
 // Exchange returns the configuration of an exchange, or false if there is none of that name.
 func (r *Router) Exchange(name string) (Exchange, bool) {
-	for _, e := range r.cfg.Exchanges {
-		if e.Name == name {
-			return e, true
+	for _, exchange := range r.cfg.Exchanges {
+		if exchange.Name == name {
+			return exchange, true
 		}
 	}
 	return Exchange{}, false
