--- a/router/call.go
+++ b/router/call.go
@@ -10,249 +10,257 @@
 	"finchlatch/trunk"
 )
 
-// call is one call that this Router holds, between its IAM and its end.
+// call is a call that this Router handles, from its IAM or ENUM query to its end.
 type call struct {
-	id       uint64
-	in, out  *leg // out: of the attempt that is out, or of the call that stands
-	iam      *isup.Message
-	setup    isup.Setup
-	class    int
-	dest     int
-	hops     int
-	managed  bool // the Controller decides; the others end here
-	transit  bool
-	taken    time.Duration
-	attempts int
-	office   string
-	sent     time.Duration // the latest attempt
-	deadline time.Duration // its time-out
-	repeats  int
-	acm      bool          // ACM has gone to the caller
-	answered bool          // it stands
-	answer   *isup.Message // that told the caller so
-	last     isup.ReleaseInfo
-	lease    *lease // it began with a question
-	client   *peer  // whose share it counts in
-	admitted bool   // it counts in its client's share
-	level    ingress.Level
+	id              uint64
+	incoming        *leg // toward the caller; nil before the set-up of a query and after the release
+	outgoing        *leg // of the outstanding attempt or the established call; nil without one
+	iam             *isup.Message
+	setup           isup.Setup
+	class           int
+	destination     int
+	hopCounter      int
+	managed         bool // the Controller decides on the call; false for calls to subscribers of this exchange
+	transit         bool // the call came from another exchange
+	receivedAt      time.Duration
+	attempts        int
+	office          string           // exchange or peer of the latest attempt
+	sentAt          time.Duration    // time of the latest attempt
+	attemptDeadline time.Duration    // time-out of the latest attempt
+	repeats         int              // repeated set-ups of the latest attempt, after lost dual seizures
+	acmSent         bool             // ACM has been sent to the caller
+	established     bool             // the called side has answered
+	answerMessage   *isup.Message    // the ANM or CON sent to the caller
+	lastRelease     isup.ReleaseInfo // why the latest attempt ended
+	lease           *lease           // lease or query that the call began with, until its set-up or its end
+	client          *peer            // client whose fair share the call was offered to
+	admitted        bool             // the call counts in the fair share of its client
+	congestionLevel ingress.Level    // congestion level of the client when the call was offered
 }
 
-// leg is a call's hold on circuits toward one side.
+// leg is one side of a call with its circuits.
 type leg struct {
-	call    *call
-	peer    *peer
-	seizure *trunk.Seizure
-	link    *link // that its latest message went out on
-	end     int64 // offset in that connection behind it
+	call      *call
+	peer      *peer
+	seizure   *trunk.Seizure
+	link      *link // connection that the latest message was sent on
+	endOffset int64 // offset in the byte stream of link after that message
 }
 
-// signalled takes an event of a trunk group.
-func (r *Router) signalled(p *peer, e trunk.Event) {
-	if e.Kind == trunk.Alert {
-		r.log(slog.LevelWarn, e.Text, 0, slog.String("peer", p.cfg.Name))
+// handleGroupEvent handles an event of the trunk group of a peer.
+func (r *Router) handleGroupEvent(peer *peer, event trunk.Event) {
+	if event.Kind == trunk.Alert {
+		r.log(slog.LevelWarn, event.Text, 0, slog.String("peer", peer.cfg.Name))
 		return
 	}
-	if e.Kind == trunk.Arrived {
-		r.offered(p, e.Seizure, e.Message)
+	if event.Kind == trunk.Arrived {
+		r.handleSetup(peer, event.Seizure, event.Message)
 		return
 	}
-	l, ok := e.Seizure.Owner.(*leg)
+	leg, ok := event.Seizure.Owner.(*leg)
 	if !ok {
 		return
 	}
 	switch {
-	case l == l.call.out && e.Kind == trunk.Progress:
-		r.backward(l.call, e.Message)
-	case l == l.call.out:
-		r.outEnded(l.call, e)
-	case l == l.call.in && e.Kind != trunk.Progress:
-		r.inEnded(l.call, e)
+	case leg == leg.call.outgoing && event.Kind == trunk.Progress:
+		r.handleBackwardMessage(leg.call, event.Message)
+	case leg == leg.call.outgoing:
+		r.outgoingEnded(leg.call, event)
+	case leg == leg.call.incoming && event.Kind != trunk.Progress:
+		r.incomingEnded(leg.call, event)
 	}
 }
 
-// keep copies a message whose values lie in a receive buffer.
-func keep(m *isup.Message) *isup.Message {
-	n := 0
-	for _, p := range m.Params {
-		n += len(p.Value)
-	}
-	if len(m.Params) == 0 {
-		return &isup.Message{CIC: m.CIC, Type: m.Type}
-	}
-	buf, out := make([]byte, 0, n), &isup.Message{CIC: m.CIC, Type: m.Type, Params: make([]isup.Param, len(m.Params))}
-	for i, p := range m.Params {
-		at := len(buf)
-		buf = append(buf, p.Value...)
-		out.Params[i] = isup.Param{Code: p.Code, Value: buf[at:len(buf):len(buf)]}
-	}
-	return out
+// copyMessage copies a message whose parameter values point into a receive buffer.
+func copyMessage(message *isup.Message) *isup.Message {
+	size := 0
+	for _, param := range message.Params {
+		size += len(param.Value)
+	}
+	if len(message.Params) == 0 {
+		return &isup.Message{CIC: message.CIC, Type: message.Type}
+	}
+	values, copied := make([]byte, 0, size), &isup.Message{CIC: message.CIC, Type: message.Type,
+		Params: make([]isup.Param, len(message.Params))}
+	for i, param := range message.Params {
+		start := len(values)
+		values = append(values, param.Value...)
+		copied.Params[i] = isup.Param{Code: param.Code, Value: values[start:len(values):len(values)]}
+	}
+	return copied
 }
 
-// offered takes a new call. Whether it is admitted and where it goes is asked of the Controller; only calls
-// that end here, at the subscribers of this exchange, are not its matter.
-func (r *Router) offered(p *peer, s *trunk.Seizure, m *isup.Message) {
-	if r.takesOver(p, s, m) {
+// handleSetup handles the IAM of a new call. The Controller decides whether the call is admitted and where it goes,
+// except for calls to subscribers of this exchange.
+func (r *Router) handleSetup(peer *peer, seizure *trunk.Seizure, iam *isup.Message) {
+	if r.takeOverLease(peer, seizure, iam) {
 		return
 	}
-	r.lastCall++
-	c := &call{id: r.lastCall, iam: keep(m), taken: r.now - r.waited, transit: p.cfg.Kind == PeerExchange, class: -1}
-	c.in = &leg{call: c, peer: p, seizure: s}
-	s.Owner = c.in
-	c.setup, _ = m.Setup() // the group has refused what cannot be read
-	r.calls[c.id] = c
-	entry, found := r.table.Find(c.setup.Called.Digits)
-	if c.class = r.categories.Of(c.setup.Category); found && entry.Class >= 0 {
-		c.class = entry.Class
-	}
-	c.dest, c.hops = entry.Exchange, r.cfg.Hops
-	if c.setup.Hops >= 0 {
-		c.hops = c.setup.Hops
-	}
-	how := isup.Unrecognized(c.iam, !found || entry.Exchange != r.home.Number)
-	local := isup.LocationLocalNetwork
+	r.lastCallID++
+	call := &call{id: r.lastCallID, iam: copyMessage(iam), receivedAt: r.now - r.queueDelay,
+		transit: peer.cfg.Kind == PeerExchange, class: -1}
+	call.incoming = &leg{call: call, peer: peer, seizure: seizure}
+	seizure.Owner = call.incoming
+	call.setup, _ = iam.Setup() // cannot fail: the group has already refused unreadable set-ups
+	r.calls[call.id] = call
+	entry, found := r.numberingTable.Find(call.setup.Called.Digits)
+	if call.class = r.categories.Of(call.setup.Category); found && entry.Class >= 0 {
+		call.class = entry.Class
+	}
+	call.destination, call.hopCounter = entry.Exchange, r.cfg.Hops
+	if call.setup.Hops >= 0 {
+		call.hopCounter = call.setup.Hops
+	}
+	instruction := isup.Unrecognized(call.iam, !found || entry.Exchange != r.ownExchange.Number)
+	location := isup.LocationLocalNetwork
 	switch {
-	case how.Release || how.Discard:
-		r.answer(c, Failed, isup.ReleaseInfo{Cause: how.Cause, Location: local})
+	case instruction.Release || instruction.Discard:
+		r.rejectCall(call, Failed, isup.ReleaseInfo{Cause: instruction.Cause, Location: location})
 	case r.draining:
-		r.answer(c, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: local, Congestion: 2})
+		r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: location, Congestion: 2})
 	case !found:
-		r.answer(c, Failed, isup.ReleaseInfo{Cause: isup.CauseUnallocated, Location: local})
-	case !r.admit(c, p):
-		r.answer(c, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: local, Congestion: byte(c.level)})
-	case entry.Exchange == r.home.Number:
-		r.terminate(c)
-	case c.hops == 0:
-		r.answer(c, Failed, isup.ReleaseInfo{Cause: isup.CauseProtocolError, Location: local})
+		r.rejectCall(call, Failed, isup.ReleaseInfo{Cause: isup.CauseUnallocated, Location: location})
+	case !r.admit(call, peer):
+		r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion, Location: location,
+			Congestion: byte(call.congestionLevel)})
+	case entry.Exchange == r.ownExchange.Number:
+		r.routeToSubscribers(call)
+	case call.hopCounter == 0:
+		r.rejectCall(call, Failed, isup.ReleaseInfo{Cause: isup.CauseProtocolError, Location: location})
 	default:
-		r.ask(c, p)
+		r.offerToController(call, peer)
 	}
 }
 
-// ask offers a call to the Controller.
-func (r *Router) ask(c *call, p *peer) {
-	c.managed = true
+// offerToController lets the Controller decide on a call.
+func (r *Router) offerToController(call *call, peer *peer) {
+	call.managed = true
 	via := -1
-	if c.transit {
-		via = r.list[p.cfg.Name].Exchange
+	if call.transit {
+		via = r.offices[peer.cfg.Name].Exchange
 	}
-	if r.debug() {
-		r.log(slog.LevelDebug, "offered", c.id, slog.String("from", p.cfg.Name), slog.String("called", c.setup.Called.Digits),
-			slog.Int("class", c.class), slog.Int("width", c.setup.Width))
+	if r.debugEnabled() {
+		r.log(slog.LevelDebug, "offered", call.id, slog.String("from", peer.cfg.Name), slog.String("called", call.setup.Called.Digits),
+			slog.Int("class", call.class), slog.Int("width", call.setup.Width))
 	}
-	r.ctl.Offered(r.now, logic.Call{ID: c.id, Class: c.class, Dest: c.dest, Width: c.setup.Width, Via: via,
-		Transit: c.transit, Number: c.setup.Called.Digits, TimeLeft: r.patience(c)})
+	r.controller.Offered(r.now, logic.Call{ID: call.id, Class: call.class, Dest: call.destination, Width: call.setup.Width, Via: via,
+		Transit: call.transit, Number: call.setup.Called.Digits, TimeLeft: r.remainingPatience(call)})
 }
 
-// patience is how long the caller still waits, as far as the class, the IAM and the own queue tell.
-func (r *Router) patience(c *call) time.Duration {
-	class := r.cfg.Classes[max(0, c.class)]
-	return class.Patience - c.setup.Elapsed - (r.now - c.taken)
+// remainingPatience returns how long the caller will still wait: the patience of the class less the propagation delay
+// in the IAM and the time since the call was received.
+func (r *Router) remainingPatience(call *call) time.Duration {
+	class := r.cfg.Classes[max(0, call.class)]
+	return class.Patience - call.setup.Elapsed - (r.now - call.receivedAt)
 }
 
-// terminate completes a call to a subscriber of this exchange.
-func (r *Router) terminate(c *call) {
-	due := r.now + r.patience(c) - 2*r.cfg.Tick - time.Millisecond
-	for _, p := range r.peers {
-		if p.cfg.Kind != PeerSubscribers || due <= r.now {
+// routeToSubscribers sends a call to the subscriber lines of this exchange. The final answer is due two ticks before the
+// caller's patience ends.
+func (r *Router) routeToSubscribers(call *call) {
+	deadline := r.now + r.remainingPatience(call) - 2*r.cfg.Tick - time.Millisecond
+	for _, peer := range r.peers {
+		if peer.cfg.Kind != PeerSubscribers || deadline <= r.now {
 			continue
 		}
-		c.attempts, c.office, c.sent = 1, p.cfg.Name, r.now
-		if status, _ := r.attempt(c); status == 0 {
-			r.arm(due, timer{kind: timerDue, call: c.id})
+		call.attempts, call.office, call.sentAt = 1, peer.cfg.Name, r.now
+		if status, _ := r.sendAttempt(call); status == 0 {
+			r.armTimer(deadline, timer{kind: timerAnswerDeadline, call: call.id})
 			return
 		}
 	}
-	r.answer(c, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
+	r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
 }
 
-// forward makes the IAM that goes on: the one that came, with its unknown parameters, and with what changes at
-// an exchange. The propagation delay counter tells the next exchange how much of the caller's patience is gone.
-func (c *call) forward(now time.Duration, circuits uint32) *isup.Message {
-	m := &isup.Message{Type: isup.IAM, Params: make([]isup.Param, 0, len(c.iam.Params)+3)}
-	for _, p := range c.iam.Params {
-		if p.Code != isup.ParamCircuitMap {
-			m.Params = append(m.Params, p)
+// forwardedIAM returns the IAM to send onward: the received one, with its unknown parameters, but with the circuits, hop
+// counter and propagation delay counter updated. The delay counter tells the next exchange how much of the caller's
+// patience is used up.
+func (c *call) forwardedIAM(now time.Duration, circuits uint32) *isup.Message {
+	message := &isup.Message{Type: isup.IAM, Params: make([]isup.Param, 0, len(c.iam.Params)+3)}
+	for _, param := range c.iam.Params {
+		if param.Code != isup.ParamCircuitMap {
+			message.Params = append(message.Params, param)
 		}
 	}
-	m.SetSetup(isup.Setup{Map: circuits, Elapsed: c.setup.Elapsed + now - c.taken, Hops: c.hops - 1})
-	return m
+	message.SetSetup(isup.Setup{Map: circuits, Elapsed: c.setup.Elapsed + now - c.receivedAt, Hops: c.hopCounter - 1})
+	return message
 }
 
-// backward takes a message from the side that a call was sent to.
-func (r *Router) backward(c *call, m *isup.Message) {
-	switch m.Type {
+// handleBackwardMessage handles a message from the called side of a call.
+func (r *Router) handleBackwardMessage(call *call, message *isup.Message) {
+	switch message.Type {
 	case isup.ACM, isup.CPG:
-		if !c.answered && c.in != nil {
-			if m = keep(m); c.acm && m.Type == isup.ACM { // of a later attempt: the caller has had its ACM
-				m = isup.Simple(isup.CPG, 0)
-			} else if !c.acm && m.Type == isup.CPG {
+		if !call.established && call.incoming != nil {
+			if message = copyMessage(message); call.acmSent && message.Type == isup.ACM {
+				message = isup.Simple(isup.CPG, 0) // ACM of a later attempt: the caller already has one
+			} else if !call.acmSent && message.Type == isup.CPG {
 				return
 			}
-			c.acm = true
-			r.pass(c.in, m)
+			call.acmSent = true
+			r.sendOrHold(call.incoming, message)
 		}
 	case isup.ANM, isup.CON:
-		r.stands(c, m)
+		r.handleAnswer(call, message)
 	}
 }
 
-// stands takes the answer of the called side.
-func (r *Router) stands(c *call, m *isup.Message) {
-	if c.answered || c.in == nil {
+// handleAnswer handles ANM or CON from the called side: the call is established.
+func (r *Router) handleAnswer(call *call, message *isup.Message) {
+	if call.established || call.incoming == nil {
 		return
 	}
-	c.answered = true
-	r.judged(c, true)
-	answer := keep(m)
-	if !c.acm && m.Type == isup.ANM { // an answer without address complete is a connect (Q.764 2.1.7)
+	call.established = true
+	r.reportToShares(call, true)
+	answer := copyMessage(message)
+	if !call.acmSent && message.Type == isup.ANM { // an answer without address complete is a connect (Q.764 2.1.7)
 		params := answer.Params
 		answer = isup.Simple(isup.CON, 0)
 		answer.Params = append(answer.Params, params...)
-	} else if c.acm && m.Type == isup.CON {
+	} else if call.acmSent && message.Type == isup.CON {
 		answer = isup.Simple(isup.ANM, 0)
 	}
-	c.answer = answer
-	r.pass(c.in, answer)
-	r.emit(Answer{At: r.now, Call: c.id, Verdict: Stands, Took: r.now - c.taken, Transit: c.transit || !c.managed})
-	if c.managed {
-		r.ctl.Stands(r.now, logic.Outcome{Call: c.id, Attempt: c.attempts - 1, Office: c.office, Took: r.now - c.sent})
+	call.answerMessage = answer
+	r.sendOrHold(call.incoming, answer)
+	r.emit(Answer{At: r.now, Call: call.id, Verdict: Stands, Elapsed: r.now - call.receivedAt, Transit: call.transit || !call.managed})
+	if call.managed {
+		r.controller.Stands(r.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Took: r.now - call.sentAt})
 	}
 }
 
-// outEnded takes the end of the out leg by the far side.
-func (r *Router) outEnded(c *call, e trunk.Event) {
+// outgoingEnded handles the end of the outgoing leg by the far side.
+func (r *Router) outgoingEnded(call *call, event trunk.Event) {
 	var info isup.ReleaseInfo
-	switch e.Kind {
+	switch event.Kind {
 	case trunk.Lost:
-		r.repeat(c)
+		r.repeatSetup(call)
 		return
 	case trunk.Cut:
 		info = isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork}
 	case trunk.Released:
-		info = e.Message.Release()
+		info = event.Message.Release()
 	}
-	c.last = info
-	status, note := r.outcomeOf(c, info)
-	if c.answered {
+	call.lastRelease = info
+	status, note := r.outcomeOf(call, info)
+	if call.established {
 		status, note = logic.Ended, 0
-		if e.Kind == trunk.Cut || info.Cause == isup.CauseTemporaryFailure {
+		if event.Kind == trunk.Cut || info.Cause == isup.CauseTemporaryFailure {
 			status = logic.Reset
 		}
-		c.out = nil
-		if c.managed {
-			r.ended(c, status)
+		call.outgoing = nil
+		if call.managed {
+			r.establishedEnded(call, status)
 		}
-		r.finish(c, info)
+		r.finish(call, info)
 		return
 	}
-	if c.managed {
-		r.attemptOver(c, status, note)
+	if call.managed {
+		r.attemptEnded(call, status, note)
 		return
 	}
-	c.out = nil
-	r.answer(c, verdictOf(info.Cause), info)
+	call.outgoing = nil
+	r.rejectCall(call, verdictOf(info.Cause), info)
 }
 
+// verdictOf returns the verdict of a call that ended with a cause before it was established.
 func verdictOf(cause isup.Cause) Verdict {
 	if cause == isup.CauseNoCircuit || cause == isup.CauseCongestion {
 		return Refused
@@ -260,9 +268,9 @@
 	return Failed
 }
 
-// outcomeOf tells what a cause means to the Controller; docs/DESIGN.md has the table.
-func (r *Router) outcomeOf(c *call, info isup.ReleaseInfo) (logic.Status, int) {
-	twoLeg := r.list[c.office].Exchange != c.dest
+// outcomeOf translates the cause of a failed attempt for the Controller; docs/DESIGN.md has the table.
+func (r *Router) outcomeOf(call *call, info isup.ReleaseInfo) (logic.Status, int) {
+	twoLeg := r.offices[call.office].Exchange != call.destination
 	switch info.Cause {
 	case isup.CauseNoCircuit:
 		if twoLeg {
@@ -282,190 +290,197 @@
 	return logic.Faulted, 0
 }
 
-// repeat sends a set-up that lost a dual seizure again on another circuit of its group, within the same attempt
-// (Q.764 2.9.1.4). The lost one is over: it never ran. The rules hold for the repeat as for any set-up.
-func (r *Router) repeat(c *call) {
-	c.out = nil
-	c.repeats++
-	ready := !c.managed || r.merged(r.list[c.office]).State == logic.Ready
-	if status, note := logic.NotSent, logic.NoteCircuit; c.repeats > maxRepeats || !ready || c.managed && r.now >= c.deadline {
-		r.unsent(c, status, note)
-	} else if status, note = r.attempt(c); status != 0 {
-		r.unsent(c, status, note)
+// repeatSetup repeats a set-up that lost a dual seizure on another circuit of its group, within the same attempt
+// (Q.764 2.9.1.4). The lost set-up never ran, so the two are not outstanding together. The rules apply to the repeat as
+// to any set-up: it goes only to a ready exchange, and not after the attempt's time-out.
+func (r *Router) repeatSetup(call *call) {
+	call.outgoing = nil
+	call.repeats++
+	ready := !call.managed || r.effectiveOffice(r.offices[call.office]).State == logic.Ready
+	if status, note := logic.NotSent, logic.NoteCircuit; call.repeats > maxSetupRepeats || !ready ||
+		call.managed && r.now >= call.attemptDeadline {
+		r.attemptNotSent(call, status, note)
+	} else if status, note = r.sendAttempt(call); status != 0 {
+		r.attemptNotSent(call, status, note)
 	}
 }
 
-// unsent ends an attempt that never ran.
-func (r *Router) unsent(c *call, status logic.Status, note int) {
-	if c.managed {
-		r.attemptOver(c, status, note)
+// attemptNotSent ends an attempt that never ran.
+func (r *Router) attemptNotSent(call *call, status logic.Status, note int) {
+	if call.managed {
+		r.attemptEnded(call, status, note)
 		return
 	}
-	r.answer(c, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
+	r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationRemote})
 }
 
-// timeOut ends an attempt that had no answer in the Controller's time. Its circuits stay taken until RLC.
-func (r *Router) timeOut(c *call) {
-	c.last = isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork}
-	c.out.peer.group.Release(r.now, c.out.seizure, c.last)
-	r.touch(c.out.peer)
-	r.attemptOver(c, logic.TimedOut, 0)
+// timeOutAttempt ends an attempt that was not answered within the time-out set by the Controller. Its circuits stay busy
+// until RLC arrives.
+func (r *Router) timeOutAttempt(call *call) {
+	call.lastRelease = isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork}
+	call.outgoing.peer.group.Release(r.now, call.outgoing.seizure, call.lastRelease)
+	r.markPending(call.outgoing.peer)
+	r.attemptEnded(call, logic.TimedOut, 0)
 }
 
-// attemptOver tells the Controller how the latest attempt ended, once it has finished what it is doing.
-func (r *Router) attemptOver(c *call, status logic.Status, note int) {
-	c.out = nil
-	o := logic.Outcome{Call: c.id, Attempt: c.attempts - 1, Office: c.office, Status: status, Note: note,
-		Took: r.now - c.sent, Over: c.gone()}
-	if r.debug() {
-		r.log(slog.LevelDebug, "attempt over", c.id, slog.Int("attempt", o.Attempt), slog.String("office", o.Office),
+// attemptEnded reports the outcome of the latest attempt to the Controller. The report is deferred, because the
+// Controller may be the caller.
+func (r *Router) attemptEnded(call *call, status logic.Status, note int) {
+	call.outgoing = nil
+	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Note: note,
+		Took: r.now - call.sentAt, Over: call.withoutCaller()}
+	if r.debugEnabled() {
+		r.log(slog.LevelDebug, "attempt ended", call.id, slog.Int("attempt", outcome.Attempt), slog.String("office", outcome.Office),
 			slog.String("status", string(status)), slog.Int("note", note))
 	}
-	if p := r.byName[c.office]; p != nil && p.cfg.Kind == PeerExchange {
-		o.Load = []float64{float64(p.group.Spare()), float64(p.group.Total())}
+	if peer := r.peersByName[call.office]; peer != nil && peer.cfg.Kind == PeerExchange {
+		outcome.Load = []float64{float64(peer.group.Spare()), float64(peer.group.Total())}
 	}
-	r.later(func() {
-		o.Over = o.Over || c.gone()
-		r.ctl.Outcome(r.now, o)
-		if c.gone() {
-			r.forget(c)
+	r.deferWork(func() {
+		outcome.Over = outcome.Over || call.withoutCaller()
+		r.controller.Outcome(r.now, outcome)
+		if call.withoutCaller() {
+			r.forget(call)
 		}
 	})
 }
 
-// ended tells the Controller that a call that stood is at its end.
-func (r *Router) ended(c *call, status logic.Status) {
-	o := logic.Outcome{Call: c.id, Attempt: c.attempts - 1, Office: c.office, Status: status, Took: r.now - c.sent,
+// establishedEnded reports the end of an established call to the Controller.
+func (r *Router) establishedEnded(call *call, status logic.Status) {
+	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Took: r.now - call.sentAt,
 		Over: true}
-	r.later(func() { r.ctl.Outcome(r.now, o) })
+	r.deferWork(func() { r.controller.Outcome(r.now, outcome) })
 }
 
-// inEnded takes the end of the in leg by the caller's side.
-func (r *Router) inEnded(c *call, e trunk.Event) {
+// incomingEnded handles the end of the incoming leg by the caller's side.
+func (r *Router) incomingEnded(call *call, event trunk.Event) {
 	info := isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork}
-	if e.Kind == trunk.Released {
-		info = e.Message.Release()
-	}
-	r.leaves(c)
-	c.in = nil
-	if !c.answered {
-		r.emit(Answer{At: r.now, Call: c.id, Verdict: HungUp, Cause: info.Cause, Took: r.now - c.taken,
-			Transit: c.transit || !c.managed})
-		if c.managed {
-			r.later(func() {
-				r.ctl.HungUp(r.now, c.id)
-				if c.out == nil {
-					r.forget(c)
+	if event.Kind == trunk.Released {
+		info = event.Message.Release()
+	}
+	r.endAdmission(call)
+	call.incoming = nil
+	if !call.established {
+		r.emit(Answer{At: r.now, Call: call.id, Verdict: HungUp, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+			Transit: call.transit || !call.managed})
+		if call.managed {
+			r.deferWork(func() {
+				r.controller.HungUp(r.now, call.id)
+				if call.outgoing == nil {
+					r.forget(call)
 				}
 			})
 			return
 		}
 	}
-	if c.answered && c.managed {
-		r.ended(c, logic.Ended)
+	if call.established && call.managed {
+		r.establishedEnded(call, logic.Ended)
 	}
-	r.releaseOut(c, info)
-	r.forget(c)
+	r.releaseOutgoing(call, info)
+	r.forget(call)
 }
 
-func (r *Router) releaseOut(c *call, info isup.ReleaseInfo) {
-	if c.out != nil {
-		c.out.peer.group.Release(r.now, c.out.seizure, info)
-		r.touch(c.out.peer)
-		c.out = nil
+// releaseOutgoing releases the circuits of the outgoing leg, if there is one.
+func (r *Router) releaseOutgoing(call *call, info isup.ReleaseInfo) {
+	if call.outgoing != nil {
+		call.outgoing.peer.group.Release(r.now, call.outgoing.seizure, info)
+		r.markPending(call.outgoing.peer)
+		call.outgoing = nil
 	}
 }
 
-// answer gives the final answer of a call that does not stand: REL toward the caller.
-func (r *Router) answer(c *call, v Verdict, info isup.ReleaseInfo) {
-	if c.gone() || c.answered {
+// rejectCall gives a call that is not established its final answer: REL to the caller.
+func (r *Router) rejectCall(call *call, verdict Verdict, info isup.ReleaseInfo) {
+	if call.withoutCaller() || call.established {
 		return
 	}
-	if v == Refused {
-		r.judged(c, false)
+	if verdict == Refused {
+		r.reportToShares(call, false)
 	}
-	r.emit(Answer{At: r.now, Call: c.id, Verdict: v, Cause: info.Cause, Took: r.now - c.taken,
-		Transit: c.transit || !c.managed})
-	if r.debug() {
-		r.log(slog.LevelDebug, "answered", c.id, slog.String("answer", v.String()), slog.Int("cause", int(info.Cause)))
+	r.emit(Answer{At: r.now, Call: call.id, Verdict: verdict, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+		Transit: call.transit || !call.managed})
+	if r.debugEnabled() {
+		r.log(slog.LevelDebug, "answered", call.id, slog.String("answer", verdict.String()), slog.Int("cause", int(info.Cause)))
 	}
-	r.finish(c, info)
+	r.finish(call, info)
 }
 
-// finish releases the caller's side and forgets the call.
-func (r *Router) finish(c *call, info isup.ReleaseInfo) {
-	if c.in == nil && c.lease != nil {
-		r.endLease(c, info)
+// finish releases the incoming leg or the lease, and removes the call unless its outgoing leg is still in use.
+func (r *Router) finish(call *call, info isup.ReleaseInfo) {
+	if call.incoming == nil && call.lease != nil {
+		r.endLease(call, info)
 	}
-	if c.in != nil {
-		r.leaves(c)
-		c.in.peer.group.Release(r.now, c.in.seizure, info)
-		r.touch(c.in.peer)
-		c.in = nil
+	if call.incoming != nil {
+		r.endAdmission(call)
+		call.incoming.peer.group.Release(r.now, call.incoming.seizure, info)
+		r.markPending(call.incoming.peer)
+		call.incoming = nil
 	}
-	if c.out == nil {
-		r.forget(c)
+	if call.outgoing == nil {
+		r.forget(call)
 	}
 }
 
-// abandon ends a call from this exchange, whatever state it is in.
-func (r *Router) abandon(c *call, info isup.ReleaseInfo) {
-	if c.answered {
-		if c.managed {
-			r.ended(c, logic.Reset)
+// releaseCall ends a call from this exchange, in any state.
+func (r *Router) releaseCall(call *call, info isup.ReleaseInfo) {
+	if call.established {
+		if call.managed {
+			r.establishedEnded(call, logic.Reset)
 		}
-		r.releaseOut(c, info)
-		r.finish(c, info)
+		r.releaseOutgoing(call, info)
+		r.finish(call, info)
 		return
 	}
-	if c.managed {
-		if c.out != nil { // what is out is called off first: nothing goes out after the answer
-			r.releaseOut(c, info)
-			r.attemptOver(c, logic.Cancelled, 0)
+	if call.managed {
+		if call.outgoing != nil { // cancel the outstanding attempt first: nothing may be sent after the final answer
+			r.releaseOutgoing(call, info)
+			r.attemptEnded(call, logic.Cancelled, 0)
 		}
-		r.answer(c, Failed, info)
-		r.later(func() { r.ctl.HungUp(r.now, c.id) })
+		r.rejectCall(call, Failed, info)
+		r.deferWork(func() { r.controller.HungUp(r.now, call.id) })
 		return
 	}
-	r.releaseOut(c, info)
-	r.answer(c, Failed, info)
+	r.releaseOutgoing(call, info)
+	r.rejectCall(call, Failed, info)
 }
 
-// judged tells the shares of the clients what the Controller made of a call that they let in.
-func (r *Router) judged(c *call, stands bool) {
-	if c.admitted && c.managed {
-		r.shares.Answered(r.now, stands)
+// reportToShares reports to the fair shares whether a call that they admitted was established or refused.
+func (r *Router) reportToShares(call *call, established bool) {
+	if call.admitted && call.managed {
+		r.clientShares.Answered(r.now, established)
 	}
 }
 
-func (r *Router) forget(c *call) { delete(r.calls, c.id) }
+// forget removes a call.
+func (r *Router) forget(call *call) { delete(r.calls, call.id) }
 
-// gone tells whether nobody waits for the call any more.
-func (c *call) gone() bool { return c.in == nil && c.lease == nil }
+// withoutCaller reports whether no caller or ENUM client waits for the call any more.
+func (c *call) withoutCaller() bool { return c.incoming == nil && c.lease == nil }
 
-// refusal is the REL of a refused call: congestion where a processor refused it, the number's own cause where
-// it is busy, else no circuit. Congestion beyond this exchange is marked as such for the one before.
-func (c *call) refusal() isup.ReleaseInfo {
+// refusalInfo returns the REL of a refused call: congestion if a processor refused it, the received cause if the called
+// number is busy, and no circuit available otherwise. A transit call that met congestion gets the location "beyond", so
+// that the preceding exchange can tell it from congestion of this one.
+func (c *call) refusalInfo() isup.ReleaseInfo {
 	info := isup.ReleaseInfo{Cause: isup.CauseNoCircuit, Location: isup.LocationLocalNetwork}
 	if c.transit {
 		info.Location = isup.LocationTransit
 	}
-	switch c.last.Cause {
+	switch c.lastRelease.Cause {
 	case isup.CauseCongestion:
-		info.Cause, info.Congestion = c.last.Cause, c.last.Congestion
+		info.Cause, info.Congestion = c.lastRelease.Cause, c.lastRelease.Congestion
 		if c.transit {
 			info.Location = isup.LocationBeyond
 		}
 	case isup.CauseUserBusy:
-		info.Cause, info.Location = c.last.Cause, c.last.Location
+		info.Cause, info.Location = c.lastRelease.Cause, c.lastRelease.Location
 	}
 	return info
 }
 
-// failure is the REL of a failed call: the cause that ended it.
-func (c *call) failure() isup.ReleaseInfo {
-	if c.last.Cause == 0 {
+// failureInfo returns the REL of a failed call: the cause that ended its latest attempt.
+func (c *call) failureInfo() isup.ReleaseInfo {
+	if c.lastRelease.Cause == 0 {
 		return isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork}
 	}
-	return c.last
+	return c.lastRelease
 }
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -9,59 +9,60 @@
 	"finchlatch/m3ua"
 )
 
-// process is one process of a client, or an exchange, joined to a Router without delay.
+// process is a process of a client, or an exchange, connected to a Router without delay.
 type process struct {
-	t     *testing.T
-	r     *Router
-	id    LinkID
-	assoc *m3ua.Assoc
-	own   uint32
-	got   []*isup.Message
-	now   *time.Duration
-	dead  bool
+	t         *testing.T
+	router    *Router
+	linkID    LinkID
+	assoc     *m3ua.Assoc
+	pointCode uint32
+	received  []*isup.Message
+	now       *time.Duration
+	dead      bool // its bytes are lost in both directions
 }
 
-func newProcess(t *testing.T, r *Router, now *time.Duration, peer string, asp int, own uint32, role m3ua.Role) *process {
-	id, ok := r.Link(peer, asp)
+// newProcess returns the far end of the connection of a peer's ASP.
+func newProcess(t *testing.T, r *Router, now *time.Duration, peer string, aspIndex int, pointCode uint32, role m3ua.Role) *process {
+	id, ok := r.Link(peer, aspIndex)
 	if !ok {
-		t.Fatalf("no link %s %d", peer, asp)
+		t.Fatalf("no link %s %d", peer, aspIndex)
 	}
-	return &process{t: t, r: r, id: id, own: own, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, Beat: -1})}
+	return &process{t: t, router: r, linkID: id, pointCode: pointCode, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, Beat: -1})}
 }
 
-// pump carries bytes both ways between a Router and its processes until none is left.
-func pump(r *Router, all ...*process) {
+// transferBytes transports bytes between a Router and its processes in both directions until none is left.
+func transferBytes(r *Router, processes ...*process) {
 	for busy := true; busy; {
 		busy = false
 		for _, e := range r.Effects() {
-			w, ok := e.(Write)
+			write, ok := e.(Write)
 			if !ok {
 				continue
 			}
 			busy = true
-			for _, p := range all {
-				if p.id == w.Link && !p.dead {
-					p.assoc.Receive(*p.now, w.Bytes)
+			for _, process := range processes {
+				if process.linkID == write.Link && !process.dead {
+					process.assoc.Receive(*process.now, write.Bytes)
 				}
 			}
 		}
-		for _, p := range all {
-			for _, i := range p.assoc.Indications() {
-				if i.Kind == m3ua.IndData {
-					m, err := isup.Decode(i.Data.Data)
+		for _, process := range processes {
+			for _, indication := range process.assoc.Indications() {
+				if indication.Kind == m3ua.IndData {
+					message, err := isup.Decode(indication.Data.Data)
 					if err != nil {
-						p.t.Fatal(err)
+						process.t.Fatal(err)
 					}
-					p.got = append(p.got, m)
-					if m.Type == isup.GRS {
-						rng, _ := m.RangeStatus()
-						p.send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: rng.Range}))
+					process.received = append(process.received, message)
+					if message.Type == isup.GRS {
+						rng, _ := message.RangeStatus()
+						process.send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: rng.Range}))
 					}
 				}
 			}
-			if b := p.assoc.Output(); len(b) > 0 && !p.dead {
+			if b := process.assoc.Output(); len(b) > 0 && !process.dead {
 				busy = true
-				r.Receive(*p.now, p.id, b)
+				r.Receive(*process.now, process.linkID, b)
 			}
 		}
 	}
@@ -72,85 +73,86 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	_ = p.assoc.Send(m3ua.ProtocolData{OPC: p.own, DPC: 101, SI: 5, NI: 2, Data: b})
+	_ = p.assoc.Send(m3ua.ProtocolData{OPC: p.pointCode, DPC: 101, SI: 5, NI: 2, Data: b})
 }
 
-func (p *process) up() {
-	p.r.Connected(*p.now, p.id)
+func (p *process) connect() {
+	p.router.Connected(*p.now, p.linkID)
 	p.assoc.Connected(*p.now)
 }
 
-func (p *process) count(t isup.Type) (n int) {
-	for _, m := range p.got {
-		if m.Type == t {
+func (p *process) countReceived(messageType isup.Type) (n int) {
+	for _, m := range p.received {
+		if m.Type == messageType {
 			n++
 		}
 	}
 	return n
 }
 
-// clientOfTwo is a Router whose counters are two processes, with an exchange behind it.
-func clientOfTwo(t *testing.T, mode m3ua.Mode) (r *Router, now *time.Duration, one, two, far *process) {
+// newTwoProcessClient returns a Router with a client of two processes and one exchange.
+func newTwoProcessClient(t *testing.T, mode m3ua.Mode) (r *Router, now *time.Duration, first, second, exchange *process) {
 	cfg := testConfig(0, 2, 30)
-	c := slices.IndexFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
-	set := m3ua.Settings{Role: m3ua.RoleSGP, Beat: -1}
-	cfg.Peers[c].ASPs, cfg.Peers[c].Mode = []m3ua.Settings{set, set}, mode
+	client := slices.IndexFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
+	settings := m3ua.Settings{Role: m3ua.RoleSGP, Beat: -1}
+	cfg.Peers[client].ASPs, cfg.Peers[client].Mode = []m3ua.Settings{settings, settings}, mode
 	r, err := New(cfg, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := time.Hour
-	now = &at
-	r.Start(at, nil)
-	one, two = newProcess(t, r, now, "counters", 0, 2001, m3ua.RoleASP), newProcess(t, r, now, "counters", 1, 2001, m3ua.RoleASP)
-	far = newProcess(t, r, now, "b", 0, 102, m3ua.RoleIPSPServer)
-	for _, p := range []*process{far, one, two} {
-		p.up()
-		pump(r, one, two, far)
+	start := time.Hour
+	now = &start
+	r.Start(start, nil)
+	first, second = newProcess(t, r, now, "counters", 0, 2001, m3ua.RoleASP), newProcess(t, r, now, "counters", 1, 2001, m3ua.RoleASP)
+	exchange = newProcess(t, r, now, "b", 0, 102, m3ua.RoleIPSPServer)
+	for _, p := range []*process{exchange, first, second} {
+		p.connect()
+		transferBytes(r, first, second, exchange)
 	}
-	return r, now, one, two, far
+	return r, now, first, second, exchange
 }
 
-func offer(t *testing.T, p *process, cic uint16) {
+// sendSetup sends the IAM of a call on a circuit.
+func sendSetup(t *testing.T, client *process, cic uint16) {
 	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.send(m)
+	client.send(m)
 }
 
-// An ASP fails in a burst: calls that it offered are answered to the one that takes over, each once.
+// An ASP fails during a burst of calls: the calls that it offered are answered to the ASP that takes over, each once.
 func TestFailoverInABurst(t *testing.T) {
 	for _, mode := range []m3ua.Mode{m3ua.Override, m3ua.Loadshare} {
-		r, now, one, two, far := clientOfTwo(t, mode)
-		active, other := two, one // in override mode the later one has the traffic
+		r, now, first, second, exchange := newTwoProcessClient(t, mode)
+		active, standby := second, first // in override mode the ASP that connected last has the traffic
 		for cic := uint16(1); cic <= 20; cic++ {
-			offer(t, active, cic)
-			pump(r, one, two, far)
+			sendSetup(t, active, cic)
+			transferBytes(r, first, second, exchange)
 			*now += time.Millisecond
 			r.Advance(*now)
 		}
-		if far.count(isup.IAM) != 20 {
-			t.Fatalf("%v: %d set-ups reached the exchange", mode, far.count(isup.IAM))
+		if exchange.countReceived(isup.IAM) != 20 {
+			t.Fatalf("%v: %d set-ups reached the exchange", mode, exchange.countReceived(isup.IAM))
 		}
 		active.dead = true
-		r.Disconnected(*now, active.id, -1)
+		r.Disconnected(*now, active.linkID, -1)
 		active.assoc.Lost()
-		pump(r, one, two, far)
+		transferBytes(r, first, second, exchange)
 		if mode == m3ua.Override {
-			other.assoc.Connected(*now) // the standby activates
-			r.Connected(*now, other.id)
-			pump(r, one, two, far)
+			standby.assoc.Connected(*now) // the standby activates
+			r.Connected(*now, standby.linkID)
+			transferBytes(r, first, second, exchange)
 		}
-		before := other.count(isup.ANM) + other.count(isup.CON)
-		for _, m := range far.got {
+		before := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON)
+		for _, m := range exchange.received {
 			if m.Type == isup.IAM {
-				far.send(isup.Simple(isup.ACM, m.CIC))
-				far.send(isup.Simple(isup.ANM, m.CIC))
+				exchange.send(isup.Simple(isup.ACM, m.CIC))
+				exchange.send(isup.Simple(isup.ANM, m.CIC))
 			}
 		}
-		pump(r, one, two, far)
-		if got := other.count(isup.ANM) + other.count(isup.CON) - before; got != 20 {
+		transferBytes(r, first, second, exchange)
+		if got := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON) - before; got != 20 {
 			t.Errorf("%v: %d answers after the failover", mode, got)
 		}
 		if calls, open := r.Held(); calls != 20 || open != 0 {
@@ -159,10 +161,10 @@
 	}
 }
 
-// Both processes active in override mode by mistake: the newer one has the traffic, the older one is told and its
-// DATA is not taken.
+// Both processes of a client become active in override mode by mistake: the newer one gets the traffic, the older one is
+// notified and its DATA messages are rejected.
 func TestBothActiveInOverrideMode(t *testing.T) {
-	r, _, one, two, far := clientOfTwo(t, m3ua.Override)
+	r, _, first, second, exchange := newTwoProcessClient(t, m3ua.Override)
 	views := r.Associations()
 	states := map[m3ua.State]int{}
 	for _, v := range views {
@@ -173,10 +175,10 @@
 	if states[m3ua.Active] != 1 || states[m3ua.Inactive] != 1 {
 		t.Fatalf("associations %+v", views)
 	}
-	offer(t, one, 1) // it still believes that it is active
-	offer(t, two, 2)
-	pump(r, one, two, far)
-	if n := far.count(isup.IAM); n != 1 {
-		t.Errorf("%d set-ups reached the exchange, the one of the active process was due", n)
+	sendSetup(t, first, 1) // it still considers itself active
+	sendSetup(t, second, 2)
+	transferBytes(r, first, second, exchange)
+	if setups := exchange.countReceived(isup.IAM); setups != 1 {
+		t.Errorf("%d set-ups reached the exchange, want only the one of the active process", setups)
 	}
 }
--- a/router/host.go
+++ b/router/host.go
@@ -8,108 +8,110 @@
 	"finchlatch/logic"
 )
 
-// host carries out the actions of the Controller.
-type host struct{ r *Router }
+// host implements logic.Host: it carries out the actions of the Controller.
+type host struct{ router *Router }
 
-// Send seizes the circuits and sends an IAM. What stands in the way is an outcome, told after the Controller
-// has finished what it is doing.
-func (h host) Send(id uint64, office string, timeout time.Duration) {
-	r := h.r
-	c := r.calls[id]
-	if c == nil || c.out != nil {
-		r.log(slog.LevelError, "attempt for a call that cannot have one", id, slog.String("office", office))
+// Send starts an attempt: it seizes circuits and sends an IAM. A failure to do so is reported as a deferred outcome.
+func (h host) Send(callID uint64, office string, timeout time.Duration) {
+	r := h.router
+	call := r.calls[callID]
+	if call == nil || call.outgoing != nil {
+		r.log(slog.LevelError, "attempt for an unknown call, or for one with an outstanding attempt", callID, slog.String("office", office))
 		return
 	}
-	c.attempts++
-	c.office, c.sent, c.deadline, c.repeats = office, r.now, r.now+timeout, 0
-	r.emit(Decision{At: r.now, Call: id, Act: logic.ActSend, Attempt: c.attempts - 1, Office: office})
-	if status, note := r.attempt(c); status != 0 {
-		r.attemptOver(c, status, note)
+	call.attempts++
+	call.office, call.sentAt, call.attemptDeadline, call.repeats = office, r.now, r.now+timeout, 0
+	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActSend, Attempt: call.attempts - 1, Office: office})
+	if status, note := r.sendAttempt(call); status != 0 {
+		r.attemptEnded(call, status, note)
 		return
 	}
-	r.arm(c.deadline, timer{kind: timerAttempt, call: id, attempt: c.attempts - 1})
+	r.armTimer(call.attemptDeadline, timer{kind: timerAttempt, call: callID, attempt: call.attempts - 1})
 }
 
-// attempt sends the IAM of an attempt, or tells why not.
-func (r *Router) attempt(c *call) (status logic.Status, note int) {
-	p := r.byName[c.office]
-	if p == nil {
+// sendAttempt sends the IAM of an attempt, or reserves its circuits while the call has no set-up. A status other than 0
+// is the reason why it could not.
+func (r *Router) sendAttempt(call *call) (status logic.Status, note int) {
+	peer := r.peersByName[call.office]
+	if peer == nil {
 		return logic.NotSent, 0
 	}
-	if !p.active() {
+	if !peer.active() {
 		return logic.NoConnect, 0
 	}
-	take := r.seize
+	takeCircuits := r.seize
 	switch {
-	case c.gone():
+	case call.withoutCaller():
 		return logic.NotSent, 0
-	case c.in == nil:
-		take = r.reserve
+	case call.incoming == nil:
+		takeCircuits = r.reserve
 	}
-	l, ok := take(c, p)
+	leg, ok := takeCircuits(call, peer)
 	if !ok {
 		return logic.NotSent, logic.NoteCircuit
 	}
-	c.out = l
+	call.outgoing = leg
 	return 0, 0
 }
 
-// seize takes circuits toward a peer and sends the IAM of a call on them.
-func (r *Router) seize(c *call, p *peer) (*leg, bool) {
-	l := &leg{call: c, peer: p}
-	s := p.group.Seize(max(1, c.setup.Width), l)
-	if s == nil {
+// seize seizes circuits toward a peer and sends the IAM of a call on them. It returns false if too few are free.
+func (r *Router) seize(call *call, peer *peer) (*leg, bool) {
+	leg := &leg{call: call, peer: peer}
+	seizure := peer.group.Seize(max(1, call.setup.Width), leg)
+	if seizure == nil {
 		return nil, false
 	}
-	l.seizure = s
-	p.group.Send(s, c.forward(r.now, s.Map))
-	r.flush(p)
-	r.onLink(l)
-	r.touch(p)
-	return l, true
+	leg.seizure = seizure
+	peer.group.Send(seizure, call.forwardedIAM(r.now, seizure.Map))
+	r.flush(peer)
+	r.recordSendPosition(leg)
+	r.markPending(peer)
+	return leg, true
 }
 
-// Refuse is a final answer.
-func (h host) Refuse(id uint64, wait time.Duration) {
-	if c := h.r.calls[id]; c != nil {
-		h.r.emit(Decision{At: h.r.now, Call: id, Act: logic.ActRefuse})
-		h.r.answer(c, Refused, c.refusal())
+// Refuse gives the final answer that a call is refused.
+func (h host) Refuse(callID uint64, wait time.Duration) {
+	if call := h.router.calls[callID]; call != nil {
+		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActRefuse})
+		h.router.rejectCall(call, Refused, call.refusalInfo())
 	}
 }
 
-// Fail is a final answer.
-func (h host) Fail(id uint64) {
-	if c := h.r.calls[id]; c != nil {
-		h.r.emit(Decision{At: h.r.now, Call: id, Act: logic.ActFail})
-		h.r.answer(c, Failed, c.failure())
+// Fail gives the final answer that a call has failed.
+func (h host) Fail(callID uint64) {
+	if call := h.router.calls[callID]; call != nil {
+		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActFail})
+		h.router.rejectCall(call, Failed, call.failureInfo())
 	}
 }
 
-// Cancel releases an attempt that has no answer yet.
-func (h host) Cancel(id uint64, attempt int) {
-	r := h.r
-	c := r.calls[id]
-	if c == nil || c.out == nil || c.answered || c.attempts-1 != attempt {
+// Cancel releases an outstanding attempt.
+func (h host) Cancel(callID uint64, attempt int) {
+	r := h.router
+	call := r.calls[callID]
+	if call == nil || call.outgoing == nil || call.established || call.attempts-1 != attempt {
 		return
 	}
-	r.emit(Decision{At: r.now, Call: id, Act: logic.ActCancel, Attempt: attempt, Office: c.office})
-	c.out.peer.group.Release(r.now, c.out.seizure, isup.ReleaseInfo{Cause: isup.CauseNormalUnspecified,
+	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActCancel, Attempt: attempt, Office: call.office})
+	call.outgoing.peer.group.Release(r.now, call.outgoing.seizure, isup.ReleaseInfo{Cause: isup.CauseNormalUnspecified,
 		Location: isup.LocationLocalNetwork})
-	r.touch(c.out.peer)
-	r.attemptOver(c, logic.Cancelled, 0)
+	r.markPending(call.outgoing.peer)
+	r.attemptEnded(call, logic.Cancelled, 0)
 }
 
-// Probe and Tell are not allowed by our settings: ISUP has no such messages.
-func (h host) Probe(string)     {}
+// Probe does nothing: ISUP has no such message, and the Controller's settings do not allow it.
+func (h host) Probe(string) {}
+
+// Tell does nothing, for the same reason as Probe.
 func (h host) Tell(int, []byte) {}
 
-// Timer arms a timer of the Controller.
+// Timer arms a timer for the Controller.
 func (h host) Timer(wait time.Duration, mark string) {
-	h.r.arm(h.r.now+wait, timer{kind: timerMark, mark: mark})
+	h.router.armTimer(h.router.now+wait, timer{kind: timerMark, mark: mark})
 }
 
-// Watch is not needed: the list comes by itself.
+// Watch does nothing: updates from service discovery arrive without a request.
 func (h host) Watch(bool) {}
 
-// Log passes a line on.
-func (h host) Log(text string) { h.r.log(slog.LevelDebug, text, 0) }
+// Log emits a log line of the Controller.
+func (h host) Log(text string) { h.router.log(slog.LevelDebug, text, 0) }
--- a/router/input.go
+++ b/router/input.go
@@ -7,16 +7,16 @@
 	"finchlatch/logic"
 )
 
-// InputKind tells inputs apart.
+// InputKind is the kind of an Input.
 type InputKind byte
 
-// Inputs of a Router: all that it is ever told.
+// Kinds of inputs, with the fields of Input that they use.
 const (
 	InStart        InputKind = iota // List
 	InConnected                     // Link
-	InDisconnected                  // Link, Count: octets written
+	InDisconnected                  // Link, Count: bytes written
 	InReceive                       // Link, Bytes, Waited
-	InAdvance                       // time has gone on
+	InAdvance                       // no fields: only the time advances
 	InList                          // ListKind, List
 	InDrain
 	InUndrain
@@ -24,59 +24,59 @@
 	InReleaseAll
 	InBlock // Peer, Count, Group, On
 	InReset // Peer, Count
-	InAsk   // Ask, Asker, Number: where may a call go?
+	InAsk   // Ask, Asker, Number: query for the route of a call
 )
 
-// Input is one thing that a Router is told, as data: the same inputs in the same order give the same effects, on a
-// socket or without. Which fields count depends on the kind.
+// Input is one input of a Router as data: the same inputs in the same order give the same effects, with or without
+// sockets. The kind determines which fields are used.
 type Input struct {
 	At       time.Duration
 	Kind     InputKind
 	Link     LinkID
 	Peer     PeerID
 	Bytes    []byte
-	Waited   time.Duration // how long the bytes waited in this process: the callers have waited as long
-	Count    int64
+	Waited   time.Duration // how long the bytes waited in this process, and the callers with them
+	Count    int64         // bytes written, or number of circuits
 	List     []logic.Office
 	ListKind logic.ListKind
 	Group    isup.GroupType
-	On       bool
-	Ask      uint64
-	Asker    string
-	Number   string
+	On       bool   // block; false: unblock
+	Ask      uint64 // ID of the query
+	Asker    string // name of the ENUM client
+	Number   string // called number
 }
 
-// Apply tells a Router of an input. It gives the number of circuits for InBlock and InReset.
-func (r *Router) Apply(in Input) int {
-	switch in.Kind {
+// Apply handles an input. It returns the number of circuits changed for InBlock and InReset, and 0 otherwise.
+func (r *Router) Apply(input Input) int {
+	switch input.Kind {
 	case InStart:
-		r.Start(in.At, in.List)
+		r.Start(input.At, input.List)
 	case InConnected:
-		r.Connected(in.At, in.Link)
+		r.Connected(input.At, input.Link)
 	case InDisconnected:
-		r.Disconnected(in.At, in.Link, in.Count)
+		r.Disconnected(input.At, input.Link, input.Count)
 	case InReceive:
-		r.waited = max(0, in.Waited)
-		r.Receive(in.At, in.Link, in.Bytes)
-		r.waited = 0
+		r.queueDelay = max(0, input.Waited)
+		r.Receive(input.At, input.Link, input.Bytes)
+		r.queueDelay = 0
 	case InAdvance:
-		r.Advance(in.At)
+		r.Advance(input.At)
 	case InList:
-		r.List(in.At, in.ListKind, in.List)
+		r.List(input.At, input.ListKind, input.List)
 	case InDrain:
-		r.Drain(in.At)
+		r.Drain(input.At)
 	case InUndrain:
-		r.Undrain(in.At)
+		r.Undrain(input.At)
 	case InLeave:
-		r.Leave(in.At)
+		r.Leave(input.At)
 	case InReleaseAll:
-		r.ReleaseAll(in.At)
+		r.ReleaseAll(input.At)
 	case InBlock:
-		return r.Block(in.At, in.Peer, int(in.Count), in.Group, in.On)
+		return r.Block(input.At, input.Peer, int(input.Count), input.Group, input.On)
 	case InAsk:
-		r.Ask(in.At, in.Ask, in.Asker, in.Number)
+		r.Ask(input.At, input.Ask, input.Asker, input.Number)
 	case InReset:
-		return r.Reset(in.At, in.Peer, int(in.Count))
+		return r.Reset(input.At, input.Peer, int(input.Count))
 	}
 	return 0
 }
--- a/router/lease.go
+++ b/router/lease.go
@@ -12,196 +12,205 @@
 	"finchlatch/trunk"
 )
 
-// A look-up is a call that has not been set up yet. It is offered to the Controller like any other; where the
-// Controller sends it, circuits are reserved and nothing is sent; the asker gets a routing number; and the set-up
-// that calls this number takes the call over, with its attempt, its circuits and its time. docs/FRONTS.md tells why.
+// An ENUM query is a call that has not been set up yet. It is offered to the Controller like any other call. Where the
+// Controller sends it, circuits are reserved and no IAM is sent; the ENUM client gets a routing number. The set-up that
+// calls this number takes over the call, with its attempt, circuits and times. docs/FRONTS.md gives the reasons.
 
-// lease is what an asker holds of a call.
+// lease ties a call without a set-up to the ENUM client that queried it. It is granted once it has a routing number.
 type lease struct {
-	ask     uint64
-	asker   *asker
-	routing string        // routing number; empty until it is granted
-	until   time.Duration // it runs out, or the question has had no answer in time
+	queryID       uint64
+	enumClient    *enumClient
+	routingNumber string        // empty until the lease is granted
+	expiresAt     time.Duration // expiry of the lease; before it is granted, the deadline of the reply
 }
 
-// asker is someone who asks, with the leases held.
-type asker struct {
+// enumClient is an ENUM client with its number of active leases.
+type enumClient struct {
 	Asker
-	client *peer
-	held   int
+	peer         *peer // peer that its set-ups come from
+	activeLeases int
 }
 
-// tokenDigits make a routing number hard to guess: one in 10^8, for less than a second, from the right client.
-const tokenDigits = 8
-
-// defaultLeases an asker may hold.
-const defaultLeases = 100
-
-func (r *Router) prepareAskers(seed int64) {
-	r.leases, r.askers = map[string]*call{}, map[string]*asker{}
-	r.tokens = rand.New(rand.NewPCG(uint64(seed), 0x6c65617365)) // its own source: the Controller's draws stay as they are
-	for _, a := range r.cfg.Askers {
-		if a.Leases == 0 {
-			a.Leases = defaultLeases
+// routingTokenDigits is the number of random digits in a routing number. They make it hard to guess: one chance in 10^8,
+// for less than a second, and only from the right client.
+const routingTokenDigits = 8
+
+// defaultMaxLeases is how many leases an ENUM client may have at a time unless configured otherwise.
+const defaultMaxLeases = 100
+
+// initENUMClients prepares the state of the configured ENUM clients.
+func (r *Router) initENUMClients(seed int64) {
+	r.leasedCalls, r.enumClients = map[string]*call{}, map[string]*enumClient{}
+	// A separate source, so that the Controller's random numbers do not depend on queries. The constant is "lease".
+	r.routingRand = rand.New(rand.NewPCG(uint64(seed), 0x6c65617365))
+	for _, client := range r.cfg.Askers {
+		if client.Leases == 0 {
+			client.Leases = defaultMaxLeases
 		}
-		r.askers[a.Name] = &asker{Asker: a}
+		r.enumClients[client.Name] = &enumClient{Asker: client}
 	}
 }
 
-// Ask takes a question: where may a call of an asker to a number go? It is answered by exactly one Reply with the same
-// ask, within Config.AskWithin. Questions are told apart by their asks: a front that hears one twice asks once.
-func (r *Router) Ask(now time.Duration, ask uint64, who, number string) {
+// Ask handles a query: where may a call of an ENUM client to a number go? Exactly one Reply with the same query ID
+// follows within Config.AskWithin. Each call of Ask is a query of its own, so a front end that receives a query twice
+// must pass it on once.
+func (r *Router) Ask(now time.Duration, queryID uint64, clientName, number string) {
 	r.now = now
-	r.question(ask, who, number)
-	r.run()
+	r.handleQuery(queryID, clientName, number)
+	r.processPending()
 }
 
-func (r *Router) question(ask uint64, who, number string) {
-	a := r.askers[who]
-	entry, found := r.table.Find(number)
-	reply := func(v Verdict, cause isup.Cause) { r.emit(Reply{Ask: ask, Verdict: v, Cause: cause}) }
+// handleQuery checks a query and offers its call to the Controller.
+func (r *Router) handleQuery(queryID uint64, clientName, number string) {
+	client := r.enumClients[clientName]
+	entry, found := r.numberingTable.Find(number)
+	reply := func(verdict Verdict, cause isup.Cause) { r.emit(Reply{Ask: queryID, Verdict: verdict, Cause: cause}) }
 	switch {
-	case a == nil:
+	case client == nil:
 		reply(Refused, isup.CauseRejected)
 		return
 	case !found:
 		reply(Failed, isup.CauseUnallocated)
 		return
-	case entry.Exchange == r.home.Number:
-		reply(Failed, isup.CauseRejected) // no route is needed: the client calls the number itself
+	case entry.Exchange == r.ownExchange.Number:
+		reply(Failed, isup.CauseRejected) // no route needed: the client calls the number directly
 		return
-	case r.draining || a.held >= a.Leases:
+	case r.draining || client.activeLeases >= client.Leases:
 		reply(Refused, isup.CauseCongestion)
 		return
 	}
-	a.client = r.byName[a.Client]
-	r.lastCall++
-	class := a.Class
+	client.peer = r.peersByName[client.Client]
+	r.lastCallID++
+	class := client.Class
 	if entry.Class >= 0 {
 		class = entry.Class
 	}
-	c := &call{id: r.lastCall, managed: true, class: class, dest: entry.Exchange, hops: r.cfg.Hops, taken: r.now,
+	call := &call{id: r.lastCallID, managed: true, class: class, destination: entry.Exchange, hopCounter: r.cfg.Hops, receivedAt: r.now,
 		setup: isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Width: r.cfg.Classes[class].Width, Hops: -1},
-		lease: &lease{ask: ask, asker: a, until: r.now + r.cfg.AskWithin}}
-	r.calls[c.id] = c
-	a.held++
-	if !r.admit(c, a.client) {
-		r.answer(c, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion})
+		lease: &lease{queryID: queryID, enumClient: client, expiresAt: r.now + r.cfg.AskWithin}}
+	r.calls[call.id] = call
+	client.activeLeases++
+	if !r.admit(call, client.peer) {
+		r.rejectCall(call, Refused, isup.ReleaseInfo{Cause: isup.CauseCongestion})
 		return
 	}
-	r.arm(c.lease.until, timer{kind: timerLease, call: c.id})
-	if r.debug() {
-		r.log(slog.LevelDebug, "asked", c.id, slog.String("asker", who), slog.String("called", number))
+	r.armTimer(call.lease.expiresAt, timer{kind: timerLease, call: call.id})
+	if r.debugEnabled() {
+		r.log(slog.LevelDebug, "asked", call.id, slog.String("asker", clientName), slog.String("called", number))
 	}
-	r.ctl.Offered(r.now, logic.Call{ID: c.id, Class: class, Dest: c.dest, Width: c.setup.Width, Via: -1, Number: number,
-		TimeLeft: r.patience(c)})
+	r.controller.Offered(r.now, logic.Call{ID: call.id, Class: class, Dest: call.destination, Width: call.setup.Width,
+		Via: -1, Number: number, TimeLeft: r.remainingPatience(call)})
 }
 
-// reserve takes circuits for an asker's call, and grants the lease the first time.
-func (r *Router) reserve(c *call, p *peer) (*leg, bool) {
-	l := &leg{call: c, peer: p}
-	s := p.group.Reserve(max(1, c.setup.Width), l)
-	if s == nil {
+// reserve reserves circuits for the call of an ENUM client. The first reservation grants the lease.
+func (r *Router) reserve(call *call, peer *peer) (*leg, bool) {
+	leg := &leg{call: call, peer: peer}
+	seizure := peer.group.Reserve(max(1, call.setup.Width), leg)
+	if seizure == nil {
 		return nil, false
 	}
-	l.seizure = s
-	r.touch(p)
-	if c.lease.routing == "" {
-		for c.lease.routing == "" || r.leases[c.lease.routing] != nil {
-			c.lease.routing = fmt.Sprintf("%s%0*d", r.cfg.Routing, tokenDigits, r.tokens.IntN(100_000_000))
+	leg.seizure = seizure
+	r.markPending(peer)
+	if call.lease.routingNumber == "" {
+		for call.lease.routingNumber == "" || r.leasedCalls[call.lease.routingNumber] != nil {
+			call.lease.routingNumber = fmt.Sprintf("%s%0*d", r.cfg.Routing, routingTokenDigits, r.routingRand.IntN(100_000_000))
 		}
-		r.leases[c.lease.routing] = c
-		c.lease.until = r.now + r.cfg.Lease
-		r.arm(c.lease.until, timer{kind: timerLease, call: c.id})
-		r.emit(Reply{Ask: c.lease.ask, Verdict: Stands, Routing: c.lease.routing, Exchange: c.office, Until: c.lease.until})
+		r.leasedCalls[call.lease.routingNumber] = call
+		call.lease.expiresAt = r.now + r.cfg.Lease
+		r.armTimer(call.lease.expiresAt, timer{kind: timerLease, call: call.id})
+		r.emit(Reply{Ask: call.lease.queryID, Verdict: Stands, Routing: call.lease.routingNumber, Exchange: call.office,
+			Until: call.lease.expiresAt})
 	}
-	return l, true
+	return leg, true
 }
 
-// lapse ends a lease that nobody took over, or a question that the Controller has not decided in time. To the Controller
-// the caller has gone: nothing was sent, so nothing is learnt of the exchange.
-func (r *Router) lapse(c *call) {
-	if c.lease.routing == "" {
-		r.emit(Reply{Ask: c.lease.ask, Verdict: Refused, Cause: isup.CauseCongestion})
+// expireLease ends a lease that was not used, or a query that the Controller has not decided in time. It is reported to
+// the Controller as a caller that hung up: nothing was sent, so it says nothing about the exchange.
+func (r *Router) expireLease(call *call) {
+	if call.lease.routingNumber == "" {
+		r.emit(Reply{Ask: call.lease.queryID, Verdict: Refused, Cause: isup.CauseCongestion})
 	}
-	r.emit(Answer{At: r.now, Call: c.id, Verdict: HungUp, Took: r.now - c.taken})
-	r.dropLease(c)
-	r.ctl.HungUp(r.now, c.id)
-	if c.out == nil {
-		r.forget(c)
+	r.emit(Answer{At: r.now, Call: call.id, Verdict: HungUp, Elapsed: r.now - call.receivedAt})
+	r.removeLease(call)
+	r.controller.HungUp(r.now, call.id)
+	if call.outgoing == nil {
+		r.forget(call)
 	}
 }
 
 // endLease ends the lease of a call that was refused or failed before a set-up came.
-func (r *Router) endLease(c *call, info isup.ReleaseInfo) {
-	if c.lease.routing == "" {
-		r.emit(Reply{Ask: c.lease.ask, Verdict: verdictOf(info.Cause), Cause: info.Cause})
+func (r *Router) endLease(call *call, info isup.ReleaseInfo) {
+	if call.lease.routingNumber == "" {
+		r.emit(Reply{Ask: call.lease.queryID, Verdict: verdictOf(info.Cause), Cause: info.Cause})
 	}
-	r.dropLease(c)
+	r.removeLease(call)
 }
 
-func (r *Router) dropLease(c *call) {
-	r.leaves(c)
-	c.lease.asker.held--
-	delete(r.leases, c.lease.routing)
-	c.lease = nil
+// removeLease detaches the lease from a call and ends the call's place in the fair share of its client.
+func (r *Router) removeLease(call *call) {
+	r.endAdmission(call)
+	call.lease.enumClient.activeLeases--
+	delete(r.leasedCalls, call.lease.routingNumber)
+	call.lease = nil
 }
 
-// takesOver handles an IAM that calls a routing number; false: it calls something else.
-func (r *Router) takesOver(p *peer, s *trunk.Seizure, m *isup.Message) bool {
-	set, err := m.Setup()
-	if err != nil || r.cfg.Routing == "" || !strings.HasPrefix(set.Called.Digits, r.cfg.Routing) {
+// takeOverLease handles an IAM that calls a routing number: the call of its lease goes on with this set-up. It returns
+// false if the called number is not a routing number.
+func (r *Router) takeOverLease(client *peer, seizure *trunk.Seizure, iam *isup.Message) bool {
+	setup, err := iam.Setup()
+	if err != nil || r.cfg.Routing == "" || !strings.HasPrefix(setup.Called.Digits, r.cfg.Routing) {
 		return false
 	}
-	c := r.leases[set.Called.Digits]
-	if c == nil || c.lease.asker.client != p || max(1, set.Width) != max(1, c.setup.Width) {
-		r.log(slog.LevelWarn, "set-up with a routing number that is not leased to this client", 0, slog.String("peer", p.cfg.Name))
-		r.lastCall++
-		forged := &call{id: r.lastCall, taken: r.now - r.waited}
-		forged.in = &leg{call: forged, peer: p, seizure: s}
-		s.Owner = forged.in
-		r.calls[forged.id] = forged
-		r.answer(forged, Failed, isup.ReleaseInfo{Cause: isup.CauseRejected, Location: isup.LocationLocalNetwork})
+	leased := r.leasedCalls[setup.Called.Digits]
+	if leased == nil || leased.lease.enumClient.peer != client || max(1, setup.Width) != max(1, leased.setup.Width) {
+		r.log(slog.LevelWarn, "set-up with a routing number that is not leased to this client", 0, slog.String("peer", client.cfg.Name))
+		r.lastCallID++
+		rejected := &call{id: r.lastCallID, receivedAt: r.now - r.queueDelay}
+		rejected.incoming = &leg{call: rejected, peer: client, seizure: seizure}
+		seizure.Owner = rejected.incoming
+		r.calls[rejected.id] = rejected
+		r.rejectCall(rejected, Failed, isup.ReleaseInfo{Cause: isup.CauseRejected, Location: isup.LocationLocalNetwork})
 		return true
 	}
-	c.iam = keep(m)
-	if err := c.iam.SetCalled(c.setup.Called); err != nil {
-		r.log(slog.LevelError, "number of a lease", c.id, slog.Any("err", err))
+	leased.iam = copyMessage(iam)
+	if err := leased.iam.SetCalled(leased.setup.Called); err != nil {
+		r.log(slog.LevelError, "called number of a lease cannot be encoded", leased.id, slog.Any("err", err))
 	}
-	c.setup.Elapsed = set.Elapsed
-	c.in = &leg{call: c, peer: p, seizure: s}
-	s.Owner = c.in
-	r.emit(Taken{Ask: c.lease.ask})
-	admitted := c.admitted
-	c.admitted = false // it goes on counting, by its in leg
-	r.dropLease(c)
-	c.admitted = admitted
-	r.proceed(c)
+	leased.setup.Elapsed = setup.Elapsed
+	leased.incoming = &leg{call: leased, peer: client, seizure: seizure}
+	seizure.Owner = leased.incoming
+	r.emit(Taken{Ask: leased.lease.queryID})
+	admitted := leased.admitted
+	leased.admitted = false // stays in the fair share; the incoming leg ends it
+	r.removeLease(leased)
+	leased.admitted = admitted
+	r.sendReservedSetup(leased)
 	return true
 }
 
-// proceed sends the IAM of a call that was taken over, on the circuits reserved for it. Where the exchange has left
-// meanwhile, or its association is down, the attempt is over and never ran, and the Controller goes on (rule 3).
-func (r *Router) proceed(c *call) {
-	l := c.out
-	if l == nil {
-		return // the Controller has not found a way again since a reservation was lost; its next attempt is a set-up
+// sendReservedSetup sends the IAM of a call whose lease was taken over, on its reserved circuits. If the exchange is no
+// longer ready (rule 3), its association is down or the circuits were lost, the attempt ends without having run, and the
+// Controller decides again.
+func (r *Router) sendReservedSetup(call *call) {
+	leg := call.outgoing
+	if leg == nil {
+		return // the reservation was lost and the Controller has found no other route yet; its next attempt will send the IAM
 	}
-	p := l.peer
-	ready := r.merged(r.list[c.office]).State == logic.Ready
-	if !ready || !p.active() || !p.group.Begin(l.seizure) {
-		p.group.Drop(l.seizure)
-		r.touch(p)
+	peer := leg.peer
+	ready := r.effectiveOffice(r.offices[call.office]).State == logic.Ready
+	if !ready || !peer.active() || !peer.group.Begin(leg.seizure) {
+		peer.group.Drop(leg.seizure)
+		r.markPending(peer)
 		status := logic.NotSent
-		if ready && !p.active() {
+		if ready && !peer.active() {
 			status = logic.NoConnect
 		}
-		r.attemptOver(c, status, logic.NoteCircuit)
+		r.attemptEnded(call, status, logic.NoteCircuit)
 		return
 	}
-	c.sent = r.now // the Controller learns the exchange's delay, not the asker's
-	p.group.Send(l.seizure, c.forward(r.now, l.seizure.Map))
-	r.flush(p)
-	r.onLink(l)
-	r.touch(p)
+	call.sentAt = r.now // so that the Controller measures the delay of the exchange, without that of the ENUM client
+	peer.group.Send(leg.seizure, call.forwardedIAM(r.now, leg.seizure.Map))
+	r.flush(peer)
+	r.recordSendPosition(leg)
+	r.markPending(peer)
 }
--- a/router/policy.go
+++ b/router/policy.go
@@ -5,25 +5,26 @@
 	"finchlatch/measure"
 )
 
-// Policy is what a Router asks. The product has one, logic.Controller; others are baselines to compare it with.
+// Policy makes the decisions of a Router. In operation it is a logic.Controller; others are baselines for comparisons.
 type Policy = measure.Policy
 
 var _ Policy = (*logic.Controller)(nil)
 
-// newPolicy makes what the Router asks.
-func (c *Config) newPolicy(s logic.Settings, seed int64) (Policy, error) {
+// newPolicy returns the policy of a Router, with the Meter around it if there is one.
+func (c *Config) newPolicy(settings logic.Settings, seed int64) (Policy, error) {
 	if c.Meter == nil {
-		return c.plainPolicy(s, seed)
+		return c.newUnmeteredPolicy(settings, seed)
 	}
-	return c.Meter.Around(s.Host, func(h logic.Host) (measure.Policy, error) {
-		s.Host = h
-		return c.plainPolicy(s, seed)
+	return c.Meter.Around(settings.Host, func(metered logic.Host) (measure.Policy, error) {
+		settings.Host = metered
+		return c.newUnmeteredPolicy(settings, seed)
 	})
 }
 
-func (c *Config) plainPolicy(s logic.Settings, seed int64) (Policy, error) {
+// newUnmeteredPolicy returns the baseline if there is one, and a logic.Controller otherwise.
+func (c *Config) newUnmeteredPolicy(settings logic.Settings, seed int64) (Policy, error) {
 	if c.Baseline != nil {
-		return c.Baseline(s, seed)
+		return c.Baseline(settings, seed)
 	}
-	return logic.New(s, seed)
+	return logic.New(settings, seed)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -15,295 +15,306 @@
 	"finchlatch/numbering"
 )
 
-// Router is one call server. It is not safe for concurrent use; two Routers share nothing.
+// Router is one call server. It is not safe for concurrent use. Two Routers share no state.
 type Router struct {
-	cfg        Config
-	home       Exchange
-	ctl        Policy // the Controller of package logic
-	table      *numbering.Table
-	categories numbering.Categories
-	peers      []*peer
-	links      []*link
-	byName     map[string]*peer // exchanges and others
-	byCode     map[uint32]*peer
-	calls      map[uint64]*call
-	lastCall   uint64
-	list       map[string]logic.Office
-	numbers    map[string]int      // of the exchanges, by name
-	shares     *ingress.Controller // of the clients
-	leases     map[string]*call    // by routing number
-	askers     map[string]*asker
-	tokens     *rand.Rand
-	timers     timing.Timers[timer]
-	now        time.Duration
-	todo       []func() // what the Controller must still be told, in order
-	touched    []*peer  // peers whose state machines may have something to say
-	effects    []Effect
-	given      []Effect // handed out by the last call of Effects
-	scratch    []byte
-	waited     time.Duration // of the bytes that are being handled
-	draining   bool
+	cfg              Config
+	ownExchange      Exchange
+	controller       Policy // a logic.Controller, except in comparisons
+	numberingTable   *numbering.Table
+	categories       numbering.Categories
+	peers            []*peer
+	links            []*link
+	peersByName      map[string]*peer // all kinds of peers
+	peersByPointCode map[uint32]*peer
+	calls            map[uint64]*call
+	lastCallID       uint64
+	offices          map[string]logic.Office
+	exchangeNumbers  map[string]int      // exchange numbers by name
+	clientShares     *ingress.Controller // fair shares of the clients
+	leasedCalls      map[string]*call    // calls with an unused lease, by routing number
+	enumClients      map[string]*enumClient
+	routingRand      *rand.Rand
+	timers           timing.Timers[timer]
+	now              time.Duration
+	deferred         []func() // notifications of the Controller that wait for the present input to finish, in order
+	pendingPeers     []*peer  // peers whose state machines may have produced output or events
+	effects          []Effect
+	returnedEffects  []Effect // slice returned by the last call of Effects
+	encodeBuffer     []byte
+	queueDelay       time.Duration // time that the bytes being handled have waited in a queue
+	draining         bool
 }
 
-// New makes a Router. The seed is for the Controller's draws: the same inputs at the same times give the same
-// effects.
+// New returns a Router. The seed initializes all random numbers: with the same seed, the same inputs at the same times
+// give the same effects.
 func New(cfg Config, seed int64) (*Router, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	home, _ := cfg.own()
+	own, _ := cfg.ownExchange()
 	if cfg.Recovery <= 0 {
 		cfg.Recovery = DefaultRecovery
 	}
 	if cfg.Hops <= 0 {
-		cfg.Hops = defaultHops
+		cfg.Hops = defaultHopCounter
 	}
-	r := &Router{cfg: cfg, home: home, byName: map[string]*peer{}, byCode: map[uint32]*peer{},
-		calls: map[uint64]*call{}, list: map[string]logic.Office{}, numbers: map[string]int{}, categories: numbering.Categories{}}
-	r.prepareAskers(seed)
+	r := &Router{cfg: cfg, ownExchange: own, peersByName: map[string]*peer{}, peersByPointCode: map[uint32]*peer{},
+		calls: map[uint64]*call{}, offices: map[string]logic.Office{}, exchangeNumbers: map[string]int{},
+		categories: numbering.Categories{}}
+	r.initENUMClients(seed)
 	var err error
-	if r.table, err = numbering.NewTable(cfg.Numbering); err != nil {
+	if r.numberingTable, err = numbering.NewTable(cfg.Numbering); err != nil {
 		return nil, err
 	}
-	for _, e := range cfg.Exchanges {
-		r.numbers[e.Name] = e.Number
+	for _, exchange := range cfg.Exchanges {
+		r.exchangeNumbers[exchange.Name] = exchange.Number
 	}
-	for i, k := range cfg.Classes {
-		r.categories[k.Category] = i
+	for i, class := range cfg.Classes {
+		r.categories[class.Category] = i
 	}
-	for i, p := range cfg.Peers {
-		if err := r.addPeer(PeerID(i), p); err != nil {
+	for i, peer := range cfg.Peers {
+		if err := r.addPeer(PeerID(i), peer); err != nil {
 			return nil, err
 		}
 	}
-	r.shares = ingress.New(cfg.ingress())
-	if r.ctl, err = cfg.newPolicy(cfg.settings(host{r}, home.Number), seed); err != nil {
+	r.clientShares = ingress.New(cfg.ingressSettings())
+	if r.controller, err = cfg.newPolicy(cfg.controllerSettings(host{r}, own.Number), seed); err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
 	return r, nil
 }
 
-// Start begins work with the exchange list as it is known. An empty list names all exchanges as ready.
-func (r *Router) Start(now time.Duration, list []logic.Office) {
+// Start begins operation with the exchanges known from service discovery. An empty list stands for all exchanges,
+// ready.
+func (r *Router) Start(now time.Duration, offices []logic.Office) {
 	r.now = now
-	if len(list) == 0 {
-		for _, e := range r.cfg.Exchanges {
-			list = append(list, logic.Office{ID: e.Name, Exchange: e.Number})
+	if len(offices) == 0 {
+		for _, exchange := range r.cfg.Exchanges {
+			offices = append(offices, logic.Office{ID: exchange.Name, Exchange: exchange.Number})
 		}
 	}
-	r.List(now, logic.ListRestored, list)
-	for _, p := range r.peers {
-		r.reportGroup(p)
+	r.List(now, logic.ListRestored, offices)
+	for _, peer := range r.peers {
+		r.reportCircuits(peer)
 	}
-	r.run()
+	r.processPending()
 }
 
-// Connected takes the news that a transport connection is up.
+// Connected reports that a transport connection has been established.
 func (r *Router) Connected(now time.Duration, id LinkID) {
-	l := r.link(now, id)
-	l.offset = 0
-	l.assoc.Connected(now)
-	r.run()
+	link := r.beginLinkInput(now, id)
+	link.bytesWritten = 0
+	link.assoc.Connected(now)
+	r.processPending()
 }
 
-// Disconnected takes the news that a transport connection is gone. written is how many of the bytes
-// asked for by Write since Connected have been handed to the transport: an IAM that was not written whole never
-// ran. A negative count means that all were.
+// Disconnected reports that a transport connection has been lost. written is the number of bytes of the Write effects
+// since Connected that were handed to the transport; a negative value means all of them. An IAM that was not written
+// completely never reached the peer, so its attempt never ran.
 func (r *Router) Disconnected(now time.Duration, id LinkID, written int64) {
-	l := r.link(now, id)
-	confirmed := l.assoc.Confirmed()
-	l.assoc.Lost()
-	r.run() // who takes the traffic over is settled first
-	r.lost(l, written, confirmed)
-	r.run()
+	link := r.beginLinkInput(now, id)
+	confirmed := link.assoc.Confirmed()
+	link.assoc.Lost()
+	r.processPending() // first decide which process takes over the traffic
+	r.handleConnectionLoss(link, written, confirmed)
+	r.processPending()
 }
 
-// Receive takes bytes from a connection, in any pieces.
-func (r *Router) Receive(now time.Duration, id LinkID, b []byte) {
-	l := r.link(now, id)
-	l.assoc.Receive(now, b)
-	r.run()
+// Receive handles bytes read from a connection. They may be split at any position.
+func (r *Router) Receive(now time.Duration, id LinkID, data []byte) {
+	link := r.beginLinkInput(now, id)
+	link.assoc.Receive(now, data)
+	r.processPending()
 }
 
-// List takes news of the exchanges: an update or a whole list. Entries with unknown names are told to the
-// operators and left out.
-func (r *Router) List(now time.Duration, kind logic.ListKind, list []logic.Office) {
+// List handles an update or a snapshot of the exchanges from service discovery. Entries with unknown names are logged
+// and ignored.
+func (r *Router) List(now time.Duration, kind logic.ListKind, offices []logic.Office) {
 	r.now = now
-	known := make([]logic.Office, 0, len(list))
-	for _, o := range list {
-		number, ok := r.numbers[o.ID]
+	known := make([]logic.Office, 0, len(offices))
+	for _, office := range offices {
+		number, ok := r.exchangeNumbers[office.ID]
 		if !ok {
-			r.log(slog.LevelWarn, "exchange list names an unknown exchange", 0, slog.String("exchange", o.ID))
+			r.log(slog.LevelWarn, "service discovery names an unknown exchange", 0, slog.String("exchange", office.ID))
 			continue
 		}
-		o.Exchange = number
-		r.list[o.ID] = o
-		known = append(known, r.merged(o))
+		office.Exchange = number
+		r.offices[office.ID] = office
+		known = append(known, r.effectiveOffice(office))
 	}
 	if kind == logic.ListReplace || kind == logic.ListRestored {
 		named := make(map[string]bool, len(known))
-		for _, o := range known {
-			named[o.ID] = true
+		for _, office := range known {
+			named[office.ID] = true
 		}
-		for name, o := range r.list {
+		for name, office := range r.offices {
 			if !named[name] {
-				o.State = logic.Gone
-				r.list[name] = o
+				office.State = logic.Gone
+				r.offices[name] = office
 			}
 		}
 	}
-	r.ctl.List(now, kind, known)
-	r.run()
+	r.controller.List(now, kind, known)
+	r.processPending()
 }
 
-// merged is the state that the Controller is told: an exchange that itself says that it is leaving drains,
-// whatever the list says.
-func (r *Router) merged(o logic.Office) logic.Office {
-	if p := r.byName[o.ID]; p != nil && p.leaving && o.State == logic.Ready {
-		o.State = logic.Draining
+// effectiveOffice returns the office as it is reported to the Controller: an exchange that has announced itself that it
+// goes out of service counts as draining, even where service discovery still has it as ready.
+func (r *Router) effectiveOffice(office logic.Office) logic.Office {
+	if peer := r.peersByName[office.ID]; peer != nil && peer.announcedDrain && office.State == logic.Ready {
+		office.State = logic.Draining
 	}
-	return o
+	return office
 }
 
-// Next tells when Advance has work; false: nothing waits.
+// Next returns the time of the next timer, at which Advance must be called; false if no timer is armed.
 func (r *Router) Next() (time.Duration, bool) {
 	return r.timers.Next()
 }
 
-// Advance does what is due at the time now.
+// Advance handles all timers that expire up to now.
 func (r *Router) Advance(now time.Duration) {
 	r.now = max(r.now, now)
 	for _, t, ok := r.timers.Pop(now); ok; _, t, ok = r.timers.Pop(now) {
-		r.fire(t)
-		r.run()
+		r.fireTimer(t)
+		r.processPending()
 	}
 }
 
-// Effects gives what is to be carried out, in order, and forgets it. The slice is good until the next call; the
-// bytes of a Write stay as they are.
+// Effects returns the effects to carry out, in order, and removes them from the Router. The slice is valid until the
+// next call; the bytes of a Write are never reused.
 func (r *Router) Effects() []Effect {
-	clear(r.given)
-	r.effects, r.given = r.given[:0], r.effects
-	return r.given
+	clear(r.returnedEffects)
+	r.effects, r.returnedEffects = r.returnedEffects[:0], r.effects
+	return r.returnedEffects
 }
 
-// Drain takes the Router out of service: new calls are refused with congestion, and the neighbours are told
-// with DRST. Calls held go on until their answers.
+// Drain takes the Router out of service: new calls are refused with congestion, and the other exchanges are notified
+// with DRST. Calls in progress continue.
 func (r *Router) Drain(now time.Duration) {
 	r.now = now
 	if !r.draining {
 		r.draining = true
 		r.announce(m3ua.DRST)
 	}
-	r.run()
+	r.processPending()
 }
 
-// Undrain takes new calls again.
+// Undrain puts a draining Router back into service and notifies the other exchanges with DAVA.
 func (r *Router) Undrain(now time.Duration) {
 	r.now = now
 	if r.draining {
 		r.draining = false
 		r.announce(m3ua.DAVA)
 	}
-	r.run()
+	r.processPending()
 }
 
-func (r *Router) announce(k m3ua.Kind) {
-	for _, p := range r.peers {
-		if p.cfg.Kind == PeerExchange {
-			r.tell(p, k, 0)
+// announce sends a network management message to all other exchanges.
+func (r *Router) announce(kind m3ua.Kind) {
+	for _, peer := range r.peers {
+		if peer.cfg.Kind == PeerExchange {
+			r.sendNetworkManagement(peer, kind, 0)
 		}
 	}
 }
 
-// Leave ends the associations in order (ASPIA, ASPDN). Calls should have ended before it.
+// Leave closes the associations in order (ASPIA, ASPDN). Calls should have ended before.
 func (r *Router) Leave(now time.Duration) {
 	r.now = now
-	for _, p := range r.peers {
-		for _, l := range p.links {
-			l.assoc.Leave(now)
+	for _, peer := range r.peers {
+		for _, link := range peer.links {
+			link.assoc.Leave(now)
 		}
-		r.touch(p)
+		r.markPending(peer)
 	}
-	r.run()
+	r.processPending()
 }
 
-// ReleaseAll releases every call that still stands or waits, as the last step of a drain: waiting ones are
-// answered with a failure.
+// ReleaseAll releases every call that is left, as the last step of a drain. Calls without a final answer are answered
+// with a failure.
 func (r *Router) ReleaseAll(now time.Duration) {
 	r.now = now
-	for _, c := range r.sorted() {
-		r.abandon(c, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder, Location: isup.LocationLocalNetwork})
-		r.run()
+	for _, call := range r.callsInOrder() {
+		r.releaseCall(call, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder, Location: isup.LocationLocalNetwork})
+		r.processPending()
 	}
 }
 
-// Block blocks n circuits of the group toward a peer from this end, or lifts the block of n. It gives the number
+// Block blocks n circuits of the group toward a peer from this end, or unblocks n. It returns the number of circuits
 // that changed.
-func (r *Router) Block(now time.Duration, id PeerID, n int, kind isup.GroupType, on bool) int {
-	p := r.enter(now, id)
-	n = p.group.Block(now, n, kind, on)
-	r.run()
-	return n
+func (r *Router) Block(now time.Duration, id PeerID, count int, kind isup.GroupType, blocked bool) int {
+	peer := r.beginPeerInput(now, id)
+	count = peer.group.Block(now, count, kind, blocked)
+	r.processPending()
+	return count
 }
 
-// Reset resets the n busiest-first circuits with calls on the group toward a peer: those calls are cut at both
-// ends. It gives the number of circuits reset.
-func (r *Router) Reset(now time.Duration, id PeerID, n int) int {
-	p := r.enter(now, id)
-	busy := p.group.Busy()
-	busy = busy[:min(max(n, 0), len(busy))]
-	p.group.Reset(now, busy)
-	r.run()
+// Reset resets the first n circuits with calls on the group toward a peer, which drops these calls at both ends. It
+// returns the number of circuits reset.
+func (r *Router) Reset(now time.Duration, id PeerID, count int) int {
+	peer := r.beginPeerInput(now, id)
+	busy := peer.group.Busy()
+	busy = busy[:min(max(count, 0), len(busy))]
+	peer.group.Reset(now, busy)
+	r.processPending()
 	return len(busy)
 }
 
-func (r *Router) enter(now time.Duration, id PeerID) *peer {
+// beginPeerInput advances the time for an input about a peer, and marks the peer as pending.
+func (r *Router) beginPeerInput(now time.Duration, id PeerID) *peer {
 	r.now = now
-	p := r.peers[id]
-	r.touch(p)
-	return p
+	peer := r.peers[id]
+	r.markPending(peer)
+	return peer
 }
 
-func (r *Router) link(now time.Duration, id LinkID) *link {
+// beginLinkInput advances the time for an input about a connection, and marks its peer as pending.
+func (r *Router) beginLinkInput(now time.Duration, id LinkID) *link {
 	r.now = now
-	l := r.links[id]
-	r.touch(l.peer)
-	return l
+	link := r.links[id]
+	r.markPending(link.peer)
+	return link
 }
 
-func (r *Router) touch(p *peer) {
-	if !p.touched {
-		p.touched = true
-		r.touched = append(r.touched, p)
+// markPending makes processPending look at a peer.
+func (r *Router) markPending(peer *peer) {
+	if !peer.pending {
+		peer.pending = true
+		r.pendingPeers = append(r.pendingPeers, peer)
 	}
 }
 
-// run lets everything settle that an input has set off: state machines speak, the Controller is told.
-func (r *Router) run() {
-	told, seen := 0, 0
-	for told < len(r.todo) || seen < len(r.touched) {
-		for ; told < len(r.todo); told++ {
-			r.todo[told]()
+// processPending handles everything that an input has caused, until nothing is left: deferred notifications of the
+// Controller first, then output and events of the pending peers.
+func (r *Router) processPending() {
+	executed, processed := 0, 0
+	for executed < len(r.deferred) || processed < len(r.pendingPeers) {
+		for ; executed < len(r.deferred); executed++ {
+			r.deferred[executed]()
 		}
-		if seen < len(r.touched) {
-			p := r.touched[seen]
-			seen++
-			p.touched = false
-			r.settle(p)
+		if processed < len(r.pendingPeers) {
+			peer := r.pendingPeers[processed]
+			processed++
+			peer.pending = false
+			r.processPeer(peer)
 		}
 	}
-	clear(r.todo)
-	r.todo, r.touched = r.todo[:0], r.touched[:0]
+	clear(r.deferred)
+	r.deferred, r.pendingPeers = r.deferred[:0], r.pendingPeers[:0]
 }
 
-func (r *Router) later(f func()) { r.todo = append(r.todo, f) }
+// deferWork schedules work for after the present input, when the Controller may be called again.
+func (r *Router) deferWork(work func()) { r.deferred = append(r.deferred, work) }
 
-func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
+// emit appends an effect.
+func (r *Router) emit(effect Effect) { r.effects = append(r.effects, effect) }
 
-// debug tells whether lines about single calls are wanted: making them costs a tenth of a call.
-func (r *Router) debug() bool { return r.cfg.LogLevel <= slog.LevelDebug }
+// debugEnabled reports whether records about single calls are wanted. Creating them would take a tenth of the time of a
+// call.
+func (r *Router) debugEnabled() bool { return r.cfg.LogLevel <= slog.LevelDebug }
 
+// log emits a Log effect unless its level is below the configured one.
 func (r *Router) log(level slog.Level, text string, call uint64, attrs ...slog.Attr) {
 	if level < r.cfg.LogLevel {
 		return
@@ -311,71 +322,75 @@
 	r.emit(Log{Level: level, Text: text, Call: call, Attrs: attrs})
 }
 
-// sorted gives the calls in the order in which they came.
-func (r *Router) sorted() []*call {
+// callsInOrder returns the calls in order of arrival.
+func (r *Router) callsInOrder() []*call {
 	ids := make([]uint64, 0, len(r.calls))
 	for id := range r.calls {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	out := make([]*call, len(ids))
+	calls := make([]*call, len(ids))
 	for i, id := range ids {
-		out[i] = r.calls[id]
+		calls[i] = r.calls[id]
 	}
-	return out
+	return calls
 }
 
-// timerKind tells what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind byte
 
 const (
-	timerMark    timerKind = iota // of the Controller
-	timerAttempt                  // the time-out of an attempt
-	timerDue                      // the last moment for the answer of a call that ends here
-	timerPeer                     // a state machine of a peer
-	timerLease                    // a lease runs out, or a question has had no answer in time
+	timerMark           timerKind = iota // requested by the Controller, which gets the mark back
+	timerAttempt                         // time-out of an attempt
+	timerAnswerDeadline                  // latest time for the final answer of a call to a subscriber of this exchange
+	timerPeer                            // deadline of a state machine of a peer
+	timerLease                           // expiry of a lease, or of a query without a reply
 )
 
+// timer is an armed timer; the fields that matter depend on its kind.
 type timer struct {
-	at      time.Duration
-	kind    timerKind
-	mark    string
-	call    uint64
-	attempt int
-	peer    PeerID
+	expiresAt time.Duration
+	kind      timerKind
+	mark      string
+	call      uint64
+	attempt   int
+	peer      PeerID
 }
 
-func (r *Router) arm(at time.Duration, t timer) {
-	t.at = at
-	r.timers.Arm(at, t)
+// armTimer arms a timer that expires at the given time.
+func (r *Router) armTimer(expiresAt time.Duration, t timer) {
+	t.expiresAt = expiresAt
+	r.timers.Arm(expiresAt, t)
 }
 
-func (r *Router) fire(t timer) {
-	switch t.kind {
+// fireTimer handles an expired timer. Timers are never disarmed, so those of calls and peers are checked first for
+// whether they still apply.
+func (r *Router) fireTimer(expired timer) {
+	switch expired.kind {
 	case timerMark:
-		r.ctl.Timer(r.now, t.mark)
+		r.controller.Timer(r.now, expired.mark)
 	case timerAttempt:
-		if c := r.calls[t.call]; c != nil && c.out != nil && !c.answered && c.attempts-1 == t.attempt {
-			r.timeOut(c)
+		if call := r.calls[expired.call]; call != nil && call.outgoing != nil && !call.established && call.attempts-1 == expired.attempt {
+			r.timeOutAttempt(call)
 		}
-	case timerDue:
-		if c := r.calls[t.call]; c != nil && !c.answered && !c.managed {
-			r.abandon(c, isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork})
+	case timerAnswerDeadline:
+		if call := r.calls[expired.call]; call != nil && !call.established && !call.managed {
+			r.releaseCall(call, isup.ReleaseInfo{Cause: isup.CauseTimerExpiry, Location: isup.LocationLocalNetwork})
 		}
 	case timerLease:
-		if c := r.calls[t.call]; c != nil && c.lease != nil && c.in == nil && r.now >= c.lease.until {
-			r.lapse(c)
+		if call := r.calls[expired.call]; call != nil && call.lease != nil && call.incoming == nil && r.now >= call.lease.expiresAt {
+			r.expireLease(call)
 		}
 	case timerPeer:
-		p := r.peers[t.peer]
-		if p.wake == t.at {
-			p.wake = 0
-			for _, l := range p.links {
-				l.assoc.Tick(r.now)
+		peer := r.peers[expired.peer]
+		if peer.timerAt == expired.expiresAt {
+			peer.timerAt = 0
+			for _, link := range peer.links {
+				link.assoc.Tick(r.now)
 			}
-			p.as.Tick(r.now)
-			p.group.Tick(r.now)
-			r.touch(p)
+			peer.as.Tick(r.now)
+			peer.group.Tick(r.now)
+			r.markPending(peer)
 		}
 	}
 }
--- a/router/status.go
+++ b/router/status.go
@@ -8,154 +8,160 @@
 	"finchlatch/m3ua"
 )
 
-// CallView is a call as operators see it.
+// CallView describes a call for operators.
 type CallView struct {
 	ID       uint64
 	Called   string
 	Class    string
-	From, To string // peers; To is empty while nothing is out
+	From     string // peer of the incoming leg
+	To       string // peer of the outgoing leg; empty without an outstanding attempt
 	Attempts int
-	State    string // waiting, out, stands
+	State    string // waiting; out: with an outstanding attempt; stands: established
 	Age      time.Duration
 }
 
-// GroupView is a trunk group as operators see it.
+// GroupView describes a trunk group for operators, with its circuits counted by state.
 type GroupView struct {
-	Peer                          string
-	Kind                          PeerKind
-	Size, Total, Spare            int
-	Out, In, Releasing, Resetting int
-	Blocked                       int
+	Peer      string
+	Kind      PeerKind
+	Size      int // all circuits
+	Total     int // circuits that are not blocked
+	Spare     int // circuits that a call could seize now
+	Out       int // circuits of outgoing calls
+	In        int // circuits of incoming calls
+	Releasing int // circuits that wait for the end of a release
+	Resetting int // circuits that wait for the end of a reset
+	Blocked   int
 }
 
-// ExchangeView is an exchange of the list.
+// ExchangeView describes an exchange for operators.
 type ExchangeView struct {
-	Name    string
-	State   logic.OfficeState // as the list or the exchange itself tells, the worse of the two
-	Started time.Duration
-	Leaving bool // it has said so itself
+	Name           string
+	State          logic.OfficeState // from service discovery or the exchange itself, the worse of the two
+	Started        time.Duration
+	AnnouncedDrain bool // the exchange has announced itself that it goes out of service
 }
 
-// AssociationView is the association with one process of a peer.
+// AssociationView describes the association with one process of a peer for operators.
 type AssociationView struct {
 	Peer  string
-	ASP   int
-	AS    m3ua.ASState // of the whole peer
+	ASP   int          // index in Peer.ASPs
+	AS    m3ua.ASState // state of the application server, for the whole peer
 	State m3ua.State
-	Sent  int64 // octets on this connection
-	Held  int   // messages that wait for it to come back
+	Sent  int64 // bytes sent on this connection
+	Held  int   // messages that wait for the peer to become active
 }
 
-// Calls lists the calls held, oldest first; at most most.
-func (r *Router) Calls(now time.Duration, most int) (out []CallView) {
-	for _, c := range r.sorted() {
-		if len(out) == most {
+// Calls lists up to limit calls in progress, oldest first.
+func (r *Router) Calls(now time.Duration, limit int) (views []CallView) {
+	for _, call := range r.callsInOrder() {
+		if len(views) == limit {
 			break
 		}
-		v := CallView{ID: c.id, Called: c.setup.Called.Digits, Class: "?", Attempts: c.attempts, State: "waiting",
-			Age: now - c.taken}
-		if c.class >= 0 {
-			v.Class = r.cfg.Classes[c.class].Name
+		view := CallView{ID: call.id, Called: call.setup.Called.Digits, Class: "?", Attempts: call.attempts, State: "waiting",
+			Age: now - call.receivedAt}
+		if call.class >= 0 {
+			view.Class = r.cfg.Classes[call.class].Name
 		}
-		if c.in != nil {
-			v.From = c.in.peer.cfg.Name
+		if call.incoming != nil {
+			view.From = call.incoming.peer.cfg.Name
 		}
-		if c.out != nil {
-			v.To, v.State = c.out.peer.cfg.Name, "out"
+		if call.outgoing != nil {
+			view.To, view.State = call.outgoing.peer.cfg.Name, "out"
 		}
-		if c.answered {
-			v.State = "stands"
+		if call.established {
+			view.State = "stands"
 		}
-		out = append(out, v)
+		views = append(views, view)
 	}
-	return out
+	return views
 }
 
-// Held counts the calls, and those of them that have no final answer yet.
+// Held returns the number of calls in progress, and how many of them have no final answer yet.
 func (r *Router) Held() (calls, unanswered int) {
-	for _, c := range r.calls {
-		if !c.answered && c.in != nil {
+	for _, call := range r.calls {
+		if !call.established && call.incoming != nil {
 			unanswered++
 		}
 	}
 	return len(r.calls), unanswered
 }
 
-// Draining tells whether new calls are refused.
+// Draining reports whether new calls are refused.
 func (r *Router) Draining() bool { return r.draining }
 
-// Groups lists the trunk groups in the order of the peers.
-func (r *Router) Groups() (out []GroupView) {
-	for _, p := range r.peers {
-		by, blocked := p.group.States()
-		out = append(out, GroupView{Peer: p.cfg.Name, Kind: p.cfg.Kind, Size: p.group.Size(), Total: p.group.Total(),
-			Spare: p.group.Spare(), Out: by[1], In: by[2], Releasing: by[3], Resetting: by[4], Blocked: blocked})
+// Groups lists the trunk groups in the order of Config.Peers.
+func (r *Router) Groups() (views []GroupView) {
+	for _, peer := range r.peers {
+		byState, blocked := peer.group.States()
+		views = append(views, GroupView{Peer: peer.cfg.Name, Kind: peer.cfg.Kind, Size: peer.group.Size(), Total: peer.group.Total(),
+			Spare: peer.group.Spare(), Out: byState[1], In: byState[2], Releasing: byState[3], Resetting: byState[4], Blocked: blocked})
 	}
-	return out
+	return views
 }
 
-// Exchanges lists the exchanges in the order of the configuration.
-func (r *Router) Exchanges() (out []ExchangeView) {
-	for _, e := range r.cfg.Exchanges {
-		v := ExchangeView{Name: e.Name, State: logic.Gone}
-		if o, ok := r.list[e.Name]; ok {
-			o = r.merged(o)
-			v.State, v.Started = o.State, o.Started
+// Exchanges lists the exchanges in the order of Config.Exchanges.
+func (r *Router) Exchanges() (views []ExchangeView) {
+	for _, exchange := range r.cfg.Exchanges {
+		view := ExchangeView{Name: exchange.Name, State: logic.Gone}
+		if office, ok := r.offices[exchange.Name]; ok {
+			office = r.effectiveOffice(office)
+			view.State, view.Started = office.State, office.Started
 		}
-		if p := r.byName[e.Name]; p != nil {
-			v.Leaving = p.leaving
+		if peer := r.peersByName[exchange.Name]; peer != nil {
+			view.AnnouncedDrain = peer.announcedDrain
 		}
-		out = append(out, v)
+		views = append(views, view)
 	}
-	return out
+	return views
 }
 
-// Associations lists the associations in the order of the peers.
-func (r *Router) Associations() (out []AssociationView) {
-	for _, p := range r.peers {
-		for _, l := range p.links {
-			out = append(out, AssociationView{Peer: p.cfg.Name, ASP: l.asp, AS: p.as.State(), State: l.assoc.State(),
-				Sent: l.offset, Held: len(p.held)})
+// Associations lists the associations in the order of Config.Peers and Peer.ASPs.
+func (r *Router) Associations() (views []AssociationView) {
+	for _, peer := range r.peers {
+		for _, link := range peer.links {
+			views = append(views, AssociationView{Peer: peer.cfg.Name, ASP: link.aspIndex, AS: peer.as.State(), State: link.assoc.State(),
+				Sent: link.bytesWritten, Held: len(peer.heldMessages)})
 		}
 	}
-	return out
+	return views
 }
 
-// Peer finds a peer by its name.
+// Peer returns the peer with a name, or false if there is none.
 func (r *Router) Peer(name string) (PeerID, bool) {
-	p := r.byName[name]
-	if p == nil {
+	peer := r.peersByName[name]
+	if peer == nil {
 		return 0, false
 	}
-	return p.id, true
+	return peer.id, true
 }
 
-// Link finds the connection of a process of a peer; false: there is none.
+// Link returns the connection of a process of a peer, or false if there is none.
 func (r *Router) Link(peer string, asp int) (LinkID, bool) {
-	p := r.byName[peer]
-	if p == nil || asp < 0 || asp >= len(p.links) {
+	found := r.peersByName[peer]
+	if found == nil || asp < 0 || asp >= len(found.links) {
 		return 0, false
 	}
-	return p.links[asp].id, true
+	return found.links[asp].id, true
 }
 
-// LinkName names a connection for the operators.
+// LinkName returns the name of a connection for operators.
 func (r *Router) LinkName(id LinkID) string {
-	l := r.links[id]
-	if len(l.peer.links) == 1 {
-		return l.peer.cfg.Name
+	link := r.links[id]
+	if len(link.peer.links) == 1 {
+		return link.peer.cfg.Name
 	}
-	return fmt.Sprintf("%s/%d", l.peer.cfg.Name, l.asp)
+	return fmt.Sprintf("%s/%d", link.peer.cfg.Name, link.aspIndex)
 }
 
-// Name is the own exchange.
-func (r *Router) Name() string { return r.home.Name }
+// Name returns the name of the own exchange.
+func (r *Router) Name() string { return r.ownExchange.Name }
 
-// Exchange finds the configuration of an exchange.
+// Exchange returns the configuration of an exchange, or false if there is none of that name.
 func (r *Router) Exchange(name string) (Exchange, bool) {
-	for _, e := range r.cfg.Exchanges {
-		if e.Name == name {
-			return e, true
+	for _, exchange := range r.cfg.Exchanges {
+		if exchange.Name == name {
+			return exchange, true
 		}
 	}
 	return Exchange{}, false
