--- a/m3ua/as.go
+++ b/m3ua/as.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Mode is the traffic mode of an application server (section 3.6.1): how its ASPs share the traffic.
+// Mode is the traffic mode of an application server, which states how its ASPs share the traffic (RFC 4666 section 3.6.1).
 type Mode uint32
 
-// Traffic modes, by their values in the traffic mode type parameter.
+// Traffic modes, with their values in the Traffic Mode Type parameter.
 const (
-	Override  Mode = 1 // one ASP at a time; a newly active one takes over
-	Loadshare Mode = 2 // all active ASPs, each call stays with one
-	Broadcast Mode = 3 // all active ASPs get everything
+	Override  Mode = 1 // one ASP receives all traffic; an ASP that becomes active takes over
+	Loadshare Mode = 2 // the active ASPs share the traffic; all messages of a call go to the same one
+	Broadcast Mode = 3 // all active ASPs receive all traffic
 )
 
-// String names the mode.
+// String returns the name of the mode as in the settings, or "mode" and its value.
 func (m Mode) String() string {
 	switch m {
 	case Override:
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("mode %d", uint32(m))
 }
 
-// ASState is the state of an application server (section 4.3.2).
+// ASState is the state of an application server (RFC 4666 section 4.3.2).
 type ASState byte
 
 // States of an application server.
@@ -37,159 +37,161 @@
 	ASDown ASState = iota
 	ASInactive
 	ASActive
-	ASPending // the last active ASP has gone; T(r) runs
+	ASPending // the last active ASP became inactive or was lost; T(r) runs
 )
 
-// String gives the name of the RFC.
+// String returns the name of the state in RFC 4666.
 func (s ASState) String() string {
 	return [...]string{"AS-DOWN", "AS-INACTIVE", "AS-ACTIVE", "AS-PENDING"}[s]
 }
 
-// ASSettings of an application server. A zero Mode is Override.
+// ASSettings describes an application server.
 type ASSettings struct {
-	Mode     Mode
-	ASPs     int           // configured processes
-	Needed   int           // of them active for the AS to be active (n of n+k, loadshare and broadcast); 0: 1
-	Recovery time.Duration // T(r)
+	Mode     Mode          // 0: Override
+	ASPs     int           // number of configured ASPs; at least 1 is assumed
+	Needed   int           // ASPs that must be active before the AS is (n of n+k; loadshare and broadcast); 0: 1
+	Recovery time.Duration // T(r): how long the AS stays pending without an active ASP
 }
 
-// ASEventKind tells events of an application server apart.
+// ASEventKind is the kind of an ASEvent.
 type ASEventKind byte
 
-// Events of an application server.
+// Kinds of events of an application server.
 const (
-	ASChanged    ASEventKind = iota // State is the new one
-	ASOverridden                    // ASP is active no longer: another one has taken over
-	ASShort                         // fewer than Needed are active: those that are up are told
+	ASChanged    ASEventKind = iota // the AS has entered State
+	ASOverridden                    // ASP is no longer active: another one has taken over
+	ASShort                         // fewer than Needed ASPs are active: the ASPs that are up are to be notified
 )
 
-// ASEvent is something that the user of an AS must carry out.
+// ASEvent is a change of an application server that its owner has to handle.
 type ASEvent struct {
 	Kind  ASEventKind
-	State ASState
-	ASP   int
+	State ASState // of ASChanged: the new state
+	ASP   int     // of ASOverridden: index of the ASP
 }
 
-// AS is the state machine of one application server over its ASPs. It is not safe for concurrent use.
+// AS is the state machine of one application server, derived from the states of its ASPs, which are numbered from 0. It is not
+// safe for concurrent use.
 type AS struct {
-	set    ASSettings
-	state  ASState
-	asps   []State
-	active []int // in the order of activation
-	limit  time.Duration
-	events []ASEvent
+	settings         ASSettings
+	state            ASState
+	aspStates        []State       // by index of the ASP
+	activeASPs       []int         // indexes, in the order of activation
+	recoveryDeadline time.Duration // expiry of T(r); valid in AS-PENDING
+	events           []ASEvent
 }
 
-// NewAS makes an application server with all of its ASPs down.
-func NewAS(s ASSettings) *AS {
-	if s.Mode == 0 {
-		s.Mode = Override
+// NewAS returns an application server without any connected ASP.
+func NewAS(settings ASSettings) *AS {
+	if settings.Mode == 0 {
+		settings.Mode = Override
 	}
-	s.ASPs = max(s.ASPs, 1)
-	s.Needed = min(max(s.Needed, 1), s.ASPs)
-	if s.Mode == Override {
-		s.Needed = 1
+	settings.ASPs = max(settings.ASPs, 1)
+	settings.Needed = min(max(settings.Needed, 1), settings.ASPs)
+	if settings.Mode == Override {
+		settings.Needed = 1
 	}
-	return &AS{set: s, asps: make([]State, s.ASPs)}
+	return &AS{settings: settings, aspStates: make([]State, settings.ASPs)}
 }
 
-// State is the state now.
+// State returns the current state.
 func (a *AS) State() ASState { return a.state }
 
-// ASP is the state of one process.
-func (a *AS) ASP(i int) State { return a.asps[i] }
+// ASP returns the state of one ASP.
+func (a *AS) ASP(asp int) State { return a.aspStates[asp] }
 
-// Events gives what has happened since the last call.
+// Events returns the events since the last call, in order.
 func (a *AS) Events() []ASEvent {
-	e := a.events
+	events := a.events
 	a.events = nil
-	return e
+	return events
 }
 
-func (a *AS) become(s ASState) {
-	if a.state != s {
-		a.state = s
-		a.events = append(a.events, ASEvent{Kind: ASChanged, State: s})
+// setState changes the state of the AS and reports the change as an event.
+func (a *AS) setState(state ASState) {
+	if a.state != state {
+		a.state = state
+		a.events = append(a.events, ASEvent{Kind: ASChanged, State: state})
 	}
 }
 
-// Update takes the new state of one process.
-func (a *AS) Update(now time.Duration, asp int, s State) {
-	was := a.asps[asp]
-	a.asps[asp] = s
-	if was == s {
+// Update sets the state of one ASP and derives the state of the AS.
+func (a *AS) Update(now time.Duration, asp int, state State) {
+	previous := a.aspStates[asp]
+	a.aspStates[asp] = state
+	if previous == state {
 		return
 	}
-	if s == Active {
+	if state == Active {
 		a.activate(asp)
 	} else {
-		a.active = slices.DeleteFunc(a.active, func(i int) bool { return i == asp })
+		a.activeASPs = slices.DeleteFunc(a.activeASPs, func(i int) bool { return i == asp })
 	}
-	a.judge(now)
+	a.updateState(now)
 }
 
-// activate adds a process. In override mode it takes the place of the one that was active (section 3.7.1).
+// activate adds an ASP to the active ones. In override mode it replaces the one that was active (RFC 4666 section 3.7.1).
 func (a *AS) activate(asp int) {
-	if a.set.Mode == Override {
-		for _, other := range a.active {
-			a.asps[other] = Inactive
+	if a.settings.Mode == Override {
+		for _, other := range a.activeASPs {
+			a.aspStates[other] = Inactive
 			a.events = append(a.events, ASEvent{Kind: ASOverridden, ASP: other})
 		}
-		a.active = a.active[:0]
+		a.activeASPs = a.activeASPs[:0]
 	}
-	a.active = append(a.active, asp)
+	a.activeASPs = append(a.activeASPs, asp)
 }
 
-// judge finds the state that follows from those of the processes (figure 4 of section 4.3.2). An active AS stays
-// active while any process is; Needed counts on the way up.
-func (a *AS) judge(now time.Duration) {
-	up := slices.ContainsFunc(a.asps, func(s State) bool { return s == Inactive || s == Active })
-	n := len(a.active)
+// updateState derives the state of the AS from those of its ASPs (RFC 4666 section 4.3.2, figure 4). An active AS stays active
+// as long as any ASP is active; Needed applies only to becoming active.
+func (a *AS) updateState(now time.Duration) {
+	anyUp := slices.ContainsFunc(a.aspStates, func(s State) bool { return s == Inactive || s == Active })
+	activeCount := len(a.activeASPs)
 	switch {
-	case a.state == ASActive && n > 0:
-		if n < a.set.Needed {
+	case a.state == ASActive && activeCount > 0:
+		if activeCount < a.settings.Needed {
 			a.events = append(a.events, ASEvent{Kind: ASShort})
 		}
-	case a.state == ASPending && n > 0, n >= a.set.Needed:
-		a.become(ASActive)
+	case a.state == ASPending && activeCount > 0, activeCount >= a.settings.Needed:
+		a.setState(ASActive)
 	case a.state == ASActive:
-		a.limit = now + a.set.Recovery
-		a.become(ASPending)
+		a.recoveryDeadline = now + a.settings.Recovery
+		a.setState(ASPending)
 	case a.state == ASPending:
-	case up:
-		a.become(ASInactive)
+	case anyUp:
+		a.setState(ASInactive)
 	default:
-		a.become(ASDown)
+		a.setState(ASDown)
 	}
 }
 
-// Deadline tells when T(r) runs out; false: it does not run.
-func (a *AS) Deadline() (time.Duration, bool) { return a.limit, a.state == ASPending }
+// Deadline returns the time at which T(r) expires; false if it does not run.
+func (a *AS) Deadline() (time.Duration, bool) { return a.recoveryDeadline, a.state == ASPending }
 
-// Tick ends a pending AS when T(r) has run out.
+// Tick moves a pending AS to AS-INACTIVE or AS-DOWN when T(r) has expired.
 func (a *AS) Tick(now time.Duration) {
-	if a.state != ASPending || now < a.limit {
+	if a.state != ASPending || now < a.recoveryDeadline {
 		return
 	}
-	if slices.ContainsFunc(a.asps, func(s State) bool { return s == Inactive }) {
-		a.become(ASInactive)
+	if slices.ContainsFunc(a.aspStates, func(s State) bool { return s == Inactive }) {
+		a.setState(ASInactive)
 	} else {
-		a.become(ASDown)
+		a.setState(ASDown)
 	}
 }
 
-// Route gives the processes that a message about a call goes to: call is a number that all messages of the call
-// share, such as its circuit. It is empty unless the AS is active. The slice must not be kept.
+// Route returns the indexes of the ASPs that receive a message of a call. call is a number that all messages of the call share,
+// such as its circuit. The result is empty unless the AS is active; it is valid until the next call of a method of the AS.
 func (a *AS) Route(call int) []int {
 	if a.state != ASActive {
 		return nil
 	}
-	if a.set.Mode == Broadcast {
-		return a.active
+	if a.settings.Mode == Broadcast {
+		return a.activeASPs
 	}
-	i := 0
-	if a.set.Mode == Loadshare {
-		i = call % len(a.active)
+	first := 0
+	if a.settings.Mode == Loadshare {
+		first = call % len(a.activeASPs)
 	}
-	return a.active[i : i+1]
+	return a.activeASPs[first : first+1]
 }
--- a/m3ua/as_test.go
+++ b/m3ua/as_test.go
@@ -14,12 +14,12 @@
 	a.Update(0, 1, Inactive)
 	a.Update(0, 0, Active)
 	a.Events()
-	a.Update(0, 1, Active) // both active, by mistake or on purpose: the newer one has the traffic
-	if ev := a.Events(); !reflect.DeepEqual(ev, []ASEvent{{Kind: ASOverridden, ASP: 0}}) || a.ASP(0) != Inactive {
-		t.Errorf("%+v, ASP 0 is %v", ev, a.ASP(0))
+	a.Update(0, 1, Active) // both active, by mistake or on purpose: the newer one receives the traffic
+	if events := a.Events(); !reflect.DeepEqual(events, []ASEvent{{Kind: ASOverridden, ASP: 0}}) || a.ASP(0) != Inactive {
+		t.Errorf("%+v, ASP 0 is %v", events, a.ASP(0))
 	}
 	if got := a.Route(5); !slices.Equal(got, []int{1}) || a.State() != ASActive {
-		t.Errorf("traffic goes to %v in %v", got, a.State())
+		t.Errorf("traffic is routed to %v in %v", got, a.State())
 	}
 }
 
@@ -27,8 +27,8 @@
 	a := NewAS(ASSettings{ASPs: 2, Recovery: 2 * time.Second})
 	a.Update(0, 0, Active)
 	a.Update(time.Second, 0, Closed)
-	if at, ok := a.Deadline(); a.State() != ASPending || !ok || at != 3*time.Second || a.Route(1) != nil {
-		t.Fatalf("%v, T(r) %v %v", a.State(), at, ok)
+	if deadline, ok := a.Deadline(); a.State() != ASPending || !ok || deadline != 3*time.Second || a.Route(1) != nil {
+		t.Fatalf("%v, T(r) %v %v", a.State(), deadline, ok)
 	}
 	a.Tick(3*time.Second - 1)
 	a.Update(3*time.Second-1, 1, Inactive)
@@ -37,7 +37,7 @@
 	}
 	a.Update(3*time.Second-1, 1, Active)
 	if a.State() != ASActive || !slices.Equal(a.Route(1), []int{1}) {
-		t.Errorf("taken over: %v, %v", a.State(), a.Route(1))
+		t.Errorf("after the takeover: %v, %v", a.State(), a.Route(1))
 	}
 	a.Update(4*time.Second, 1, Closed)
 	a.Tick(6 * time.Second)
@@ -50,29 +50,29 @@
 	a := NewAS(ASSettings{Mode: Loadshare, ASPs: 3, Needed: 2, Recovery: time.Second})
 	a.Update(0, 0, Active)
 	if a.State() == ASActive {
-		t.Error("active with one of two")
+		t.Error("AS is active with one of two needed ASPs")
 	}
 	a.Update(0, 1, Active)
 	a.Update(0, 2, Active)
-	seen := map[int]int{}
+	callsByASP := map[int]int{}
 	for call := range 300 {
 		first := a.Route(call)[0]
-		seen[first]++
+		callsByASP[first]++
 		if again := a.Route(call)[0]; again != first {
-			t.Fatalf("call %d moves from %d to %d", call, first, again)
+			t.Fatalf("call %d moves from ASP %d to ASP %d", call, first, again)
 		}
 	}
-	if seen[0] != 100 || seen[1] != 100 || seen[2] != 100 {
-		t.Errorf("shares %v", seen)
+	if callsByASP[0] != 100 || callsByASP[1] != 100 || callsByASP[2] != 100 {
+		t.Errorf("calls by ASP %v, want 100 each", callsByASP)
 	}
 	a.Events()
 	a.Update(0, 1, Closed)
 	if len(a.Events()) != 0 {
-		t.Error("two of two are called too few")
+		t.Error("event although two of two needed ASPs are active")
 	}
 	a.Update(0, 2, Closed)
-	if ev := a.Events(); len(ev) != 1 || ev[0].Kind != ASShort || a.State() != ASActive {
-		t.Errorf("one of two: %+v, %v", ev, a.State())
+	if events := a.Events(); len(events) != 1 || events[0].Kind != ASShort || a.State() != ASActive {
+		t.Errorf("one of two: %+v, %v", events, a.State())
 	}
 }
 
@@ -85,90 +85,94 @@
 	}
 }
 
-func TestOverriddenASPIsTold(t *testing.T) {
+func TestOverriddenASPIsNotified(t *testing.T) {
 	p := newPair(Settings{Role: RoleASP}, Settings{Role: RoleSGP})
-	p.settle()
-	p.a.Indications()
-	p.b.NotifyAS(ASActive)
-	p.b.Overridden()
-	p.settle()
-	var told []uint32
-	for _, i := range p.a.Indications() {
+	p.exchangeAll()
+	p.client.Indications()
+	p.server.NotifyAS(ASActive)
+	p.server.Overridden()
+	p.exchangeAll()
+	var statuses []uint32
+	for _, i := range p.client.Indications() {
 		if i.Kind == IndPeer && i.Message.Kind == NTFY {
-			v, _ := i.Message.Uint32(TagStatus)
-			told = append(told, v)
+			status, _ := i.Message.Uint32(TagStatus)
+			statuses = append(statuses, status)
 		}
 	}
-	want := []uint32{statusAS<<16 | asActive, statusOther<<16 | otherTaken}
-	if !slices.Equal(told, want) || p.b.State() != Inactive {
-		t.Errorf("told %x, want %x; %v", told, want, p.b.State())
+	want := []uint32{statusTypeASStateChange<<16 | statusInfoASActive, statusTypeOther<<16 | statusInfoAlternateASPActive}
+	if !slices.Equal(statuses, want) || p.server.State() != Inactive {
+		t.Errorf("notified of %x, want %x; state %v", statuses, want, p.server.State())
 	}
-	if err := p.b.Send(data); err == nil {
-		t.Error("traffic to an ASP that was overridden")
+	if err := p.server.Send(sampleData); err == nil {
+		t.Error("traffic was sent to an overridden ASP")
 	}
 }
 
-// routingKey makes a key from pairs of tag and value.
-func routingKey(pairs ...any) []byte { return appendUint32s(nil, pairs...) }
+// routingKey encodes a routing key from pairs of a Tag and a uint32.
+func routingKey(pairs ...any) []byte { return appendUint32Params(nil, pairs...) }
 
 func TestRegistration(t *testing.T) {
 	gateway := Settings{Role: RoleSGP, RoutingContext: 9, HasContext: true, Key: 101, Mode: Loadshare}
-	good := routingKey(tagLocalKey, uint32(3), tagDestination, uint32(101), TagTrafficMode, uint32(Loadshare))
-	service := binary.BigEndian.AppendUint16(nil, uint16(tagService))
-	service = append(service, 0, 5, 3, 0, 0, 0) // SCCP only
+	validKey := routingKey(tagLocalKeyIdentifier, uint32(3), tagDestinationPointCode, uint32(101),
+		TagTrafficModeType, uint32(Loadshare))
+	serviceIndicators := binary.BigEndian.AppendUint16(nil, uint16(tagServiceIndicators))
+	serviceIndicators = append(serviceIndicators, 0, 5, 3, 0, 0, 0) // SCCP only
 	for _, c := range []struct {
 		name string
 		key  []byte
 		want RegStatus
 	}{
-		{"good", good, Registered},
-		{"other destination", routingKey(tagLocalKey, uint32(3), tagDestination, uint32(77)), RegInvalidDPC},
-		{"no destination", routingKey(tagLocalKey, uint32(3)), RegInvalidKey},
-		{"no local key", routingKey(tagDestination, uint32(101)), RegInvalidKey},
-		{"foreign context", routingKey(tagLocalKey, uint32(3), tagDestination, uint32(101), TagRoutingContext, uint32(8)), RegNotProvisioned},
-		{"override", routingKey(tagLocalKey, uint32(3), tagDestination, uint32(101), TagTrafficMode, uint32(Override)), RegTrafficMode},
-		{"other service", append(slices.Clone(good), service...), RegDenied},
-		{"originating points", append(slices.Clone(good), routingKey(tagOPCs, uint32(5))...), RegUnsupportedPart},
-		{"cut short", good[:10], RegInvalidKey},
+		{"valid", validKey, Registered},
+		{"other destination", routingKey(tagLocalKeyIdentifier, uint32(3), tagDestinationPointCode, uint32(77)), RegInvalidDPC},
+		{"no destination", routingKey(tagLocalKeyIdentifier, uint32(3)), RegInvalidRoutingKey},
+		{"no local key", routingKey(tagDestinationPointCode, uint32(101)), RegInvalidRoutingKey},
+		{"foreign context", routingKey(tagLocalKeyIdentifier, uint32(3), tagDestinationPointCode, uint32(101),
+			TagRoutingContext, uint32(8)), RegKeyNotProvisioned},
+		{"override", routingKey(tagLocalKeyIdentifier, uint32(3), tagDestinationPointCode, uint32(101),
+			TagTrafficModeType, uint32(Override)), RegUnsupportedTrafficMode},
+		{"other service", append(slices.Clone(validKey), serviceIndicators...), RegPermissionDenied},
+		{"originating points", append(slices.Clone(validKey), routingKey(tagOriginatingPointCodes, uint32(5))...),
+			RegUnsupportedParameter},
+		{"truncated", validKey[:10], RegInvalidRoutingKey},
 	} {
 		p := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true}, gateway)
-		p.settle()
-		p.b.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, c.key).Append(nil))
-		m, err := Decode(p.b.Output())
-		if err != nil || m.Kind != REGRSP {
-			t.Errorf("%s: %v, %v", c.name, m, err)
+		p.exchangeAll()
+		p.server.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, c.key).Append(nil))
+		message, err := Decode(p.server.Output())
+		if err != nil || message.Kind != REGRSP {
+			t.Errorf("%s: %v, %v", c.name, message, err)
 			continue
 		}
-		result, _ := m.Get(tagRegResult)
-		parts, _ := parseParams(result)
-		got := (&Message{Params: parts})
-		status, _ := got.Uint32(tagRegStatus)
+		result, _ := message.Get(tagRegistrationResult)
+		params, _ := parseParams(result)
+		got := (&Message{Params: params})
+		status, _ := got.Uint32(tagRegistrationStatus)
 		context, _ := got.Uint32(TagRoutingContext)
 		if RegStatus(status) != c.want || (context == 9) != (c.want == Registered) {
 			t.Errorf("%s: status %d, context %d, want %d", c.name, status, context, c.want)
 		}
 	}
 	p := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true}, gateway)
-	p.settle()
-	dereg := func(context uint32) uint32 {
-		p.b.Receive(0, (&Message{Kind: DEREGREQ}).WithUint32(TagRoutingContext, context).Append(nil))
-		m, _ := Decode(p.b.Output())
-		result, _ := m.Get(tagDeregResult)
-		parts, _ := parseParams(result)
-		status, _ := (&Message{Params: parts}).Uint32(tagDeregStatus)
+	p.exchangeAll()
+	deregister := func(context uint32) uint32 {
+		p.server.Receive(0, (&Message{Kind: DEREGREQ}).WithUint32(TagRoutingContext, context).Append(nil))
+		message, _ := Decode(p.server.Output())
+		result, _ := message.Get(tagDeregistrationResult)
+		params, _ := parseParams(result)
+		status, _ := (&Message{Params: params}).Uint32(tagDeregistrationStatus)
 		return status
 	}
-	if got := dereg(9); got != deregNotRegistered {
-		t.Errorf("never registered: %d", got)
+	if got := deregister(9); got != deregNotRegistered {
+		t.Errorf("not registered: status %d", got)
 	}
-	p.b.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, good).Append(nil))
-	p.b.Output()
-	if a, b := dereg(8), dereg(9); a != deregInvalid || b != deregStillActive {
-		t.Errorf("foreign %d, active %d", a, b)
+	p.server.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, validKey).Append(nil))
+	p.server.Output()
+	if foreign, active := deregister(8), deregister(9); foreign != deregInvalidRoutingContext || active != deregASPActive {
+		t.Errorf("foreign context: status %d, active: status %d", foreign, active)
 	}
-	p.b.Receive(0, (&Message{Kind: ASPIA}).Append(nil))
-	p.b.Output()
-	if got := dereg(9); got != deregistered {
-		t.Errorf("inactive: %d", got)
+	p.server.Receive(0, (&Message{Kind: ASPIA}).Append(nil))
+	p.server.Output()
+	if got := deregister(9); got != deregistered {
+		t.Errorf("inactive: status %d", got)
 	}
 }
--- a/m3ua/assoc.go
+++ b/m3ua/assoc.go
@@ -8,483 +8,510 @@
 	"time"
 )
 
-// Role is the part that this end plays on an association.
+// Defaults of Settings.
+const (
+	defaultTAck       = 2 * time.Second
+	defaultBeat       = 30 * time.Second
+	defaultBeatMisses = 2
+)
+
+const (
+	pointCodeMask = 0xffffff // selects the code in an affected or destination point code; its first octet is a mask
+	maxDiagnostic = 40       // octets of a faulty message that an ERR returns
+)
+
+// Role is the role of this end of an association.
 type Role byte
 
-// Roles. With the IPSP single exchange (section 1.4.3.2) one end asks and the other answers, for both ways.
+// Roles. In the IPSP single exchange (RFC 4666 section 1.4.3.2) one end sends the requests, and its exchange serves both
+// directions.
 const (
-	RoleASP        Role = iota // asks a signalling gateway
+	RoleASP        Role = iota // sends requests to a signalling gateway
 	RoleSGP                    // answers an ASP, and notifies it of the state of its AS
-	RoleIPSPClient             // asks a peer IPSP
+	RoleIPSPClient             // sends requests to a peer IPSP
 	RoleIPSPServer             // answers a peer IPSP
 )
 
-func (r Role) asks() bool { return r == RoleASP || r == RoleIPSPClient }
+// initiates reports whether this end sends the ASPSM and ASPTM requests.
+func (r Role) initiates() bool { return r == RoleASP || r == RoleIPSPClient }
 
-// State is the state of an ASP (section 4.3.1).
+// State is the state of an ASP (RFC 4666 section 4.3.1), or Closed.
 type State byte
 
-// States. Closed: there is no transport connection.
+// States of an ASP.
 const (
-	Closed State = iota
+	Closed State = iota // no transport connection; not a state of RFC 4666
 	Down
 	Inactive
 	Active
 )
 
-// String gives the name of the RFC.
+// String returns the name of the state in RFC 4666, or CLOSED.
 func (s State) String() string {
 	return [...]string{"CLOSED", "ASP-DOWN", "ASP-INACTIVE", "ASP-ACTIVE"}[s]
 }
 
-// Settings of an association. Zero times mean the defaults.
+// Settings describes one end of an association.
 type Settings struct {
 	Role           Role
-	RoutingContext uint32
-	HasContext     bool
-	Mode           Mode          // traffic mode that an ASP may ask for; 0: any
+	RoutingContext uint32        // sent and expected if HasContext
+	HasContext     bool          // a routing context is configured
+	Mode           Mode          // traffic mode that an ASP may request; 0: any
 	Key            uint32        // destination point code that an ASP may register
-	ASPID          uint32        // sent in ASPUP by an asking end, if not 0
-	TAck           time.Duration // T(ack), 2 s: a request is sent again after it
-	Beat           time.Duration // T(beat), 30 s; negative: no heartbeats of our own
-	BeatMisses     int           // unanswered heartbeats until the association counts as lost, 2
-	MaxMessage     int           // octets
+	ASPID          uint32        // ASP identifier that an initiating end sends in ASPUP; 0: none
+	TAck           time.Duration // T(ack), until a request is sent again; 0: 2 s
+	Beat           time.Duration // T(beat), interval of heartbeats; 0: 30 s, negative: this end sends none
+	BeatMisses     int           // heartbeats without any message of the peer until the association is considered lost; 0: 2
+	MaxMessage     int           // longest message that is accepted, in octets; 0: DefaultMaxMessage
 }
 
-// Indication is something that the user of an association must know. Kind tells what.
+// Indication is an event of an association that its owner has to handle.
 type Indication struct {
 	Kind    IndicationKind
-	State   State         // of IndState: the new one
+	State   State         // of IndState: the new state
 	Data    ProtocolData  // of IndData
 	Message *Message      // of IndNetwork: DUNA, DAVA, DRST, SCON, DUPU or DAUD; of IndPeer: ERR or NTFY
-	Err     error         // of IndFault: what the peer did; of IndClose: why the transport must be closed
-	Silence time.Duration // of IndClose on missed heartbeats
+	Err     error         // of IndFault: the protocol error of the peer; of IndClose: the reason
+	Silence time.Duration // of IndClose after missed heartbeats: time since the last message of the peer
 }
 
-// IndicationKind tells indications apart.
+// IndicationKind is the kind of an Indication.
 type IndicationKind byte
 
-// Indications.
+// Kinds of indications.
 const (
-	IndState IndicationKind = iota
-	IndData
-	IndNetwork
-	IndPeer
-	IndFault
-	IndClose
+	IndState   IndicationKind = iota // the state has changed
+	IndData                          // DATA received
+	IndNetwork                       // signalling network management message received
+	IndPeer                          // ERR or NTFY received
+	IndFault                         // message received that cannot be accepted
+	IndClose                         // the transport connection must be closed
 )
 
-// Assoc is the state machine of one association. It is not safe for concurrent use. Every call gives its
-// results through Output and Indications.
+// Assoc is the state machine of one association. Messages to send are returned by Output, events by Indications. It is not safe
+// for concurrent use.
 type Assoc struct {
-	set      Settings
-	state    State
-	framer   Framer
-	out      []byte
-	ind      []Indication
-	given    []Indication // handed out by the last call of Indications
-	asked    Kind         // request that waits for its acknowledgement; 0 none
-	askAgain time.Duration
-	beatAt   time.Duration
-	missed   int
-	heard    time.Duration
-	leaving  bool
-
-	registered bool
-	written    int64 // octets of Output since Connected
-	confirmed  int64 // of them the peer has shown to have read, by answering a heartbeat behind them
+	settings            Settings
+	state               State
+	framer              Framer
+	output              []byte
+	indications         []Indication
+	returnedIndications []Indication // returned by the last call of Indications, reused by the next one
+	pendingRequest      Kind         // request that awaits its acknowledgement; 0: none
+	resendAt            time.Duration
+	nextHeartbeat       time.Duration
+	missedHeartbeats    int           // heartbeats sent since the last message of the peer
+	lastActivity        time.Duration // time of the last message of the peer, or of Connected
+	shuttingDown        bool          // Leave was called
+
+	registered bool  // the peer has registered its routing key
+	written    int64 // octets returned by Output since Connected
+	confirmed  int64 // of these, octets that the peer has read: it has acknowledged a heartbeat sent after them
 }
 
-// ErrNotActive is returned by Send while the peer takes no traffic.
+// ErrNotActive is returned by Send and Network while the association is not in ASP-ACTIVE.
 var ErrNotActive = errors.New("m3ua: association is not active")
 
-var errNoAnswer = errors.New("m3ua: no answer to heartbeats")
+var errHeartbeatTimeout = errors.New("m3ua: heartbeats are not acknowledged")
 
-// NewAssoc makes an association without a connection.
-func NewAssoc(s Settings) *Assoc {
-	if s.TAck <= 0 {
-		s.TAck = 2 * time.Second
+// NewAssoc returns an association in state Closed. Settings without a value get their defaults.
+func NewAssoc(settings Settings) *Assoc {
+	if settings.TAck <= 0 {
+		settings.TAck = defaultTAck
 	}
-	if s.Beat == 0 {
-		s.Beat = 30 * time.Second
+	if settings.Beat == 0 {
+		settings.Beat = defaultBeat
 	}
-	if s.BeatMisses <= 0 {
-		s.BeatMisses = 2
+	if settings.BeatMisses <= 0 {
+		settings.BeatMisses = defaultBeatMisses
 	}
-	return &Assoc{set: s}
+	return &Assoc{settings: settings}
 }
 
-// State is the state now.
+// State returns the current state.
 func (a *Assoc) State() State { return a.state }
 
-// Output gives the bytes to write and forgets them.
+// Output returns the bytes to write to the transport connection since the last call.
 func (a *Assoc) Output() []byte {
-	b := a.out
-	a.out = nil
-	a.written += int64(len(b))
-	return b
+	output := a.output
+	a.output = nil
+	a.written += int64(len(output))
+	return output
 }
 
-// Confirmed is how many octets of Output since Connected the peer has read for certain: TCP keeps the order, so an
-// answered heartbeat confirms all that went before it.
+// Confirmed returns how many octets of Output since Connected the peer has certainly read. TCP keeps the order, so an acknowledged
+// heartbeat confirms everything sent before it.
 func (a *Assoc) Confirmed() int64 { return a.confirmed }
 
-// Indications gives what has happened since the last call. The slice is good until the next call.
+// Indications returns the indications since the last call, in order. The slice is valid until the next call.
 func (a *Assoc) Indications() []Indication {
-	clear(a.given)
-	a.ind, a.given = a.given[:0], a.ind
-	return a.given
+	clear(a.returnedIndications)
+	a.indications, a.returnedIndications = a.returnedIndications[:0], a.indications
+	return a.returnedIndications
 }
 
-// Connected takes the news of a new transport connection. What came over an older one is forgotten.
+// Connected starts the association on a new transport connection. Data of an earlier connection is discarded.
 func (a *Assoc) Connected(now time.Duration) {
 	if a.state != Closed {
 		a.Lost()
 	}
-	a.framer, a.out, a.asked, a.missed, a.leaving = Framer{Max: a.set.MaxMessage}, nil, 0, 0, false
+	a.framer, a.output, a.pendingRequest, a.missedHeartbeats, a.shuttingDown = Framer{Max: a.settings.MaxMessage}, nil, 0, 0, false
 	a.written, a.confirmed, a.registered = 0, 0, false
-	a.heard, a.beatAt = now, now+a.set.Beat
-	a.become(Down)
-	if a.set.Role.asks() {
-		a.ask(now, ASPUP)
+	a.lastActivity, a.nextHeartbeat = now, now+a.settings.Beat
+	a.setState(Down)
+	if a.settings.Role.initiates() {
+		a.sendRequest(now, ASPUP)
 	}
 }
 
-// Lost takes the news that the transport connection is gone.
+// Lost ends the association after the loss of its transport connection.
 func (a *Assoc) Lost() {
-	a.asked, a.out, a.framer = 0, nil, Framer{}
-	a.become(Closed)
+	a.pendingRequest, a.output, a.framer = 0, nil, Framer{}
+	a.setState(Closed)
 }
 
-func (a *Assoc) become(s State) {
-	if a.state != s {
-		a.state = s
-		a.ind = append(a.ind, Indication{Kind: IndState, State: s})
+// setState changes the state and reports the change as an indication.
+func (a *Assoc) setState(state State) {
+	if a.state != state {
+		a.state = state
+		a.indications = append(a.indications, Indication{Kind: IndState, State: state})
 	}
 }
 
-func (a *Assoc) write(m *Message) { a.out = m.Append(a.out) }
+func (a *Assoc) write(message *Message) { a.output = message.Append(a.output) }
 
-// ask sends a request and starts T(ack).
-func (a *Assoc) ask(now time.Duration, k Kind) {
-	m := &Message{Kind: k}
-	if k == ASPUP && a.set.ASPID != 0 {
-		m.WithUint32(TagASPID, a.set.ASPID)
+// sendRequest sends a request and starts T(ack).
+func (a *Assoc) sendRequest(now time.Duration, kind Kind) {
+	request := &Message{Kind: kind}
+	if kind == ASPUP && a.settings.ASPID != 0 {
+		request.WithUint32(TagASPID, a.settings.ASPID)
 	}
-	if (k == ASPAC || k == ASPIA) && a.set.HasContext {
-		m.WithUint32(TagRoutingContext, a.set.RoutingContext)
+	if (kind == ASPAC || kind == ASPIA) && a.settings.HasContext {
+		request.WithUint32(TagRoutingContext, a.settings.RoutingContext)
 	}
-	a.asked, a.askAgain = k, now+a.set.TAck
-	a.write(m)
+	a.pendingRequest, a.resendAt = kind, now+a.settings.TAck
+	a.write(request)
 }
 
-// Leave takes this end out of service: ASPIA now, ASPDN once that is answered. Only an asking end asks; an
-// answering end tells an ASP by NTFY, and an IPSP by ASPIA of its own.
+// Leave takes this end out of service. On an active association an initiating end sends ASPIA, and ASPDN once that is
+// acknowledged; a signalling gateway notifies its ASP by NTFY; an IPSP server sends ASPIA of its own. No ASPAC is accepted from
+// then on.
 func (a *Assoc) Leave(now time.Duration) {
-	a.leaving = true
+	a.shuttingDown = true
 	switch {
 	case a.state != Active:
-	case a.set.Role == RoleSGP:
-		a.notify(statusAS, asPending)
+	case a.settings.Role == RoleSGP:
+		a.notify(statusTypeASStateChange, statusInfoASPending)
 	default:
-		a.ask(now, ASPIA)
+		a.sendRequest(now, ASPIA)
 	}
 }
 
-// Send writes ISUP or other user data toward the peer.
-func (a *Assoc) Send(p ProtocolData) error {
+// Send sends ISUP or other user data to the peer, with the configured routing context.
+func (a *Assoc) Send(data ProtocolData) error {
 	if a.state != Active {
 		return ErrNotActive
 	}
-	p.HasContext, p.RoutingContext = a.set.HasContext, a.set.RoutingContext
-	if a.out == nil {
-		a.out = make([]byte, 0, dataOverhead+len(p.Data))
+	data.HasContext, data.RoutingContext = a.settings.HasContext, a.settings.RoutingContext
+	if a.output == nil {
+		a.output = make([]byte, 0, maxDataOverhead+len(data.Data))
 	}
-	a.out = p.Append(a.out)
+	a.output = data.Append(a.output)
 	return nil
 }
 
-// Network sends a signalling network management message, such as SCON or DUNA, for a point code.
-func (a *Assoc) Network(k Kind, pointCode uint32, congestion byte) error {
+// Network sends a signalling network management message, such as SCON or DUNA, for a point code. congestion is the congestion
+// level of an SCON, or 0; other messages do not carry it.
+func (a *Assoc) Network(kind Kind, pointCode uint32, congestion byte) error {
 	if a.state != Active {
 		return ErrNotActive
 	}
-	m := &Message{Kind: k}
-	if a.set.HasContext {
-		m.WithUint32(TagRoutingContext, a.set.RoutingContext)
+	message := &Message{Kind: kind}
+	if a.settings.HasContext {
+		message.WithUint32(TagRoutingContext, a.settings.RoutingContext)
 	}
-	m.WithUint32(TagAffected, pointCode&0xffffff)
-	if k == SCON && congestion > 0 {
-		m.WithUint32(TagCongestion, uint32(congestion))
+	message.WithUint32(TagAffectedPointCode, pointCode&pointCodeMask)
+	if kind == SCON && congestion > 0 {
+		message.WithUint32(TagCongestionIndications, uint32(congestion))
 	}
-	a.write(m)
+	a.write(message)
 	return nil
 }
 
-// AffectedPointCodes reads the point codes of an SSNM message. Codes with a mask are given by their first.
-func AffectedPointCodes(m *Message) []uint32 {
-	v, _ := m.Get(TagAffected)
-	var out []uint32
-	for ; len(v) >= 4; v = v[4:] {
-		out = append(out, binary.BigEndian.Uint32(v)&0xffffff)
+// AffectedPointCodes returns the affected point codes of an SSNM message. Of a range given by a mask it returns the code alone.
+func AffectedPointCodes(message *Message) []uint32 {
+	value, _ := message.Get(TagAffectedPointCode)
+	var pointCodes []uint32
+	for ; len(value) >= 4; value = value[4:] {
+		pointCodes = append(pointCodes, binary.BigEndian.Uint32(value)&pointCodeMask)
 	}
-	return out
+	return pointCodes
 }
 
-// Deadline tells when Tick has work; false: nothing waits.
+// Deadline returns the time at which Tick must be called next; false if no timer runs.
 func (a *Assoc) Deadline() (time.Duration, bool) {
 	if a.state == Closed {
 		return 0, false
 	}
-	at, ok := time.Duration(0), false
-	if a.asked != 0 {
-		at, ok = a.askAgain, true
+	deadline, ok := time.Duration(0), false
+	if a.pendingRequest != 0 {
+		deadline, ok = a.resendAt, true
 	}
-	if a.set.Beat > 0 && (!ok || a.beatAt < at) {
-		at, ok = a.beatAt, true
+	if a.settings.Beat > 0 && (!ok || a.nextHeartbeat < deadline) {
+		deadline, ok = a.nextHeartbeat, true
 	}
-	return at, ok
+	return deadline, ok
 }
 
-// Tick does what is due: requests without an answer go out again, heartbeats are sent and counted.
+// Tick handles expired timers: it sends unacknowledged requests again, and sends and counts heartbeats.
 func (a *Assoc) Tick(now time.Duration) {
 	if a.state == Closed {
 		return
 	}
-	if a.asked != 0 && now >= a.askAgain {
-		a.ask(now, a.asked)
+	if a.pendingRequest != 0 && now >= a.resendAt {
+		a.sendRequest(now, a.pendingRequest)
 	}
-	if a.set.Beat <= 0 || now < a.beatAt {
+	if a.settings.Beat <= 0 || now < a.nextHeartbeat {
 		return
 	}
-	if a.missed >= a.set.BeatMisses {
-		a.ind = append(a.ind, Indication{Kind: IndClose, Err: errNoAnswer, Silence: now - a.heard})
-		a.beatAt = now + a.set.Beat
+	if a.missedHeartbeats >= a.settings.BeatMisses {
+		a.indications = append(a.indications,
+			Indication{Kind: IndClose, Err: errHeartbeatTimeout, Silence: now - a.lastActivity})
+		a.nextHeartbeat = now + a.settings.Beat
 		return
 	}
-	a.missed++
-	a.beatAt = now + a.set.Beat
-	a.write((&Message{Kind: BEAT}).With(TagHeartbeat, binary.BigEndian.AppendUint64(nil, uint64(a.written)+uint64(len(a.out)))))
+	a.missedHeartbeats++
+	a.nextHeartbeat = now + a.settings.Beat
+	a.write((&Message{Kind: BEAT}).With(TagHeartbeat,
+		binary.BigEndian.AppendUint64(nil, uint64(a.written)+uint64(len(a.output)))))
 }
 
-// Receive takes bytes of the transport connection.
-func (a *Assoc) Receive(now time.Duration, b []byte) {
+// Receive handles bytes read from the transport connection, in pieces of any size.
+func (a *Assoc) Receive(now time.Duration, input []byte) {
 	if a.state == Closed {
 		return
 	}
-	a.framer.Write(b)
+	a.framer.Write(input)
 	for {
 		raw, err := a.framer.Next()
 		if err != nil {
-			a.fault(&Fault{ErrProtocol, err.Error()}, raw)
-			a.ind = append(a.ind, Indication{Kind: IndClose, Err: err})
-			a.framer = Framer{Max: a.set.MaxMessage}
+			a.reportFault(&Fault{ErrProtocol, err.Error()}, raw)
+			a.indications = append(a.indications, Indication{Kind: IndClose, Err: err})
+			a.framer = Framer{Max: a.settings.MaxMessage}
 			return
 		}
 		if raw == nil {
 			return
 		}
-		a.heard, a.missed = now, 0
-		if p, ok := plainData(raw); ok && a.state == Active && a.ours(p) {
-			a.ind = append(a.ind, Indication{Kind: IndData, Data: p})
+		a.lastActivity, a.missedHeartbeats = now, 0
+		if data, ok := parsePlainData(raw); ok && a.state == Active && a.matchesContext(data) {
+			a.indications = append(a.indications, Indication{Kind: IndData, Data: data})
 			continue
 		}
-		m, err := Decode(raw)
+		message, err := Decode(raw)
 		if err != nil {
-			a.fault(err, raw)
+			a.reportFault(err, raw)
 			continue
 		}
-		if err := a.take(now, m); err != nil {
-			a.fault(err, raw)
+		if err := a.receiveMessage(now, message); err != nil {
+			a.reportFault(err, raw)
 		}
 	}
 }
 
-// fault answers with ERR and tells the user. An ERR is never answered with another.
-func (a *Assoc) fault(err error, raw []byte) {
-	a.ind = append(a.ind, Indication{Kind: IndFault, Err: err})
-	var f *Fault
-	if !errors.As(err, &f) || len(raw) > 3 && Class(raw[2]) == ClassMGMT {
+// reportFault reports a protocol error as an indication and answers it with ERR. A faulty ERR or other management message gets
+// no answer.
+func (a *Assoc) reportFault(err error, raw []byte) {
+	a.indications = append(a.indications, Indication{Kind: IndFault, Err: err})
+	var fault *Fault
+	if !errors.As(err, &fault) || len(raw) > 3 && Class(raw[2]) == ClassMGMT {
 		return
 	}
-	a.write((&Message{Kind: ERR}).WithUint32(TagErrorCode, uint32(f.Code)).
-		With(TagDiagnostic, raw[:min(len(raw), 40)]))
+	a.write((&Message{Kind: ERR}).WithUint32(TagErrorCode, uint32(fault.Code)).
+		With(TagDiagnostic, raw[:min(len(raw), maxDiagnostic)]))
 }
 
-func (a *Assoc) take(now time.Duration, m *Message) error {
-	switch m.Kind.Class() {
+// receiveMessage handles a decoded message. A returned error is a *Fault.
+func (a *Assoc) receiveMessage(now time.Duration, message *Message) error {
+	switch message.Kind.Class() {
 	case ClassASPSM:
-		return a.takeASPSM(now, m)
+		return a.receiveASPSM(now, message)
 	case ClassASPTM:
-		return a.takeASPTM(now, m)
+		return a.receiveASPTM(now, message)
 	case ClassTransfer:
-		return a.takeData(m)
+		return a.receiveData(message)
 	case ClassSSNM:
-		if _, ok := m.Get(TagAffected); !ok {
-			return &Fault{ErrMissingParam, m.Kind.String() + " without an affected point code"}
+		if _, ok := message.Get(TagAffectedPointCode); !ok {
+			return &Fault{ErrMissingParam, message.Kind.String() + " without an affected point code"}
 		}
 		if a.state != Active && a.state != Inactive {
-			return &Fault{ErrUnexpected, fmt.Sprintf("%v in %v", m.Kind, a.state)}
+			return &Fault{ErrUnexpected, fmt.Sprintf("%v in %v", message.Kind, a.state)}
 		}
-		a.ind = append(a.ind, Indication{Kind: IndNetwork, Message: m})
+		a.indications = append(a.indications, Indication{Kind: IndNetwork, Message: message})
 	case ClassRKM:
-		return a.takeRKM(m)
+		return a.receiveRKM(message)
 	case ClassMGMT:
-		a.ind = append(a.ind, Indication{Kind: IndPeer, Message: m})
+		a.indications = append(a.indications, Indication{Kind: IndPeer, Message: message})
 	}
 	return nil
 }
 
-func (a *Assoc) takeASPSM(now time.Duration, m *Message) error {
-	switch m.Kind {
+// receiveASPSM handles messages of ASP state maintenance (RFC 4666 section 3.5).
+func (a *Assoc) receiveASPSM(now time.Duration, message *Message) error {
+	switch message.Kind {
 	case BEAT:
 		ack := &Message{Kind: BEATACK}
-		if v, ok := m.Get(TagHeartbeat); ok {
-			ack.With(TagHeartbeat, bytes.Clone(v))
+		if value, ok := message.Get(TagHeartbeat); ok {
+			ack.With(TagHeartbeat, bytes.Clone(value))
 		}
 		a.write(ack)
 	case BEATACK:
-		if v, ok := m.Get(TagHeartbeat); ok && len(v) == 8 {
-			if n := int64(binary.BigEndian.Uint64(v)); n > a.confirmed && n <= a.written {
-				a.confirmed = n
+		if value, ok := message.Get(TagHeartbeat); ok && len(value) == 8 {
+			if position := int64(binary.BigEndian.Uint64(value)); position > a.confirmed && position <= a.written {
+				a.confirmed = position
 			}
 		}
 	case ASPUP:
-		if a.set.Role.asks() && a.set.Role != RoleIPSPClient {
-			return &Fault{ErrUnexpected, "ASPUP from the gateway"}
+		if a.settings.Role.initiates() && a.settings.Role != RoleIPSPClient {
+			return &Fault{ErrUnexpected, "ASPUP from the signalling gateway"}
 		}
 		a.write(&Message{Kind: ASPUPACK})
-		a.become(Inactive) // section 4.3.4.1: from ASP-ACTIVE it falls back, and the peer must activate again
+		a.setState(Inactive) // RFC 4666 section 4.3.4.1: also from ASP-ACTIVE, and the peer must activate again
 	case ASPDN:
 		a.write(&Message{Kind: ASPDNACK})
-		a.become(Down)
+		a.setState(Down)
 	case ASPUPACK:
-		if a.asked != ASPUP {
-			return nil // a late copy
+		if a.pendingRequest != ASPUP {
+			return nil // duplicate acknowledgement
 		}
-		a.asked = 0
-		a.become(Inactive)
-		if !a.leaving {
-			a.ask(now, ASPAC)
+		a.pendingRequest = 0
+		a.setState(Inactive)
+		if !a.shuttingDown {
+			a.sendRequest(now, ASPAC)
 		}
 	case ASPDNACK:
-		if a.asked == ASPDN {
-			a.asked = 0
-			a.become(Down)
+		if a.pendingRequest == ASPDN {
+			a.pendingRequest = 0
+			a.setState(Down)
 		}
 	}
 	return nil
 }
 
-func (a *Assoc) takeASPTM(now time.Duration, m *Message) error {
-	rc, has := m.Uint32(TagRoutingContext)
-	if a.set.HasContext && has && rc != a.set.RoutingContext {
-		return &Fault{ErrRoutingContext, fmt.Sprintf("%v for routing context %d, ours is %d", m.Kind, rc,
-			a.set.RoutingContext)}
+// receiveASPTM handles messages of ASP traffic maintenance (RFC 4666 section 3.7).
+func (a *Assoc) receiveASPTM(now time.Duration, message *Message) error {
+	routingContext, present := message.Uint32(TagRoutingContext)
+	if a.settings.HasContext && present && routingContext != a.settings.RoutingContext {
+		return &Fault{ErrInvalidRoutingContext, fmt.Sprintf("%v for routing context %d, %d is configured", message.Kind,
+			routingContext, a.settings.RoutingContext)}
 	}
 	if a.state == Down {
-		return &Fault{ErrUnexpected, fmt.Sprintf("%v in %v", m.Kind, a.state)}
+		return &Fault{ErrUnexpected, fmt.Sprintf("%v in %v", message.Kind, a.state)}
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case ASPAC:
-		if v, ok := m.Uint32(TagTrafficMode); ok && (v < 1 || v > 3 || a.set.Mode != 0 && Mode(v) != a.set.Mode) {
-			return &Fault{ErrTrafficMode, fmt.Sprintf("%v, ours is %v", Mode(v), a.set.Mode)}
+		if mode, ok := message.Uint32(TagTrafficModeType); ok &&
+			(mode < 1 || mode > 3 || a.settings.Mode != 0 && Mode(mode) != a.settings.Mode) {
+			return &Fault{ErrUnsupportedTrafficMode, fmt.Sprintf("%v requested, %v is configured", Mode(mode), a.settings.Mode)}
 		}
-		if a.leaving {
+		if a.shuttingDown {
 			return &Fault{ErrBlocking, "going out of service"}
 		}
-		a.write(a.ackFor(ASPACACK, m))
-		a.become(Active)
+		a.write(a.newAck(ASPACACK, message))
+		a.setState(Active)
 	case ASPIA:
-		a.write(a.ackFor(ASPIAACK, m))
-		a.become(Inactive)
+		a.write(a.newAck(ASPIAACK, message))
+		a.setState(Inactive)
 	case ASPACACK:
-		if a.asked == ASPAC {
-			a.asked = 0
-			a.become(Active)
+		if a.pendingRequest == ASPAC {
+			a.pendingRequest = 0
+			a.setState(Active)
 		}
 	case ASPIAACK:
-		if a.asked == ASPIA {
-			a.asked = 0
-			a.become(Inactive)
-			if a.leaving && a.set.Role.asks() {
-				a.ask(now, ASPDN)
+		if a.pendingRequest == ASPIA {
+			a.pendingRequest = 0
+			a.setState(Inactive)
+			if a.shuttingDown && a.settings.Role.initiates() {
+				a.sendRequest(now, ASPDN)
 			}
 		}
 	}
 	return nil
 }
 
-// ackFor repeats the routing context and the traffic mode of a request, as sections 3.7.2 and 3.7.4 ask.
-func (a *Assoc) ackFor(k Kind, m *Message) *Message {
-	ack := &Message{Kind: k}
-	for _, tag := range []Tag{TagTrafficMode, TagRoutingContext} {
-		if v, ok := m.Get(tag); ok {
-			ack.With(tag, bytes.Clone(v))
+// newAck returns the acknowledgement of a request, with its routing context and traffic mode (RFC 4666 sections 3.7.2, 3.7.4).
+func (a *Assoc) newAck(kind Kind, request *Message) *Message {
+	ack := &Message{Kind: kind}
+	for _, tag := range []Tag{TagTrafficModeType, TagRoutingContext} {
+		if value, ok := request.Get(tag); ok {
+			ack.With(tag, bytes.Clone(value))
 		}
 	}
 	return ack
 }
 
-// ours tells whether a DATA is for our routing context, or names none.
-func (a *Assoc) ours(p ProtocolData) bool {
-	return !a.set.HasContext || !p.HasContext || p.RoutingContext == a.set.RoutingContext
+// matchesContext reports whether a DATA is for the configured routing context or carries none.
+func (a *Assoc) matchesContext(data ProtocolData) bool {
+	return !a.settings.HasContext || !data.HasContext || data.RoutingContext == a.settings.RoutingContext
 }
 
-func (a *Assoc) takeData(m *Message) error {
+// receiveData handles a decoded DATA.
+func (a *Assoc) receiveData(message *Message) error {
 	if a.state != Active {
 		return &Fault{ErrUnexpected, fmt.Sprintf("DATA in %v", a.state)}
 	}
-	p, err := ReadProtocolData(m)
+	data, err := ReadProtocolData(message)
 	if err != nil {
 		return err
 	}
-	if !a.ours(p) {
-		return &Fault{ErrRoutingContext, fmt.Sprintf("DATA for routing context %d, ours is %d",
-			p.RoutingContext, a.set.RoutingContext)}
+	if !a.matchesContext(data) {
+		return &Fault{ErrInvalidRoutingContext, fmt.Sprintf("DATA for routing context %d, %d is configured",
+			data.RoutingContext, a.settings.RoutingContext)}
 	}
-	a.ind = append(a.ind, Indication{Kind: IndData, Data: p})
+	a.indications = append(a.indications, Indication{Kind: IndData, Data: data})
 	return nil
 }
 
-// Status types and informations of NTFY (section 3.8.2).
+// Status types of NTFY, and values of their status information (RFC 4666 section 3.8.2).
 const (
-	statusAS    = 1
-	statusOther = 2
-	asInactive  = 2
-	asActive    = 3
-	asPending   = 4
-	otherShort  = 1 // insufficient ASP resources active in the AS
-	otherTaken  = 2 // alternate ASP active
+	statusTypeASStateChange      = 1
+	statusTypeOther              = 2
+	statusInfoASInactive         = 2
+	statusInfoASActive           = 3
+	statusInfoASPending          = 4
+	statusInfoInsufficientASPs   = 1 // of Other: insufficient ASP resources active in the AS
+	statusInfoAlternateASPActive = 2 // of Other: alternate ASP active
 )
 
-func (a *Assoc) notify(kind, info uint16) {
-	m := (&Message{Kind: NTFY}).WithUint32(TagStatus, uint32(kind)<<16|uint32(info))
-	if a.set.HasContext {
-		m.WithUint32(TagRoutingContext, a.set.RoutingContext)
+// notify sends a NTFY.
+func (a *Assoc) notify(statusType, info uint16) {
+	message := (&Message{Kind: NTFY}).WithUint32(TagStatus, uint32(statusType)<<16|uint32(info))
+	if a.settings.HasContext {
+		message.WithUint32(TagRoutingContext, a.settings.RoutingContext)
 	}
-	a.write(m)
+	a.write(message)
 }
 
-// NotifyAS tells an ASP that is up of the state of its application server. Only a gateway does so.
-func (a *Assoc) NotifyAS(s ASState) {
-	info := map[ASState]uint16{ASInactive: asInactive, ASActive: asActive, ASPending: asPending}[s]
-	if a.set.Role == RoleSGP && info != 0 && (a.state == Inactive || a.state == Active) {
-		a.notify(statusAS, info)
+// NotifyAS notifies an ASP that is up of the state of its application server. Only a signalling gateway sends it.
+func (a *Assoc) NotifyAS(state ASState) {
+	info := map[ASState]uint16{ASInactive: statusInfoASInactive, ASActive: statusInfoASActive,
+		ASPending: statusInfoASPending}[state]
+	if a.settings.Role == RoleSGP && info != 0 && (a.state == Inactive || a.state == Active) {
+		a.notify(statusTypeASStateChange, info)
 	}
 }
 
-// NotifyShort tells an ASP that is up that more of its kind are needed.
+// NotifyShort notifies an ASP that is up that its application server has too few active ASPs. Only a signalling gateway sends it.
 func (a *Assoc) NotifyShort() {
-	if a.set.Role == RoleSGP && (a.state == Inactive || a.state == Active) {
-		a.notify(statusOther, otherShort)
+	if a.settings.Role == RoleSGP && (a.state == Inactive || a.state == Active) {
+		a.notify(statusTypeOther, statusInfoInsufficientASPs)
 	}
 }
 
-// Overridden takes the traffic from an active ASP: another one of its application server has taken over.
+// Overridden makes an active ASP inactive and notifies it, after another ASP of its application server has taken over.
 func (a *Assoc) Overridden() {
 	if a.state == Active {
-		a.notify(statusOther, otherTaken)
-		a.become(Inactive)
+		a.notify(statusTypeOther, statusInfoAlternateASPActive)
+		a.setState(Inactive)
 	}
 }
--- a/m3ua/codec.go
+++ b/m3ua/codec.go
@@ -1,6 +1,7 @@
-// Package m3ua reads and writes M3UA messages (RFC 4666), cuts a TCP byte stream into them, and holds the
-// state machine of one association between two signalling processes (sections 3 and 4). It is pure: bytes and
-// the time in, bytes and indications out. ISUP is a payload to it.
+// Package m3ua encodes and decodes M3UA messages (RFC 4666), splits a TCP byte stream into them, and provides the state machines
+// of an association between two signalling processes and of an application server (sections 3 and 4). It does no I/O: the caller
+// passes in received bytes and the current time, and collects the bytes to send and the indications. The payload, such as ISUP, is
+// not interpreted.
 package m3ua
 
 import (
@@ -9,23 +10,23 @@
 	"fmt"
 )
 
-// Class is a message class (section 3.1.2).
+// Class is a message class (RFC 4666 section 3.1.2).
 type Class byte
 
 // Message classes.
 const (
-	ClassMGMT     Class = 0
-	ClassTransfer Class = 1
-	ClassSSNM     Class = 2
-	ClassASPSM    Class = 3
-	ClassASPTM    Class = 4
-	ClassRKM      Class = 9
+	ClassMGMT     Class = 0 // management
+	ClassTransfer Class = 1 // transfer of user data
+	ClassSSNM     Class = 2 // SS7 signalling network management
+	ClassASPSM    Class = 3 // ASP state maintenance
+	ClassASPTM    Class = 4 // ASP traffic maintenance
+	ClassRKM      Class = 9 // routing key management
 )
 
-// Kind is a message class and type in one.
+// Kind identifies a message by its class (high octet) and its type in the class (low octet).
 type Kind uint16
 
-// The messages of RFC 4666.
+// Messages of RFC 4666. Those of routing key management follow below.
 const (
 	ERR      = Kind(ClassMGMT) << 8
 	NTFY     = Kind(ClassMGMT)<<8 | 1
@@ -48,16 +49,17 @@
 	ASPIAACK = Kind(ClassASPTM)<<8 | 4
 )
 
+// kindNames holds the messages that are known, with their names in RFC 4666.
 var kindNames = map[Kind]string{ERR: "ERR", NTFY: "NTFY", DATA: "DATA", DUNA: "DUNA", DAVA: "DAVA", DAUD: "DAUD",
 	SCON: "SCON", DUPU: "DUPU", DRST: "DRST", ASPUP: "ASPUP", ASPDN: "ASPDN", BEAT: "BEAT",
 	ASPUPACK: "ASPUP-ACK", ASPDNACK: "ASPDN-ACK", BEATACK: "BEAT-ACK", ASPAC: "ASPAC", ASPIA: "ASPIA",
 	ASPACACK: "ASPAC-ACK", ASPIAACK: "ASPIA-ACK", REGREQ: "REG-REQ", REGRSP: "REG-RSP", DEREGREQ: "DEREG-REQ",
 	DEREGRSP: "DEREG-RSP"}
 
-// Class gives the message class.
+// Class returns the message class.
 func (k Kind) Class() Class { return Class(k >> 8) }
 
-// String gives the acronym of the RFC, or class and type.
+// String returns the name of the message in RFC 4666, or its class and type.
 func (k Kind) String() string {
 	if n, ok := kindNames[k]; ok {
 		return n
@@ -65,60 +67,67 @@
 	return fmt.Sprintf("class %d type %d", k>>8, byte(k))
 }
 
-// Tag names a parameter (section 3.2).
+// Tag identifies a parameter (RFC 4666 section 3.2).
 type Tag uint16
 
-// Parameter tags.
+// Parameter tags, and sizes in octets.
 const (
-	TagInfo             Tag = 0x0004
-	TagRoutingContext   Tag = 0x0006
-	TagDiagnostic       Tag = 0x0007
-	TagHeartbeat        Tag = 0x0009
-	TagTrafficMode      Tag = 0x000b
-	TagErrorCode        Tag = 0x000c
-	TagStatus           Tag = 0x000d
-	TagASPID            Tag = 0x0011
-	TagAffected         Tag = 0x0012
-	TagCorrelation      Tag = 0x0013
-	TagNetAppearance    Tag = 0x0200
-	TagUserCause        Tag = 0x0204
-	TagCongestion       Tag = 0x0205
-	TagConcernedDest    Tag = 0x0206
-	TagProtocolData     Tag = 0x0210
-	headerSize              = 8
-	protocolDataMinimum     = 12
+	TagInfoString            Tag = 0x0004
+	TagRoutingContext        Tag = 0x0006
+	TagDiagnostic            Tag = 0x0007
+	TagHeartbeat             Tag = 0x0009
+	TagTrafficModeType       Tag = 0x000b
+	TagErrorCode             Tag = 0x000c
+	TagStatus                Tag = 0x000d
+	TagASPID                 Tag = 0x0011
+	TagAffectedPointCode     Tag = 0x0012
+	TagCorrelationID         Tag = 0x0013
+	TagNetworkAppearance     Tag = 0x0200
+	TagUserCause             Tag = 0x0204
+	TagCongestionIndications Tag = 0x0205
+	TagConcernedDestination  Tag = 0x0206
+	TagProtocolData          Tag = 0x0210
+	headerSize                   = 8  // common message header
+	minProtocolDataSize          = 12 // value of a Protocol Data parameter without user data
 )
 
-// ErrorCode is the code of an ERR (section 3.8.1).
+const (
+	protocolVersion = 1
+	paramHeaderSize = 4 // octets of the tag and the length of a parameter
+)
+
+// ErrorCode is the error code of an ERR (RFC 4666 section 3.8.1).
 type ErrorCode uint32
 
 // Error codes.
 const (
-	ErrVersion        ErrorCode = 0x01
-	ErrClass          ErrorCode = 0x03
-	ErrType           ErrorCode = 0x04
-	ErrTrafficMode    ErrorCode = 0x05
-	ErrUnexpected     ErrorCode = 0x06
-	ErrProtocol       ErrorCode = 0x07
-	ErrBlocking       ErrorCode = 0x0d
-	ErrParamValue     ErrorCode = 0x11
-	ErrParamField     ErrorCode = 0x12
-	ErrMissingParam   ErrorCode = 0x16
-	ErrRoutingContext ErrorCode = 0x19
-	ErrNoAS           ErrorCode = 0x1a
+	ErrInvalidVersion         ErrorCode = 0x01
+	ErrClass                  ErrorCode = 0x03
+	ErrUnsupportedType        ErrorCode = 0x04
+	ErrUnsupportedTrafficMode ErrorCode = 0x05
+	ErrUnexpected             ErrorCode = 0x06
+	ErrProtocol               ErrorCode = 0x07
+	ErrBlocking               ErrorCode = 0x0d
+	ErrInvalidParamValue      ErrorCode = 0x11
+	ErrParamFieldFormat       ErrorCode = 0x12
+	ErrMissingParam           ErrorCode = 0x16
+	ErrInvalidRoutingContext  ErrorCode = 0x19
+	ErrNoConfiguredAS         ErrorCode = 0x1a
 )
 
-// Fault is a message that cannot be taken; Code goes back in an ERR.
+// Fault is the error for a message that cannot be accepted. Code is sent to the peer in an ERR, Text is not.
 type Fault struct {
 	Code ErrorCode
 	Text string
 }
 
+// Error returns the text and the error code.
+
 func (f *Fault) Error() string {
 	return fmt.Sprintf("m3ua: %s (error code 0x%02x)", f.Text, uint32(f.Code))
 }
 
-// Param is one parameter; Value is without its padding.
+// Param is one parameter. Value does not include the padding.
 type Param struct {
 	Tag   Tag
 	Value []byte
@@ -130,7 +139,7 @@
 	Params []Param
 }
 
-// Get finds a parameter.
+// Get returns the value of the first parameter with a tag; false if there is none.
 func (m *Message) Get(tag Tag) ([]byte, bool) {
 	for i := range m.Params {
 		if m.Params[i].Tag == tag {
@@ -140,7 +149,7 @@
 	return nil, false
 }
 
-// Uint32 reads a parameter of four octets.
+// Uint32 returns the first four octets of a parameter as a number; false if it is missing or shorter.
 func (m *Message) Uint32(tag Tag) (uint32, bool) {
 	if v, ok := m.Get(tag); ok && len(v) >= 4 {
 		return binary.BigEndian.Uint32(v), true
@@ -148,24 +157,25 @@
 	return 0, false
 }
 
-// With adds a parameter and gives the message back.
+// With adds a parameter and returns the message.
 func (m *Message) With(tag Tag, value []byte) *Message {
 	m.Params = append(m.Params, Param{tag, value})
 	return m
 }
 
-// WithUint32 adds a parameter of four octets.
-func (m *Message) WithUint32(tag Tag, v uint32) *Message {
-	return m.With(tag, binary.BigEndian.AppendUint32(nil, v))
+// WithUint32 adds a parameter of four octets and returns the message.
+func (m *Message) WithUint32(tag Tag, value uint32) *Message {
+	return m.With(tag, binary.BigEndian.AppendUint32(nil, value))
 }
 
-// Append writes the message behind dst, each parameter padded to four octets.
+// Append encodes the message (RFC 4666 section 3.1), appends it to dst and returns the extended slice. Each parameter is padded
+// to a multiple of four octets.
 func (m *Message) Append(dst []byte) []byte {
 	start := len(dst)
-	dst = append(dst, 1, 0, byte(m.Kind>>8), byte(m.Kind), 0, 0, 0, 0)
+	dst = append(dst, protocolVersion, 0, byte(m.Kind>>8), byte(m.Kind), 0, 0, 0, 0)
 	for _, p := range m.Params {
 		dst = binary.BigEndian.AppendUint16(dst, uint16(p.Tag))
-		dst = binary.BigEndian.AppendUint16(dst, uint16(4+len(p.Value)))
+		dst = binary.BigEndian.AppendUint16(dst, uint16(paramHeaderSize+len(p.Value)))
 		dst = append(dst, p.Value...)
 		for i := len(p.Value); i&3 != 0; i++ {
 			dst = append(dst, 0)
@@ -175,91 +185,98 @@
 	return dst
 }
 
-// Decode reads one whole message; the values of its parameters are parts of b. The error is a *Fault.
-func Decode(b []byte) (*Message, error) {
-	if len(b) < headerSize {
-		return nil, &Fault{ErrProtocol, fmt.Sprintf("message of %d octets, a header has 8", len(b))}
+// Decode decodes one complete message. The values of its parameters are slices of raw. An error is always a *Fault; the message
+// returned with it may be nil or incomplete.
+func Decode(raw []byte) (*Message, error) {
+	if len(raw) < headerSize {
+		return nil, &Fault{ErrProtocol, fmt.Sprintf("message of %d octets is shorter than its header of 8", len(raw))}
 	}
-	if b[0] != 1 {
-		return nil, &Fault{ErrVersion, fmt.Sprintf("version %d, 1 is spoken", b[0])}
+	if raw[0] != protocolVersion {
+		return nil, &Fault{ErrInvalidVersion, fmt.Sprintf("version %d is not supported, only 1", raw[0])}
 	}
-	m := &Message{Kind: Kind(b[2])<<8 | Kind(b[3]), Params: make([]Param, 0, 2)}
-	if n := binary.BigEndian.Uint32(b[4:]); uint64(n) != uint64(len(b)) {
-		return m, &Fault{ErrProtocol, fmt.Sprintf("%v announces %d octets and has %d", m.Kind, n, len(b))}
+	message := &Message{Kind: Kind(raw[2])<<8 | Kind(raw[3]), Params: make([]Param, 0, 2)}
+	if length := binary.BigEndian.Uint32(raw[4:]); uint64(length) != uint64(len(raw)) {
+		return message, &Fault{ErrProtocol, fmt.Sprintf("%v with length field %d has %d octets", message.Kind, length, len(raw))}
 	}
-	for b = b[headerSize:]; len(b) > 0; {
-		if len(b) < 4 {
-			return m, &Fault{ErrParamField, fmt.Sprintf("%v: %d octets after the last parameter", m.Kind, len(b))}
+	for raw = raw[headerSize:]; len(raw) > 0; {
+		if len(raw) < paramHeaderSize {
+			return message, &Fault{ErrParamFieldFormat,
+				fmt.Sprintf("%v: %d octets after the last parameter", message.Kind, len(raw))}
 		}
-		tag, n := Tag(binary.BigEndian.Uint16(b)), int(binary.BigEndian.Uint16(b[2:]))
-		if n < 4 || n > len(b) {
-			return m, &Fault{ErrParamField, fmt.Sprintf("%v: parameter 0x%04x has length %d", m.Kind, uint16(tag), n)}
+		tag, length := Tag(binary.BigEndian.Uint16(raw)), int(binary.BigEndian.Uint16(raw[2:]))
+		if length < paramHeaderSize || length > len(raw) {
+			return message, &Fault{ErrParamFieldFormat,
+				fmt.Sprintf("%v: parameter 0x%04x has length %d", message.Kind, uint16(tag), length)}
 		}
-		m.Params = append(m.Params, Param{tag, b[4:n:n]})
-		b = b[min(len(b), (n+3)&^3):]
+		message.Params = append(message.Params, Param{tag, raw[paramHeaderSize:length:length]})
+		raw = raw[min(len(raw), (length+3)&^3):]
 	}
-	return m, checkKind(m.Kind)
+	return message, checkKind(message.Kind)
 }
 
-func checkKind(k Kind) error {
-	if _, ok := kindNames[k]; ok {
+// checkKind returns a *Fault for a message class or type that is not known.
+func checkKind(kind Kind) error {
+	if _, ok := kindNames[kind]; ok {
 		return nil
 	}
-	switch k.Class() {
+	switch kind.Class() {
 	case ClassMGMT, ClassTransfer, ClassSSNM, ClassASPSM, ClassASPTM, ClassRKM:
-		return &Fault{ErrType, k.String() + " is not known"}
+		return &Fault{ErrUnsupportedType, kind.String() + " is not known"}
 	}
-	return &Fault{ErrClass, k.String() + " is not supported"}
+	return &Fault{ErrClass, kind.String() + " is not supported"}
 }
 
-// ProtocolData is the payload of DATA (section 3.3.1).
+// ProtocolData holds the parameters of a DATA message (RFC 4666 section 3.3.1).
 type ProtocolData struct {
-	OPC, DPC       uint32 // point codes, 14 bits at ITU
-	SI, NI, MP     byte   // service indicator (5 ISUP), network indicator, priority
-	SLS            byte
-	Data           []byte
-	RoutingContext uint32
-	HasContext     bool
+	OPC            uint32 // originating point code, 14 bits in ITU networks
+	DPC            uint32 // destination point code, 14 bits in ITU networks
+	SI             byte   // service indicator: 5 for ISUP
+	NI             byte   // network indicator
+	MP             byte   // message priority
+	SLS            byte   // signalling link selection
+	Data           []byte // user data
+	RoutingContext uint32 // valid if HasContext
+	HasContext     bool   // the message carries a routing context
 }
 
-// dataOverhead is what DATA adds to its payload at most: the header, three parameters and padding.
-const dataOverhead = 8 + 8 + 8 + 16 + 4
+// maxDataOverhead is the most that a DATA message adds to its user data, in octets: the header, three parameters and padding.
+const maxDataOverhead = 8 + 8 + 8 + 16 + 4
 
-// plainData reads the usual DATA, protocol data alone or behind a routing context, without an allocation. Others
-// and bad ones are left to Decode.
-func plainData(b []byte) (p ProtocolData, ok bool) {
-	if len(b) < headerSize+4+protocolDataMinimum || b[0] != 1 || Kind(b[2])<<8|Kind(b[3]) != DATA ||
-		binary.BigEndian.Uint32(b[4:]) != uint32(len(b)) {
-		return p, false
+// parsePlainData decodes the common forms of DATA without an allocation: protocol data alone or after a routing context. For all
+// other messages, including invalid ones, it returns false; Decode handles them.
+func parsePlainData(raw []byte) (data ProtocolData, ok bool) {
+	if len(raw) < headerSize+paramHeaderSize+minProtocolDataSize || raw[0] != protocolVersion || Kind(raw[2])<<8|Kind(raw[3]) != DATA ||
+		binary.BigEndian.Uint32(raw[4:]) != uint32(len(raw)) {
+		return data, false
 	}
-	b = b[headerSize:]
-	if Tag(binary.BigEndian.Uint16(b)) == TagRoutingContext && binary.BigEndian.Uint16(b[2:]) == 8 {
-		p.RoutingContext, p.HasContext = binary.BigEndian.Uint32(b[4:]), true
-		b = b[8:]
+	raw = raw[headerSize:]
+	if Tag(binary.BigEndian.Uint16(raw)) == TagRoutingContext && binary.BigEndian.Uint16(raw[2:]) == 8 {
+		data.RoutingContext, data.HasContext = binary.BigEndian.Uint32(raw[4:]), true
+		raw = raw[8:]
 	}
-	if len(b) < 4+protocolDataMinimum || Tag(binary.BigEndian.Uint16(b)) != TagProtocolData {
-		return p, false
+	if len(raw) < paramHeaderSize+minProtocolDataSize || Tag(binary.BigEndian.Uint16(raw)) != TagProtocolData {
+		return data, false
 	}
-	n := int(binary.BigEndian.Uint16(b[2:]))
-	if n < 4+protocolDataMinimum || n > len(b) || (n+3)&^3 != len(b) {
-		return p, false
+	length := int(binary.BigEndian.Uint16(raw[2:]))
+	if length < paramHeaderSize+minProtocolDataSize || length > len(raw) || (length+3)&^3 != len(raw) {
+		return data, false
 	}
-	v := b[4:n:n]
-	p.OPC, p.DPC = binary.BigEndian.Uint32(v), binary.BigEndian.Uint32(v[4:])
-	p.SI, p.NI, p.MP, p.SLS, p.Data = v[8], v[9], v[10], v[11], v[12:]
-	return p, true
+	value := raw[paramHeaderSize:length:length]
+	data.OPC, data.DPC = binary.BigEndian.Uint32(value), binary.BigEndian.Uint32(value[4:])
+	data.SI, data.NI, data.MP, data.SLS, data.Data = value[8], value[9], value[10], value[11], value[12:]
+	return data, true
 }
 
-// Append writes a whole DATA behind dst, as Message would.
+// Append encodes a DATA message, appends it to dst and returns the extended slice. The octets are those of Message().Append(dst).
 func (p *ProtocolData) Append(dst []byte) []byte {
 	start := len(dst)
-	dst = append(dst, 1, 0, byte(DATA>>8), byte(DATA&0xff), 0, 0, 0, 0)
+	dst = append(dst, protocolVersion, 0, byte(DATA>>8), byte(DATA&0xff), 0, 0, 0, 0)
 	if p.HasContext {
 		dst = append(dst, byte(TagRoutingContext>>8), byte(TagRoutingContext), 0, 8)
 		dst = binary.BigEndian.AppendUint32(dst, p.RoutingContext)
 	}
 	dst = binary.BigEndian.AppendUint16(dst, uint16(TagProtocolData))
-	dst = binary.BigEndian.AppendUint16(dst, uint16(4+protocolDataMinimum+len(p.Data)))
+	dst = binary.BigEndian.AppendUint16(dst, uint16(paramHeaderSize+minProtocolDataSize+len(p.Data)))
 	dst = binary.BigEndian.AppendUint32(dst, p.OPC)
 	dst = binary.BigEndian.AppendUint32(dst, p.DPC)
 	dst = append(append(dst, p.SI, p.NI, p.MP, p.SLS), p.Data...)
@@ -270,75 +287,75 @@
 	return dst
 }
 
-// ServiceISUP is the service indicator of ISUP.
+// ServiceISUP is the service indicator (ProtocolData.SI) of ISUP.
 const ServiceISUP = 5
 
-// Message makes a DATA.
+// Message returns a DATA message.
 func (p *ProtocolData) Message() *Message {
-	m := &Message{Kind: DATA}
+	message := &Message{Kind: DATA}
 	if p.HasContext {
-		m.WithUint32(TagRoutingContext, p.RoutingContext)
+		message.WithUint32(TagRoutingContext, p.RoutingContext)
 	}
-	v := make([]byte, 0, protocolDataMinimum+len(p.Data))
-	v = binary.BigEndian.AppendUint32(v, p.OPC)
-	v = binary.BigEndian.AppendUint32(v, p.DPC)
-	v = append(v, p.SI, p.NI, p.MP, p.SLS)
-	return m.With(TagProtocolData, append(v, p.Data...))
+	value := make([]byte, 0, minProtocolDataSize+len(p.Data))
+	value = binary.BigEndian.AppendUint32(value, p.OPC)
+	value = binary.BigEndian.AppendUint32(value, p.DPC)
+	value = append(value, p.SI, p.NI, p.MP, p.SLS)
+	return message.With(TagProtocolData, append(value, p.Data...))
 }
 
-// ReadProtocolData reads a DATA. The error is a *Fault.
-func ReadProtocolData(m *Message) (p ProtocolData, err error) {
-	v, ok := m.Get(TagProtocolData)
+// ReadProtocolData returns the parameters of a decoded DATA message. An error is always a *Fault.
+func ReadProtocolData(message *Message) (data ProtocolData, err error) {
+	value, ok := message.Get(TagProtocolData)
 	if !ok {
-		return p, &Fault{ErrMissingParam, "DATA without protocol data"}
+		return data, &Fault{ErrMissingParam, "DATA without protocol data"}
 	}
-	if len(v) < protocolDataMinimum {
-		return p, &Fault{ErrParamField, fmt.Sprintf("protocol data of %d octets", len(v))}
+	if len(value) < minProtocolDataSize {
+		return data, &Fault{ErrParamFieldFormat, fmt.Sprintf("protocol data of %d octets", len(value))}
 	}
-	p.RoutingContext, p.HasContext = m.Uint32(TagRoutingContext)
-	p.OPC, p.DPC = binary.BigEndian.Uint32(v), binary.BigEndian.Uint32(v[4:])
-	p.SI, p.NI, p.MP, p.SLS, p.Data = v[8], v[9], v[10], v[11], v[12:]
-	return p, nil
+	data.RoutingContext, data.HasContext = message.Uint32(TagRoutingContext)
+	data.OPC, data.DPC = binary.BigEndian.Uint32(value), binary.BigEndian.Uint32(value[4:])
+	data.SI, data.NI, data.MP, data.SLS, data.Data = value[8], value[9], value[10], value[11], value[12:]
+	return data, nil
 }
 
-// DefaultMaxMessage is the longest message that a Framer takes unless it is told otherwise, in octets.
+// DefaultMaxMessage is the longest message that a Framer accepts if its Max is not set, in octets.
 const DefaultMaxMessage = 4096
 
-// ErrLength is returned for a length that no message can have; the stream cannot be read on after it.
+// ErrLength is returned by Framer.Next for an invalid length field. The rest of the stream cannot be split after it.
 var ErrLength = errors.New("m3ua: length out of bounds")
 
-// Framer cuts a byte stream into messages by the length in the common header. The zero Framer is ready.
+// Framer splits a byte stream into messages by the length field of their common header. The zero Framer is ready for use.
 type Framer struct {
-	Max int // longest message in octets; 0: DefaultMaxMessage
-	buf []byte
+	Max    int // longest message in octets; 0: DefaultMaxMessage
+	buffer []byte
 }
 
-// Write takes bytes of the stream.
-func (f *Framer) Write(b []byte) { f.buf = append(f.buf, b...) }
+// Write adds bytes of the stream.
+func (f *Framer) Write(input []byte) { f.buffer = append(f.buffer, input...) }
 
-// Next gives the next whole message, or nil where more bytes are needed. The slice is the caller's. It fails
-// with ErrLength as soon as a header announces too much, or less than itself.
+// Next returns the next complete message, or nil if more bytes are needed. The caller owns the slice. It returns ErrLength as soon
+// as the length field of a header exceeds Max or is smaller than the header.
 func (f *Framer) Next() ([]byte, error) {
-	if len(f.buf) < headerSize {
+	if len(f.buffer) < headerSize {
 		return nil, nil
 	}
-	most := f.Max
-	if most <= 0 {
-		most = DefaultMaxMessage
+	limit := f.Max
+	if limit <= 0 {
+		limit = DefaultMaxMessage
 	}
-	n := binary.BigEndian.Uint32(f.buf[4:])
-	if n < headerSize || uint64(n) > uint64(most) {
-		return nil, fmt.Errorf("%w: %d octets announced, 8 to %d are taken", ErrLength, n, most)
+	length := binary.BigEndian.Uint32(f.buffer[4:])
+	if length < headerSize || uint64(length) > uint64(limit) {
+		return nil, fmt.Errorf("%w: %d octets, 8 to %d are accepted", ErrLength, length, limit)
 	}
-	if len(f.buf) < int(n) {
+	if len(f.buffer) < int(length) {
 		return nil, nil
 	}
-	out := f.buf[:n:n]
-	if f.buf = f.buf[n:]; len(f.buf) == 0 {
-		f.buf = nil
+	message := f.buffer[:length:length]
+	if f.buffer = f.buffer[length:]; len(f.buffer) == 0 {
+		f.buffer = nil
 	}
-	return out, nil
+	return message, nil
 }
 
-// Buffered is the number of bytes of an unfinished message.
-func (f *Framer) Buffered() int { return len(f.buf) }
+// Buffered returns the number of bytes that Next has not returned yet.
+func (f *Framer) Buffered() int { return len(f.buffer) }
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -8,125 +8,130 @@
 	"time"
 )
 
-var data = ProtocolData{OPC: 101, DPC: 102, SI: 5, NI: 2, SLS: 7, Data: []byte{1, 2, 3, 4, 5}, HasContext: true, RoutingContext: 9}
+var sampleData = ProtocolData{OPC: 101, DPC: 102, SI: 5, NI: 2, SLS: 7, Data: []byte{1, 2, 3, 4, 5},
+	HasContext: true, RoutingContext: 9}
 
-// pair is two associations joined without a network.
+// pair is a fixture: two associations that exchange their output directly.
 type pair struct {
-	a, b *Assoc
-	now  time.Duration
+	client, server *Assoc
+	now            time.Duration
 }
 
-func newPair(a, b Settings) *pair {
-	p := &pair{a: NewAssoc(a), b: NewAssoc(b)}
-	p.a.Connected(0)
-	p.b.Connected(0)
+// newPair returns two connected associations that have exchanged nothing yet.
+func newPair(client, server Settings) *pair {
+	p := &pair{client: NewAssoc(client), server: NewAssoc(server)}
+	p.client.Connected(0)
+	p.server.Connected(0)
 	return p
 }
 
-func (p *pair) settle() {
+// exchangeAll delivers the output of both ends to each other for 20 rounds, more than any exchange here needs.
+func (p *pair) exchangeAll() {
 	for i := 0; i < 20; i++ {
-		x, y := p.a.Output(), p.b.Output()
-		p.b.Receive(p.now, x)
-		p.a.Receive(p.now, y)
+		fromClient, fromServer := p.client.Output(), p.server.Output()
+		p.server.Receive(p.now, fromClient)
+		p.client.Receive(p.now, fromServer)
 	}
 }
 
-func kinds(ind []Indication) (out []IndicationKind) {
-	for _, i := range ind {
-		out = append(out, i.Kind)
+// kinds returns the kinds of indications.
+func kinds(indications []Indication) (kinds []IndicationKind) {
+	for _, i := range indications {
+		kinds = append(kinds, i.Kind)
 	}
-	return out
+	return kinds
 }
 
 func TestDataRoundTripAndPadding(t *testing.T) {
-	b := data.Message().Append(nil)
-	if len(b)%4 != 0 || binary.BigEndian.Uint32(b[4:]) != uint32(len(b)) {
-		t.Errorf("%d octets, header says %d", len(b), binary.BigEndian.Uint32(b[4:]))
+	raw := sampleData.Message().Append(nil)
+	if len(raw)%4 != 0 || binary.BigEndian.Uint32(raw[4:]) != uint32(len(raw)) {
+		t.Errorf("%d octets, length field %d", len(raw), binary.BigEndian.Uint32(raw[4:]))
 	}
-	if direct := data.Append(nil); !bytes.Equal(direct, b) {
-		t.Errorf("written at once %x, as a message %x", direct, b)
+	if direct := sampleData.Append(nil); !bytes.Equal(direct, raw) {
+		t.Errorf("ProtocolData.Append: %x, Message.Append: %x", direct, raw)
 	}
-	m, err := Decode(b)
+	message, err := Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ReadProtocolData(m)
-	if err != nil || got.OPC != 101 || got.DPC != 102 || got.SLS != 7 || got.RoutingContext != 9 || !bytes.Equal(got.Data, data.Data) {
+	got, err := ReadProtocolData(message)
+	if err != nil || got.OPC != 101 || got.DPC != 102 || got.SLS != 7 || got.RoutingContext != 9 ||
+		!bytes.Equal(got.Data, sampleData.Data) {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
 func TestFramerInAnyPieces(t *testing.T) {
-	one := data.Message().Append(nil)
-	stream := append(append(bytes.Clone(one), one...), one...)
+	raw := sampleData.Message().Append(nil)
+	stream := append(append(bytes.Clone(raw), raw...), raw...)
 	for size := 1; size <= len(stream); size++ {
-		f, got := Framer{}, 0
+		framer, count := Framer{}, 0
 		for rest := stream; len(rest) > 0; {
 			n := min(size, len(rest))
-			f.Write(rest[:n])
+			framer.Write(rest[:n])
 			rest = rest[n:]
 			for {
-				m, err := f.Next()
+				message, err := framer.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if m == nil {
+				if message == nil {
 					break
 				}
-				if !bytes.Equal(m, one) {
-					t.Fatalf("pieces of %d: %x", size, m)
+				if !bytes.Equal(message, raw) {
+					t.Fatalf("pieces of %d: %x", size, message)
 				}
-				got++
+				count++
 			}
 		}
-		if got != 3 || f.Buffered() != 0 {
-			t.Errorf("pieces of %d: %d messages, %d left", size, got, f.Buffered())
+		if count != 3 || framer.Buffered() != 0 {
+			t.Errorf("pieces of %d: %d messages, %d octets left", size, count, framer.Buffered())
 		}
 	}
 }
 
 func TestFramerLengths(t *testing.T) {
-	for _, n := range []uint32{0, 7, DefaultMaxMessage + 1, 1 << 31, 1<<32 - 1} {
-		f := Framer{}
-		f.Write(binary.BigEndian.AppendUint32([]byte{1, 0, 1, 1}, n))
-		if _, err := f.Next(); !errors.Is(err, ErrLength) {
-			t.Errorf("length %d: %v", n, err)
+	for _, length := range []uint32{0, 7, DefaultMaxMessage + 1, 1 << 31, 1<<32 - 1} {
+		framer := Framer{}
+		framer.Write(binary.BigEndian.AppendUint32([]byte{1, 0, 1, 1}, length))
+		if _, err := framer.Next(); !errors.Is(err, ErrLength) {
+			t.Errorf("length %d: %v", length, err)
 		}
 	}
 }
 
 func TestIPSPSingleExchange(t *testing.T) {
 	p := newPair(Settings{Role: RoleIPSPClient, ASPID: 5}, Settings{Role: RoleIPSPServer})
-	p.settle()
-	if p.a.State() != Active || p.b.State() != Active {
-		t.Fatalf("%v and %v", p.a.State(), p.b.State())
+	p.exchangeAll()
+	if p.client.State() != Active || p.server.State() != Active {
+		t.Fatalf("%v and %v", p.client.State(), p.server.State())
 	}
-	p.a.Indications()
-	p.b.Indications()
-	for _, from := range []*Assoc{p.a, p.b} { // one exchange opens both ways
-		if err := from.Send(data); err != nil {
+	p.client.Indications()
+	p.server.Indications()
+	for _, from := range []*Assoc{p.client, p.server} { // one exchange of requests makes both directions active
+		if err := from.Send(sampleData); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.settle()
-	if k := kinds(p.a.Indications()); len(k) != 1 || k[0] != IndData {
-		t.Errorf("client got %v", k)
+	p.exchangeAll()
+	if k := kinds(p.client.Indications()); len(k) != 1 || k[0] != IndData {
+		t.Errorf("indications at the client: %v", k)
 	}
-	if k := kinds(p.b.Indications()); len(k) != 1 || k[0] != IndData {
-		t.Errorf("server got %v", k)
+	if k := kinds(p.server.Indications()); len(k) != 1 || k[0] != IndData {
+		t.Errorf("indications at the server: %v", k)
 	}
 }
 
 func TestLeaveInOrder(t *testing.T) {
 	p := newPair(Settings{Role: RoleIPSPClient}, Settings{Role: RoleIPSPServer})
-	p.settle()
-	p.a.Leave(0)
-	p.settle()
-	if p.a.State() != Down || p.b.State() != Down {
-		t.Errorf("%v and %v", p.a.State(), p.b.State())
+	p.exchangeAll()
+	p.client.Leave(0)
+	p.exchangeAll()
+	if p.client.State() != Down || p.server.State() != Down {
+		t.Errorf("%v and %v", p.client.State(), p.server.State())
 	}
-	if err := p.a.Send(data); !errors.Is(err, ErrNotActive) {
-		t.Errorf("send after leaving: %v", err)
+	if err := p.client.Send(sampleData); !errors.Is(err, ErrNotActive) {
+		t.Errorf("Send after Leave: %v", err)
 	}
 }
 
@@ -144,73 +149,74 @@
 	}
 	a.Tick(at)
 	if again := a.Output(); !bytes.Equal(again, first) {
-		t.Errorf("again %x, first %x", again, first)
+		t.Errorf("sent again %x, first %x", again, first)
 	}
 }
 
 func TestHeartbeats(t *testing.T) {
 	p := newPair(Settings{Role: RoleIPSPClient, Beat: time.Second, BeatMisses: 2}, Settings{Role: RoleIPSPServer, Beat: -1})
-	p.settle()
+	p.exchangeAll()
 	for p.now = time.Second; p.now <= 5*time.Second; p.now += time.Second {
-		p.a.Tick(p.now)
-		p.settle()
+		p.client.Tick(p.now)
+		p.exchangeAll()
 	}
-	p.a.Indications()
-	for ; p.now <= 9*time.Second; p.now += time.Second { // the far end has fallen silent
-		p.a.Tick(p.now)
-		p.a.Output()
+	p.client.Indications()
+	for ; p.now <= 9*time.Second; p.now += time.Second { // the far end is unresponsive
+		p.client.Tick(p.now)
+		p.client.Output()
 	}
 	closed := 0
-	for _, i := range p.a.Indications() {
+	for _, i := range p.client.Indications() {
 		if i.Kind == IndClose {
 			closed++
 		}
 	}
 	if closed == 0 {
-		t.Error("a silent peer is kept")
+		t.Error("no IndClose for an unresponsive peer")
 	}
 }
 
 func TestFaultsGetTheirCode(t *testing.T) {
-	msg := func(k Kind) *Message { return &Message{Kind: k} }
-	raw := func(m *Message) []byte { return m.Append(nil) }
-	version := raw(msg(BEAT))
+	newMessage := func(k Kind) *Message { return &Message{Kind: k} }
+	encode := func(reply *Message) []byte { return reply.Append(nil) }
+	version := encode(newMessage(BEAT))
 	version[0] = 2
-	badParam := raw(msg(BEAT).WithUint32(TagHeartbeat, 1))
+	badParam := encode(newMessage(BEAT).WithUint32(TagHeartbeat, 1))
 	binary.BigEndian.PutUint16(badParam[10:], 99)
-	foreign := data
+	foreign := sampleData
 	foreign.RoutingContext = 8
 	for _, c := range []struct {
-		name string
-		in   []byte
-		want ErrorCode
+		name  string
+		input []byte
+		want  ErrorCode
 	}{
-		{"version 2", version, ErrVersion},
-		{"class 7", raw(msg(0x0701)), ErrClass},
-		{"type 9 of ASPSM", raw(msg(Kind(ClassASPSM)<<8 | 9)), ErrType},
-		{"parameter too long", badParam, ErrParamField},
-		{"DATA without data", raw(msg(DATA)), ErrMissingParam},
-		{"DATA too short", raw(msg(DATA).With(TagProtocolData, []byte{1, 2, 3})), ErrParamField},
-		{"foreign routing context", raw(foreign.Message()), ErrRoutingContext},
-		{"foreign activation", raw(msg(ASPAC).WithUint32(TagRoutingContext, 77)), ErrRoutingContext},
-		{"loadshare in an override AS", raw(msg(ASPAC).WithUint32(TagTrafficMode, uint32(Loadshare))), ErrTrafficMode},
-		{"traffic mode 9", raw(msg(ASPAC).WithUint32(TagTrafficMode, 9)), ErrTrafficMode},
-		{"DUNA without a point code", raw(msg(DUNA)), ErrMissingParam},
+		{"version 2", version, ErrInvalidVersion},
+		{"class 7", encode(newMessage(0x0701)), ErrClass},
+		{"type 9 of ASPSM", encode(newMessage(Kind(ClassASPSM)<<8 | 9)), ErrUnsupportedType},
+		{"parameter too long", badParam, ErrParamFieldFormat},
+		{"DATA without data", encode(newMessage(DATA)), ErrMissingParam},
+		{"DATA too short", encode(newMessage(DATA).With(TagProtocolData, []byte{1, 2, 3})), ErrParamFieldFormat},
+		{"foreign routing context", encode(foreign.Message()), ErrInvalidRoutingContext},
+		{"foreign activation", encode(newMessage(ASPAC).WithUint32(TagRoutingContext, 77)), ErrInvalidRoutingContext},
+		{"loadshare in an override AS", encode(newMessage(ASPAC).WithUint32(TagTrafficModeType, uint32(Loadshare))), ErrUnsupportedTrafficMode},
+		{"traffic mode 9", encode(newMessage(ASPAC).WithUint32(TagTrafficModeType, 9)), ErrUnsupportedTrafficMode},
+		{"DUNA without a point code", encode(newMessage(DUNA)), ErrMissingParam},
 	} {
-		p := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true}, Settings{Role: RoleSGP, RoutingContext: 9, HasContext: true, Mode: Override})
-		p.settle()
-		p.b.Indications()
-		p.b.Receive(0, c.in)
-		m, err := Decode(p.b.Output())
-		if err != nil || m.Kind != ERR {
-			t.Errorf("%s: answered with %v, %v", c.name, m, err)
+		p := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true},
+			Settings{Role: RoleSGP, RoutingContext: 9, HasContext: true, Mode: Override})
+		p.exchangeAll()
+		p.server.Indications()
+		p.server.Receive(0, c.input)
+		reply, err := Decode(p.server.Output())
+		if err != nil || reply.Kind != ERR {
+			t.Errorf("%s: answered with %v, %v", c.name, reply, err)
 			continue
 		}
-		if code, _ := m.Uint32(TagErrorCode); ErrorCode(code) != c.want {
+		if code, _ := reply.Uint32(TagErrorCode); ErrorCode(code) != c.want {
 			t.Errorf("%s: error code 0x%02x, want 0x%02x", c.name, code, uint32(c.want))
 		}
-		if p.b.State() != Active {
-			t.Errorf("%s: association is %v", c.name, p.b.State())
+		if p.server.State() != Active {
+			t.Errorf("%s: association is %v", c.name, p.server.State())
 		}
 	}
 }
@@ -218,14 +224,14 @@
 func TestDataBeforeActive(t *testing.T) {
 	a := NewAssoc(Settings{Role: RoleSGP})
 	a.Connected(0)
-	a.Receive(0, data.Message().Append(nil))
-	m, err := Decode(a.Output())
-	if code, _ := m.Uint32(TagErrorCode); err != nil || ErrorCode(code) != ErrUnexpected {
-		t.Errorf("%v, %v", m, err)
+	a.Receive(0, sampleData.Message().Append(nil))
+	reply, err := Decode(a.Output())
+	if code, _ := reply.Uint32(TagErrorCode); err != nil || ErrorCode(code) != ErrUnexpected {
+		t.Errorf("%v, %v", reply, err)
 	}
 	a.Receive(0, (&Message{Kind: ERR}).WithUint32(TagErrorCode, 99).Append(nil))
 	if out := a.Output(); len(out) > 0 {
-		t.Errorf("an ERR was answered with %x", out)
+		t.Errorf("ERR was answered with %x", out)
 	}
 }
 
@@ -240,29 +246,29 @@
 }
 
 func TestIdentify(t *testing.T) {
-	up := (&Message{Kind: ASPUP}).WithUint32(TagASPID, 42).Append(nil)
-	if id, err := Identify(up); err != nil || id != 42 {
+	aspUp := (&Message{Kind: ASPUP}).WithUint32(TagASPID, 42).Append(nil)
+	if id, err := Identify(aspUp); err != nil || id != 42 {
 		t.Errorf("%d, %v", id, err)
 	}
-	var f *Fault
-	if _, err := Identify((&Message{Kind: ASPUP}).Append(nil)); !errors.As(err, &f) || f.Code != ErrIDRequired {
+	var fault *Fault
+	if _, err := Identify((&Message{Kind: ASPUP}).Append(nil)); !errors.As(err, &fault) || fault.Code != ErrIDRequired {
 		t.Errorf("without an identifier: %v", err)
 	}
-	if _, err := Identify((&Message{Kind: ASPAC}).Append(nil)); !errors.As(err, &f) || f.Code != ErrUnexpected {
+	if _, err := Identify((&Message{Kind: ASPAC}).Append(nil)); !errors.As(err, &fault) || fault.Code != ErrUnexpected {
 		t.Errorf("ASPAC first: %v", err)
 	}
 }
 
 func FuzzAssoc(f *testing.F) {
-	f.Add(data.Message().Append((&Message{Kind: ASPAC}).Append((&Message{Kind: ASPUP}).Append(nil))))
+	f.Add(sampleData.Message().Append((&Message{Kind: ASPAC}).Append((&Message{Kind: ASPUP}).Append(nil))))
 	f.Add([]byte{1, 0, 3, 1, 0x80, 0, 0, 0})
-	f.Add(data.Message().Append(nil))
-	f.Add((&Message{Kind: DUNA}).WithUint32(TagAffected, 5).Append((&Message{Kind: ASPUP}).Append(nil)))
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Add(sampleData.Message().Append(nil))
+	f.Add((&Message{Kind: DUNA}).WithUint32(TagAffectedPointCode, 5).Append((&Message{Kind: ASPUP}).Append(nil)))
+	f.Fuzz(func(t *testing.T, input []byte) {
 		for _, role := range []Role{RoleASP, RoleSGP, RoleIPSPClient, RoleIPSPServer} {
 			a := NewAssoc(Settings{Role: role})
 			a.Connected(0)
-			a.Receive(0, b)
+			a.Receive(0, input)
 			for _, i := range a.Indications() {
 				if i.Kind == IndNetwork {
 					AffectedPointCodes(i.Message)
@@ -270,45 +276,46 @@
 			}
 			a.Tick(time.Minute)
 			out := a.Output()
-			fr := Framer{Max: 1 << 20}
-			fr.Write(out)
+			framer := Framer{Max: 1 << 20}
+			framer.Write(out)
 			for {
-				m, err := fr.Next()
+				message, err := framer.Next()
 				if err != nil {
-					t.Fatalf("own output cannot be framed: %x", out)
+					t.Fatalf("output cannot be split into messages: %x", out)
 				}
-				if m == nil {
+				if message == nil {
 					break
 				}
-				if _, err := Decode(m); err != nil {
-					t.Fatalf("own output cannot be read: %v", err)
+				if _, err := Decode(message); err != nil {
+					t.Fatalf("output cannot be decoded: %v", err)
 				}
 			}
 		}
-		if p, ok := plainData(b); ok { // the short way must see what the long one sees
-			m, err := Decode(b)
+		if plain, ok := parsePlainData(input); ok { // must agree with Decode and ReadProtocolData
+			message, err := Decode(input)
 			if err != nil {
-				t.Fatalf("%x: plain, and %v", b, err)
+				t.Fatalf("%x: accepted by parsePlainData, Decode: %v", input, err)
 			}
-			q, err := ReadProtocolData(m)
-			if err != nil || p.OPC != q.OPC || p.DPC != q.DPC || p.HasContext != q.HasContext || p.RoutingContext != q.RoutingContext ||
-				p.SLS != q.SLS || !bytes.Equal(p.Data, q.Data) {
-				t.Fatalf("%+v and %+v, %v", p, q, err)
+			decoded, err := ReadProtocolData(message)
+			if err != nil || plain.OPC != decoded.OPC || plain.DPC != decoded.DPC ||
+				plain.HasContext != decoded.HasContext || plain.RoutingContext != decoded.RoutingContext ||
+				plain.SLS != decoded.SLS || !bytes.Equal(plain.Data, decoded.Data) {
+				t.Fatalf("%+v and %+v, %v", plain, decoded, err)
 			}
 		}
-		_, _ = Identify(b)
+		_, _ = Identify(input)
 	})
 }
 
 func BenchmarkDecodeDATA(b *testing.B) {
-	raw := data.Message().Append(nil)
+	raw := sampleData.Message().Append(nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		m, err := Decode(raw)
+		message, err := Decode(raw)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := ReadProtocolData(m); err != nil {
+		if _, err := ReadProtocolData(message); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/m3ua/rkm.go
+++ b/m3ua/rkm.go
@@ -5,111 +5,112 @@
 	"slices"
 )
 
-// Routing key management (sections 3.6 and 4.4.1): an ASP registers the traffic that it wants. Keys are checked
-// against what is configured for the association; nothing new is made by a registration.
+// Messages of routing key management (RFC 4666 sections 3.6 and 4.4.1), with which an ASP registers the traffic that it wants to
+// receive. Routing keys are checked against the settings of the association; a registration never adds a new one.
 const (
 	REGREQ   = Kind(ClassRKM)<<8 | 1
 	REGRSP   = Kind(ClassRKM)<<8 | 2
 	DEREGREQ = Kind(ClassRKM)<<8 | 3
 	DEREGRSP = Kind(ClassRKM)<<8 | 4
 
-	tagRoutingKey  Tag = 0x0207
-	tagRegResult   Tag = 0x0208
-	tagDeregResult Tag = 0x0209
-	tagLocalKey    Tag = 0x020a
-	tagDestination Tag = 0x020b
-	tagService     Tag = 0x020c
-	tagOPCs        Tag = 0x020e
-	tagRegStatus   Tag = 0x0212
-	tagDeregStatus Tag = 0x0213
+	// Tags of the parameters that only these messages carry.
+	tagRoutingKey            Tag = 0x0207
+	tagRegistrationResult    Tag = 0x0208
+	tagDeregistrationResult  Tag = 0x0209
+	tagLocalKeyIdentifier    Tag = 0x020a
+	tagDestinationPointCode  Tag = 0x020b
+	tagServiceIndicators     Tag = 0x020c
+	tagOriginatingPointCodes Tag = 0x020e
+	tagRegistrationStatus    Tag = 0x0212
+	tagDeregistrationStatus  Tag = 0x0213
 )
 
-// RegStatus is the result of a registration (section 3.6.2).
+// RegStatus is the status of a registration result (RFC 4666 section 3.6.2).
 type RegStatus uint32
 
-// Results of a registration.
+// Statuses of a registration result.
 const (
-	Registered         RegStatus = 0
-	RegInvalidDPC      RegStatus = 2
-	RegInvalidKey      RegStatus = 4
-	RegDenied          RegStatus = 5
-	RegNotProvisioned  RegStatus = 7
-	RegUnsupportedPart RegStatus = 9
-	RegTrafficMode     RegStatus = 10
-	RegAlready         RegStatus = 12
+	Registered                RegStatus = 0
+	RegInvalidDPC             RegStatus = 2
+	RegInvalidRoutingKey      RegStatus = 4
+	RegPermissionDenied       RegStatus = 5
+	RegKeyNotProvisioned      RegStatus = 7
+	RegUnsupportedParameter   RegStatus = 9
+	RegUnsupportedTrafficMode RegStatus = 10
+	RegAlreadyRegistered      RegStatus = 12
 )
 
-// Results of a deregistration (section 3.6.4).
+// Statuses of a deregistration result (RFC 4666 section 3.6.4).
 const (
-	deregistered       = 0
-	deregInvalid       = 2
-	deregNotRegistered = 4
-	deregStillActive   = 5
+	deregistered               = 0
+	deregInvalidRoutingContext = 2
+	deregNotRegistered         = 4
+	deregASPActive             = 5
 )
 
-// parseParams reads parameters that stand inside another one.
-func parseParams(b []byte) (out []Param, ok bool) {
-	for len(b) > 0 {
-		if len(b) < 4 {
-			return out, false
+// parseParams decodes parameters that are nested in another one. It returns false if one is truncated.
+func parseParams(input []byte) (params []Param, ok bool) {
+	for len(input) > 0 {
+		if len(input) < paramHeaderSize {
+			return params, false
 		}
-		n := int(binary.BigEndian.Uint16(b[2:]))
-		if n < 4 || n > len(b) {
-			return out, false
+		length := int(binary.BigEndian.Uint16(input[2:]))
+		if length < paramHeaderSize || length > len(input) {
+			return params, false
 		}
-		out = append(out, Param{Tag(binary.BigEndian.Uint16(b)), b[4:n:n]})
-		b = b[min(len(b), (n+3)&^3):]
+		params = append(params, Param{Tag(binary.BigEndian.Uint16(input)), input[paramHeaderSize:length:length]})
+		input = input[min(len(input), (length+3)&^3):]
 	}
-	return out, true
+	return params, true
 }
 
-// takeRKM answers registrations and their end.
-func (a *Assoc) takeRKM(m *Message) error {
-	if a.state == Down || a.set.Role != RoleSGP {
-		return &Fault{ErrUnexpected, m.Kind.String() + " in " + a.state.String()}
+// receiveRKM answers registration and deregistration requests. Only a signalling gateway accepts them.
+func (a *Assoc) receiveRKM(message *Message) error {
+	if a.state == Down || a.settings.Role != RoleSGP {
+		return &Fault{ErrUnexpected, message.Kind.String() + " in " + a.state.String()}
 	}
-	rsp := &Message{Kind: m.Kind + 1}
-	switch m.Kind {
+	response := &Message{Kind: message.Kind + 1}
+	switch message.Kind {
 	case REGREQ:
-		for _, p := range m.Params {
+		for _, p := range message.Params {
 			if p.Tag == tagRoutingKey {
-				rsp.With(tagRegResult, a.register(p.Value))
+				response.With(tagRegistrationResult, a.register(p.Value))
 			}
 		}
 	case DEREGREQ:
-		v, _ := m.Get(TagRoutingContext)
-		for ; len(v) >= 4; v = v[4:] {
-			rsp.With(tagDeregResult, a.deregister(binary.BigEndian.Uint32(v)))
+		contexts, _ := message.Get(TagRoutingContext)
+		for ; len(contexts) >= 4; contexts = contexts[4:] {
+			response.With(tagDeregistrationResult, a.deregister(binary.BigEndian.Uint32(contexts)))
 		}
 	default:
-		return &Fault{ErrUnexpected, m.Kind.String() + " to a gateway"}
+		return &Fault{ErrUnexpected, message.Kind.String() + " received by a signalling gateway"}
 	}
-	if len(rsp.Params) == 0 {
-		return &Fault{ErrMissingParam, m.Kind.String() + " names nothing"}
+	if len(response.Params) == 0 {
+		return &Fault{ErrMissingParam, message.Kind.String() + " without a routing key or routing context"}
 	}
-	a.write(rsp)
+	a.write(response)
 	return nil
 }
 
-// register judges one routing key and gives the registration result.
+// register checks one routing key and returns the registration result parameter.
 func (a *Assoc) register(key []byte) []byte {
-	local, status := uint32(0), a.judgeKey(key)
+	identifier, status := uint32(0), a.checkRoutingKey(key)
 	if params, ok := parseParams(key); ok {
 		for _, p := range params {
-			if p.Tag == tagLocalKey && len(p.Value) >= 4 {
-				local = binary.BigEndian.Uint32(p.Value)
+			if p.Tag == tagLocalKeyIdentifier && len(p.Value) >= 4 {
+				identifier = binary.BigEndian.Uint32(p.Value)
 			}
 		}
 	}
 	context := uint32(0)
-	if status == Registered || status == RegAlready {
-		context, a.registered = a.set.RoutingContext, true
+	if status == Registered || status == RegAlreadyRegistered {
+		context, a.registered = a.settings.RoutingContext, true
 	}
-	return appendUint32s(nil, tagLocalKey, local, tagRegStatus, uint32(status), TagRoutingContext, context)
+	return appendUint32Params(nil, tagLocalKeyIdentifier, identifier, tagRegistrationStatus, uint32(status), TagRoutingContext, context)
 }
 
-// appendUint32s writes parameters of four octets, each a tag and its value.
-func appendUint32s(dst []byte, pairs ...any) []byte {
+// appendUint32Params appends parameters of four octets to dst. pairs holds a Tag and a uint32 for each.
+func appendUint32Params(dst []byte, pairs ...any) []byte {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		dst = binary.BigEndian.AppendUint16(dst, uint16(pairs[i].(Tag)))
 		dst = binary.BigEndian.AppendUint16(dst, 8)
@@ -118,63 +119,63 @@
 	return dst
 }
 
-// judgeKey holds a key against the configuration.
-func (a *Assoc) judgeKey(key []byte) RegStatus {
+// checkRoutingKey compares a routing key with the settings of the association.
+func (a *Assoc) checkRoutingKey(key []byte) RegStatus {
 	params, ok := parseParams(key)
-	if !ok || !slices.ContainsFunc(params, func(p Param) bool { return p.Tag == tagLocalKey }) {
-		return RegInvalidKey
+	if !ok || !slices.ContainsFunc(params, func(p Param) bool { return p.Tag == tagLocalKeyIdentifier }) {
+		return RegInvalidRoutingKey
 	}
-	destination := false
+	hasDestination := false
 	for _, p := range params {
-		v := uint32(0)
+		value := uint32(0)
 		if len(p.Value) >= 4 {
-			v = binary.BigEndian.Uint32(p.Value)
+			value = binary.BigEndian.Uint32(p.Value)
 		}
 		switch p.Tag {
-		case tagLocalKey, TagNetAppearance:
+		case tagLocalKeyIdentifier, TagNetworkAppearance:
 		case TagRoutingContext:
-			if !a.set.HasContext || v != a.set.RoutingContext {
-				return RegNotProvisioned
+			if !a.settings.HasContext || value != a.settings.RoutingContext {
+				return RegKeyNotProvisioned
 			}
-		case TagTrafficMode:
-			if Mode(v) != a.set.Mode {
-				return RegTrafficMode
+		case TagTrafficModeType:
+			if Mode(value) != a.settings.Mode {
+				return RegUnsupportedTrafficMode
 			}
-		case tagDestination:
-			if destination = true; v&0xffffff != a.set.Key {
+		case tagDestinationPointCode:
+			if hasDestination = true; value&pointCodeMask != a.settings.Key {
 				return RegInvalidDPC
 			}
-		case tagService:
+		case tagServiceIndicators:
 			if !slices.Contains(p.Value, ServiceISUP) {
-				return RegDenied
+				return RegPermissionDenied
 			}
-		default: // such as a list of originating points: narrower keys are not provisioned
-			return RegUnsupportedPart
+		default: // for example originating point codes: narrower keys are not provisioned
+			return RegUnsupportedParameter
 		}
 	}
 	switch {
-	case !destination:
-		return RegInvalidKey
-	case !a.set.HasContext:
-		return RegNotProvisioned
+	case !hasDestination:
+		return RegInvalidRoutingKey
+	case !a.settings.HasContext:
+		return RegKeyNotProvisioned
 	case a.registered:
-		return RegAlready
+		return RegAlreadyRegistered
 	}
 	return Registered
 }
 
-// deregister judges the end of one registration.
+// deregister ends the registration of a routing context and returns the deregistration result parameter.
 func (a *Assoc) deregister(context uint32) []byte {
 	status := uint32(deregistered)
 	switch {
-	case !a.set.HasContext || context != a.set.RoutingContext:
-		status = deregInvalid
+	case !a.settings.HasContext || context != a.settings.RoutingContext:
+		status = deregInvalidRoutingContext
 	case !a.registered:
 		status = deregNotRegistered
 	case a.state == Active:
-		status = deregStillActive
+		status = deregASPActive
 	default:
 		a.registered = false
 	}
-	return appendUint32s(nil, TagRoutingContext, context, tagDeregStatus, status)
+	return appendUint32Params(nil, TagRoutingContext, context, tagDeregistrationStatus, status)
 }
