--- a/isup/codes.go
+++ b/isup/codes.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Type is an ISUP message type (Q.763 table 4).
+// Type is the code of an ISUP message type (Q.763 table 4).
 type Type byte
 
-// The message types that this package knows. Others are decoded as Unknown messages.
+// Message types with a known layout. Messages of other types are decoded into Message.Body.
 const (
 	IAM  Type = 0x01 // initial address
 	ACM  Type = 0x06 // address complete
@@ -29,11 +29,12 @@
 	CFN  Type = 0x2f // confusion
 )
 
+// typeNames holds the acronyms of the known message types.
 var typeNames = map[Type]string{IAM: "IAM", ACM: "ACM", CON: "CON", ANM: "ANM", REL: "REL", RLC: "RLC",
 	RSC: "RSC", BLO: "BLO", UBL: "UBL", BLA: "BLA", UBA: "UBA", GRS: "GRS", CGB: "CGB", CGU: "CGU",
 	CGBA: "CGBA", CGUA: "CGUA", GRA: "GRA", CPG: "CPG", UCIC: "UCIC", CFN: "CFN"}
 
-// String gives the acronym of Q.762, or the number of an unknown type.
+// String returns the acronym of Q.762, or the code of an unknown type.
 func (t Type) String() string {
 	if n, ok := typeNames[t]; ok {
 		return n
@@ -41,60 +42,60 @@
 	return fmt.Sprintf("type 0x%02x", byte(t))
 }
 
-// ParamCode names a parameter (Q.763 table 5).
+// ParamCode is the code of a parameter name (Q.763 table 5).
 type ParamCode byte
 
-// The parameters that this package reads or writes. Others are kept as they came.
+// Parameters that this package reads or writes. Others are kept unchanged.
 const (
-	ParamEnd                ParamCode = 0x00
-	ParamTransmissionMedium ParamCode = 0x02
-	ParamCalledNumber       ParamCode = 0x04
-	ParamNatureOfConnection ParamCode = 0x06
-	ParamForwardCall        ParamCode = 0x07
-	ParamCallingCategory    ParamCode = 0x09
-	ParamCallingNumber      ParamCode = 0x0a
-	ParamBackwardCall       ParamCode = 0x11
-	ParamCause              ParamCode = 0x12
-	ParamGroupSupervision   ParamCode = 0x15
-	ParamRangeStatus        ParamCode = 0x16
-	ParamEvent              ParamCode = 0x24
-	ParamCircuitMap         ParamCode = 0x25
-	ParamCongestionLevel    ParamCode = 0x27
-	ParamPropagationDelay   ParamCode = 0x31
-	ParamMessageCompat      ParamCode = 0x38
-	ParamParamCompat        ParamCode = 0x39
-	ParamHopCounter         ParamCode = 0x3d
+	ParamEndOfOptional                 ParamCode = 0x00
+	ParamTransmissionMediumRequirement ParamCode = 0x02
+	ParamCalledNumber                  ParamCode = 0x04
+	ParamNatureOfConnectionIndicators  ParamCode = 0x06
+	ParamForwardCallIndicators         ParamCode = 0x07
+	ParamCallingPartyCategory          ParamCode = 0x09
+	ParamCallingNumber                 ParamCode = 0x0a
+	ParamBackwardCallIndicators        ParamCode = 0x11
+	ParamCause                         ParamCode = 0x12
+	ParamGroupSupervisionType          ParamCode = 0x15
+	ParamRangeAndStatus                ParamCode = 0x16
+	ParamEventInformation              ParamCode = 0x24
+	ParamCircuitMap                    ParamCode = 0x25
+	ParamCongestionLevel               ParamCode = 0x27
+	ParamPropagationDelay              ParamCode = 0x31
+	ParamMessageCompatibility          ParamCode = 0x38
+	ParamParameterCompatibility        ParamCode = 0x39
+	ParamHopCounter                    ParamCode = 0x3d
 )
 
-// Cause is a cause value of Q.850.
+// Cause is a cause value (Q.850).
 type Cause byte
 
-// The causes that the router gives or tells apart.
+// Causes that are sent or handled by name.
 const (
-	CauseUnallocated       Cause = 1
-	CauseNormalClearing    Cause = 16
-	CauseUserBusy          Cause = 17
-	CauseNoAnswer          Cause = 19
-	CauseRejected          Cause = 21
-	CauseInvalidNumber     Cause = 28
-	CauseNormalUnspecified Cause = 31
-	CauseNoCircuit         Cause = 34
-	CauseNetworkOutOfOrder Cause = 38
-	CauseTemporaryFailure  Cause = 41
-	CauseCongestion        Cause = 42 // switching equipment congestion
-	CauseResource          Cause = 47
-	CauseNotImplemented    Cause = 79
-	CauseUnknownMessage    Cause = 97
-	CauseUnknownParam      Cause = 99
-	CauseTimerExpiry       Cause = 102
-	CauseParamDiscarded    Cause = 110
-	CauseProtocolError     Cause = 111
+	CauseUnallocated         Cause = 1   // unallocated number
+	CauseNormalClearing      Cause = 16  // normal call clearing
+	CauseUserBusy            Cause = 17  // user busy
+	CauseNoUserAnswer        Cause = 19  // no answer from user (user alerted)
+	CauseRejected            Cause = 21  // call rejected
+	CauseInvalidNumber       Cause = 28  // invalid number format (address incomplete)
+	CauseNormalUnspecified   Cause = 31  // normal, unspecified
+	CauseNoCircuit           Cause = 34  // no circuit/channel available
+	CauseNetworkOutOfOrder   Cause = 38  // network out of order
+	CauseTemporaryFailure    Cause = 41  // temporary failure
+	CauseCongestion          Cause = 42  // switching equipment congestion
+	CauseResourceUnavailable Cause = 47  // resource unavailable, unspecified
+	CauseNotImplemented      Cause = 79  // service or option not implemented, unspecified
+	CauseUnknownMessage      Cause = 97  // message type non-existent or not implemented
+	CauseUnknownParameter    Cause = 99  // parameter non-existent or not implemented
+	CauseTimerExpiry         Cause = 102 // recovery on timer expiry
+	CauseParameterDiscarded  Cause = 110 // message with unrecognized parameter, discarded
+	CauseProtocolError       Cause = 111 // protocol error, unspecified
 )
 
-// Location tells where a cause arose (Q.850 table 2).
+// Location is the place in the network where a cause arose (Q.850 table 2).
 type Location byte
 
-// Locations.
+// Locations of causes.
 const (
 	LocationUser         Location = 0
 	LocationLocalNetwork Location = 2  // public network serving the local user
@@ -106,37 +107,40 @@
 // GroupType is the circuit group supervision message type indicator (Q.763 3.13).
 type GroupType byte
 
-// Kinds of group blocking.
+// Kinds of circuit group blocking.
 const (
-	Maintenance GroupType = 0 // calls stay, no new ones
+	Maintenance GroupType = 0 // established calls continue, new ones are not accepted
 	Hardware    GroupType = 1 // calls are released
 )
 
-// layout is the mandatory part of a message type.
-type layout struct {
-	fixed    []fixedParam
-	variable []ParamCode
-	optional bool
+// messageLayout describes the parameters of a message type.
+type messageLayout struct {
+	fixed       []fixedParam // mandatory parameters of fixed length
+	variable    []ParamCode  // mandatory parameters of variable length
+	hasOptional bool         // the message may carry optional parameters
 }
 
+// fixedParam is a mandatory parameter of fixed length.
 type fixedParam struct {
 	code ParamCode
-	size int
+	size int // octets
 }
 
-var layouts = map[Type]layout{
-	IAM: {fixed: []fixedParam{{ParamNatureOfConnection, 1}, {ParamForwardCall, 2}, {ParamCallingCategory, 1},
-		{ParamTransmissionMedium, 1}}, variable: []ParamCode{ParamCalledNumber}, optional: true},
-	ACM: {fixed: []fixedParam{{ParamBackwardCall, 2}}, optional: true},
-	CON: {fixed: []fixedParam{{ParamBackwardCall, 2}}, optional: true},
-	ANM: {optional: true}, RLC: {optional: true},
-	CPG: {fixed: []fixedParam{{ParamEvent, 1}}, optional: true},
-	REL: {variable: []ParamCode{ParamCause}, optional: true},
-	CFN: {variable: []ParamCode{ParamCause}, optional: true},
+// messageLayouts holds the layouts of the known message types (Q.763).
+var messageLayouts = map[Type]messageLayout{
+	IAM: {fixed: []fixedParam{{ParamNatureOfConnectionIndicators, 1}, {ParamForwardCallIndicators, 2},
+		{ParamCallingPartyCategory, 1}, {ParamTransmissionMediumRequirement, 1}},
+		variable: []ParamCode{ParamCalledNumber}, hasOptional: true},
+	ACM: {fixed: []fixedParam{{ParamBackwardCallIndicators, 2}}, hasOptional: true},
+	CON: {fixed: []fixedParam{{ParamBackwardCallIndicators, 2}}, hasOptional: true},
+	ANM: {hasOptional: true}, RLC: {hasOptional: true},
+	CPG: {fixed: []fixedParam{{ParamEventInformation, 1}}, hasOptional: true},
+	REL: {variable: []ParamCode{ParamCause}, hasOptional: true},
+	CFN: {variable: []ParamCode{ParamCause}, hasOptional: true},
 	RSC: {}, BLO: {}, UBL: {}, BLA: {}, UBA: {}, UCIC: {},
-	GRS: {variable: []ParamCode{ParamRangeStatus}}, GRA: {variable: []ParamCode{ParamRangeStatus}},
-	CGB:  {fixed: []fixedParam{{ParamGroupSupervision, 1}}, variable: []ParamCode{ParamRangeStatus}},
-	CGU:  {fixed: []fixedParam{{ParamGroupSupervision, 1}}, variable: []ParamCode{ParamRangeStatus}},
-	CGBA: {fixed: []fixedParam{{ParamGroupSupervision, 1}}, variable: []ParamCode{ParamRangeStatus}},
-	CGUA: {fixed: []fixedParam{{ParamGroupSupervision, 1}}, variable: []ParamCode{ParamRangeStatus}},
+	GRS: {variable: []ParamCode{ParamRangeAndStatus}}, GRA: {variable: []ParamCode{ParamRangeAndStatus}},
+	CGB:  {fixed: []fixedParam{{ParamGroupSupervisionType, 1}}, variable: []ParamCode{ParamRangeAndStatus}},
+	CGU:  {fixed: []fixedParam{{ParamGroupSupervisionType, 1}}, variable: []ParamCode{ParamRangeAndStatus}},
+	CGBA: {fixed: []fixedParam{{ParamGroupSupervisionType, 1}}, variable: []ParamCode{ParamRangeAndStatus}},
+	CGUA: {fixed: []fixedParam{{ParamGroupSupervisionType, 1}}, variable: []ParamCode{ParamRangeAndStatus}},
 }
--- a/isup/compat.go
+++ b/isup/compat.go
@@ -2,88 +2,90 @@
 
 import "slices"
 
-// Instruction is what Q.764 2.9.5 asks for on something unrecognized.
+// Instruction is the required reaction to an unrecognized message or parameter (Q.764 2.9.5). The zero value asks for nothing.
 type Instruction struct {
 	Release bool  // release the call with Cause
-	Discard bool  // drop the whole message
+	Discard bool  // discard the whole message
 	Notify  bool  // answer with CFN
 	Cause   Cause // of the REL or CFN
 }
 
-// The instruction indicators of Q.763 3.33 and 3.41, first octet.
+// Bits of the first octet of the instruction indicators (Q.763 3.33 and 3.41).
 const (
-	compatTransit  = 1 << 0 // set: end node interpretation
-	compatRelease  = 1 << 1
-	compatNotify   = 1 << 2
-	compatDiscard  = 1 << 3 // message, in both parameters
-	compatDropPart = 1 << 4 // parameter only
+	compatEndNode          = 1 << 0 // the indicators also apply at a transit exchange
+	compatRelease          = 1 << 1 // release the call
+	compatNotify           = 1 << 2 // send CFN
+	compatDiscardMessage   = 1 << 3 // in message and in parameter compatibility information
+	compatDiscardParameter = 1 << 4 // in parameter compatibility information only
 )
 
-var knownParams = []ParamCode{ParamTransmissionMedium, ParamCalledNumber, ParamNatureOfConnection,
-	ParamForwardCall, ParamCallingCategory, ParamCallingNumber, ParamBackwardCall, ParamCause,
-	ParamGroupSupervision, ParamRangeStatus, ParamEvent, ParamCircuitMap, ParamCongestionLevel,
-	ParamPropagationDelay, ParamMessageCompat, ParamParamCompat, ParamHopCounter}
+// knownParameters are the recognized parameters, to which no compatibility rules apply.
+var knownParameters = []ParamCode{ParamTransmissionMediumRequirement, ParamCalledNumber, ParamNatureOfConnectionIndicators,
+	ParamForwardCallIndicators, ParamCallingPartyCategory, ParamCallingNumber, ParamBackwardCallIndicators, ParamCause,
+	ParamGroupSupervisionType, ParamRangeAndStatus, ParamEventInformation, ParamCircuitMap, ParamCongestionLevel,
+	ParamPropagationDelay, ParamMessageCompatibility, ParamParameterCompatibility, ParamHopCounter}
 
-// ofMessage finds the message compatibility information in the optional part of an unknown message, which Q.763
-// 1.11 asks to have only optional parameters.
-func ofMessage(body []byte) (byte, bool) {
-	probe := &Message{}
-	if len(body) == 0 || body[0] == 0 || probe.decodeOptional(body, int(body[0])) != nil {
+// messageCompatibility returns the first octet of the message compatibility information of an unknown message. Such a message has
+// optional parameters only (Q.763 1.11). It returns false if the information is missing.
+func messageCompatibility(body []byte) (byte, bool) {
+	optionalPart := &Message{}
+	if len(body) == 0 || body[0] == 0 || optionalPart.decodeOptional(body, int(body[0])) != nil {
 		return 0, false
 	}
-	v, ok := probe.Get(ParamMessageCompat)
-	if !ok || len(v) == 0 {
+	value, ok := optionalPart.Get(ParamMessageCompatibility)
+	if !ok || len(value) == 0 {
 		return 0, false
 	}
-	return v[0], true
+	return value[0], true
 }
 
-// Unrecognized applies the compatibility rules (Q.764 2.9.5.2, 2.9.5.3) to a message just decoded. transit
-// tells that the call goes on to another exchange. Parameters that must not be passed on are taken out of m.
-// Without instructions an unknown message is discarded with a CFN, an unknown parameter is passed.
-func Unrecognized(m *Message, transit bool) Instruction {
-	if !Known(m.Type) {
-		how, ok := ofMessage(m.Body)
+// Unrecognized applies the compatibility rules (Q.764 2.9.5.2, 2.9.5.3) to a decoded message. transit states that the call
+// continues to another exchange. Parameters that must not be passed on are removed from the message. Without compatibility
+// information an unknown message is discarded and answered with CFN, and an unknown parameter is passed on.
+func Unrecognized(message *Message, transit bool) Instruction {
+	if !Known(message.Type) {
+		indicators, ok := messageCompatibility(message.Body)
 		if !ok {
 			return Instruction{Discard: true, Notify: true, Cause: CauseUnknownMessage}
 		}
-		if transit && how&compatTransit == 0 {
+		if transit && indicators&compatEndNode == 0 {
 			return Instruction{}
 		}
-		return Instruction{Release: how&compatRelease != 0, Discard: true, Notify: how&compatNotify != 0,
+		return Instruction{Release: indicators&compatRelease != 0, Discard: true, Notify: indicators&compatNotify != 0,
 			Cause: CauseUnknownMessage}
 	}
-	rules, _ := m.Get(ParamParamCompat)
-	if len(rules) == 0 {
+	compatibility, _ := message.Get(ParamParameterCompatibility)
+	if len(compatibility) == 0 {
 		return Instruction{}
 	}
-	var all Instruction
-	m.Params = slices.DeleteFunc(m.Params, func(p Param) bool {
-		how, ok := ruleFor(rules, p.Code)
-		if slices.Contains(knownParams, p.Code) || !ok || transit && how&compatTransit == 0 {
+	var result Instruction
+	message.Params = slices.DeleteFunc(message.Params, func(p Param) bool {
+		indicators, ok := parameterCompatibility(compatibility, p.Code)
+		if slices.Contains(knownParameters, p.Code) || !ok || transit && indicators&compatEndNode == 0 {
 			return false
 		}
-		all.Release = all.Release || how&compatRelease != 0
-		if how&compatDiscard != 0 {
-			all.Discard, all.Cause = true, CauseParamDiscarded
-		} else if all.Cause == 0 {
-			all.Cause = CauseUnknownParam
+		result.Release = result.Release || indicators&compatRelease != 0
+		if indicators&compatDiscardMessage != 0 {
+			result.Discard, result.Cause = true, CauseParameterDiscarded
+		} else if result.Cause == 0 {
+			result.Cause = CauseUnknownParameter
 		}
-		all.Notify = all.Notify || how&compatNotify != 0
-		return how&(compatDropPart|compatDiscard) != 0
+		result.Notify = result.Notify || indicators&compatNotify != 0
+		return indicators&(compatDiscardParameter|compatDiscardMessage) != 0
 	})
-	return all
+	return result
 }
 
-// ruleFor finds the instruction for a parameter; instruction octets go on until one has its top bit set.
-func ruleFor(rules []byte, code ParamCode) (byte, bool) {
-	for i := 0; i+1 < len(rules); {
-		at := i + 1
-		for i = at; i < len(rules) && rules[i]&0x80 == 0; i++ {
+// parameterCompatibility returns the first instruction octet for a parameter; false if there is none. The instruction octets of a
+// parameter end with the one whose top bit is set.
+func parameterCompatibility(compatibility []byte, code ParamCode) (byte, bool) {
+	for i := 0; i+1 < len(compatibility); {
+		first := i + 1
+		for i = first; i < len(compatibility) && compatibility[i]&0x80 == 0; i++ {
 		}
 		i++
-		if rules[at-1] == byte(code) {
-			return rules[at], true
+		if compatibility[first-1] == byte(code) {
+			return compatibility[first], true
 		}
 	}
 	return 0, false
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// A set-up written by hand from Q.763: CIC 0x123, 3.1 kHz audio, called 5501234 (odd number of digits), a calling
-// number and an unknown parameter.
-var iamBytes = []byte{0x23, 0x01, 0x01, 0x00, 0x20, 0x01, 0x0a, 0x03, 0x02, 0x08, 0x06, 0x83, 0x10, 0x55, 0x10, 0x32, 0x04,
+// sampleIAM was encoded by hand according to Q.763: CIC 0x123, 3.1 kHz audio, called number 5501234 (odd number of digits), a
+// calling number and an unknown parameter.
+var sampleIAM = []byte{0x23, 0x01, 0x01, 0x00, 0x20, 0x01, 0x0a, 0x03, 0x02, 0x08, 0x06, 0x83, 0x10, 0x55, 0x10, 0x32, 0x04,
 	0x0a, 0x03, 0x03, 0x11, 0x21, 0x70, 0x02, 0xaa, 0xbb, 0x00}
 
 func TestIAMByHand(t *testing.T) {
-	m, err := Decode(iamBytes)
+	message, err := Decode(sampleIAM)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := m.Setup()
+	setup, err := message.Setup()
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := Setup{Called: Number{"5501234", 3, 1}, Category: 10, Width: 1, Hops: -1}
-	if m.CIC != 0x123 || s != want {
-		t.Errorf("circuit %x, %+v, want 123, %+v", m.CIC, s, want)
+	if message.CIC != 0x123 || setup != want {
+		t.Errorf("circuit %x, %+v, want 123, %+v", message.CIC, setup, want)
 	}
-	if v, ok := m.Get(0x70); !ok || !bytes.Equal(v, []byte{0xaa, 0xbb}) {
+	if v, ok := message.Get(0x70); !ok || !bytes.Equal(v, []byte{0xaa, 0xbb}) {
 		t.Errorf("unknown parameter %x, %v", v, ok)
 	}
-	out, err := m.Append(nil)
-	if err != nil || !bytes.Equal(out, iamBytes) {
-		t.Errorf("written again:\n%x, %v, want\n%x", out, err, iamBytes)
+	out, err := message.Append(nil)
+	if err != nil || !bytes.Equal(out, sampleIAM) {
+		t.Errorf("encoded again:\n%x, %v, want\n%x", out, err, sampleIAM)
 	}
 }
 
-func TestEveryCutIsAnError(t *testing.T) {
-	for n := range iamBytes {
-		if _, err := Decode(iamBytes[:n]); !errors.Is(err, ErrTruncated) {
-			t.Errorf("cut at %d: %v", n, err)
+func TestEveryTruncationIsAnError(t *testing.T) {
+	for n := range sampleIAM {
+		if _, err := Decode(sampleIAM[:n]); !errors.Is(err, ErrTruncated) {
+			t.Errorf("truncated to %d octets: %v", n, err)
 		}
 	}
 }
@@ -49,30 +49,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := Range{Range: 9}
-	r.SetBit(0)
-	r.SetBit(9)
-	for _, m := range []*Message{iam, NewRelease(5, ReleaseInfo{CauseCongestion, LocationBeyond, 2}), Simple(ACM, 1),
+	rangeStatus := Range{Range: 9}
+	rangeStatus.SetBit(0)
+	rangeStatus.SetBit(9)
+	for _, message := range []*Message{iam, NewRelease(5, ReleaseInfo{CauseCongestion, LocationBeyond, 2}), Simple(ACM, 1),
 		Simple(ANM, 1), Simple(CON, 2), Simple(CPG, 3), Simple(RLC, 4095), Simple(RSC, 9), Simple(BLO, 9), Simple(UBL, 9),
-		Simple(BLA, 9), Simple(UBA, 9), Simple(UCIC, 9), NewGroup(GRS, 33, 0, r), NewGroup(GRA, 33, 0, r),
-		NewGroup(CGB, 33, Hardware, r), NewGroup(CGBA, 33, Hardware, r), NewGroup(CGU, 33, 0, r), NewGroup(CGUA, 33, 0, r)} {
-		b, err := m.Append(nil)
+		Simple(BLA, 9), Simple(UBA, 9), Simple(UCIC, 9), NewGroup(GRS, 33, 0, rangeStatus), NewGroup(GRA, 33, 0, rangeStatus),
+		NewGroup(CGB, 33, Hardware, rangeStatus), NewGroup(CGBA, 33, Hardware, rangeStatus), NewGroup(CGU, 33, 0, rangeStatus),
+		NewGroup(CGUA, 33, 0, rangeStatus)} {
+		raw, err := message.Append(nil)
 		if err != nil {
-			t.Errorf("%v: %v", m.Type, err)
+			t.Errorf("%v: %v", message.Type, err)
 			continue
 		}
-		got, err := Decode(b)
+		got, err := Decode(raw)
 		if err != nil {
-			t.Errorf("%v: %v", m.Type, err)
+			t.Errorf("%v: %v", message.Type, err)
 			continue
 		}
-		if again, _ := got.Append(nil); !bytes.Equal(again, b) {
-			t.Errorf("%v: %x became %x", m.Type, b, again)
+		if again, _ := got.Append(nil); !bytes.Equal(again, raw) {
+			t.Errorf("%v: %x became %x", message.Type, raw, again)
 		}
 	}
 	got, _ := iam.Append(nil)
-	m, _ := Decode(got)
-	if s, err := m.Setup(); err != nil || s.Width != 4 || s.Map != 0x1e || s.Elapsed != 1234*time.Millisecond || s.Hops != 3 {
+	message, _ := Decode(got)
+	if s, err := message.Setup(); err != nil || s.Width != 4 || s.Map != 0x1e || s.Elapsed != 1234*time.Millisecond || s.Hops != 3 {
 		t.Errorf("set-up %+v, %v", s, err)
 	}
 }
@@ -82,115 +83,115 @@
 	if got := NewRelease(1, want).Release(); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	with := &Message{Type: REL} // octet 1a (recommendation) present
-	with.Set(ParamCause, 0x04, 0x80, 0x91)
-	if got := with.Release(); got.Cause != CauseUserBusy || got.Location != LocationRemote {
+	withRecommendation := &Message{Type: REL} // octet 1a (recommendation) present
+	withRecommendation.Set(ParamCause, 0x04, 0x80, 0x91)
+	if got := withRecommendation.Release(); got.Cause != CauseUserBusy || got.Location != LocationRemote {
 		t.Errorf("with a recommendation octet: %+v", got)
 	}
-	for _, v := range [][]byte{nil, {0x80}, {0x00, 0x80}} {
-		m := &Message{Type: REL}
-		m.Set(ParamCause, v...)
-		if got := m.Release().Cause; got != CauseNormalUnspecified {
-			t.Errorf("cause of %x: %d", v, got)
+	for _, value := range [][]byte{nil, {0x80}, {0x00, 0x80}} {
+		message := &Message{Type: REL}
+		message.Set(ParamCause, value...)
+		if got := message.Release().Cause; got != CauseNormalUnspecified {
+			t.Errorf("cause of %x: %d", value, got)
 		}
 	}
 }
 
 func TestWidths(t *testing.T) {
-	for w := 1; w <= 30; w++ {
-		tmr, err := mediumOf(w)
-		if err != nil || widthOf(tmr) != w {
-			t.Errorf("width %d: medium 0x%02x gives %d, %v", w, tmr, widthOf(tmr), err)
+	for width := 1; width <= 30; width++ {
+		medium, err := mediumForWidth(width)
+		if err != nil || widthForMedium(medium) != width {
+			t.Errorf("width %d: medium 0x%02x gives %d, %v", width, medium, widthForMedium(medium), err)
 		}
 	}
-	if _, err := mediumOf(31); err == nil {
-		t.Error("31 circuits have a transmission medium")
+	if _, err := mediumForWidth(31); err == nil {
+		t.Error("31 circuits have a transmission medium requirement")
 	}
 }
 
-func TestBadValuesAreNamed(t *testing.T) {
+func TestInvalidValuesAreRejected(t *testing.T) {
 	if _, err := NewSetup(1, Setup{Called: Number{Digits: "12x"}, Width: 1}); err == nil {
-		t.Error("a number with a letter was written")
+		t.Error("a number with a letter was encoded")
 	}
 	if _, err := NewSetup(1, Setup{Called: Number{Digits: "1234567890123456789012345678901"}, Width: 1}); err == nil {
-		t.Error("31 digits were written")
+		t.Error("31 digits were encoded")
 	}
-	m := &Message{Type: IAM}
-	if _, err := m.Append(nil); err == nil {
-		t.Error("an IAM without its mandatory part was written")
+	empty := &Message{Type: IAM}
+	if _, err := empty.Append(nil); err == nil {
+		t.Error("an IAM without its mandatory part was encoded")
 	}
-	big := Simple(ANM, 1)
-	big.Params = append(big.Params, Param{0x70, make([]byte, 255)}, Param{0x71, make([]byte, 255)})
-	if _, err := big.Append(nil); err == nil {
-		t.Error("a message over 268 octets was written")
+	tooLong := Simple(ANM, 1)
+	tooLong.Params = append(tooLong.Params, Param{0x70, make([]byte, 255)}, Param{0x71, make([]byte, 255)})
+	if _, err := tooLong.Append(nil); err == nil {
+		t.Error("a message over 268 octets was encoded")
 	}
 	if _, err := NewGroup(GRS, 1, 0, Range{Range: 32}).RangeStatus(); err == nil {
-		t.Error("GRS over 33 circuits was read")
+		t.Error("GRS for 33 circuits was accepted")
 	}
 }
 
 func TestCompatibility(t *testing.T) {
-	unknown := func(how ...byte) *Message {
-		m, err := Decode(append([]byte{1, 0, 0x77}, how...))
+	newUnknown := func(body ...byte) *Message {
+		message, err := Decode(append([]byte{1, 0, 0x77}, body...))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return m
+		return message
 	}
-	with := func(octet byte) []byte { return []byte{1, byte(ParamMessageCompat), 1, octet, 0} }
+	compatibility := func(octet byte) []byte { return []byte{1, byte(ParamMessageCompatibility), 1, octet, 0} }
 	for _, c := range []struct {
 		name    string
-		m       *Message
+		message *Message
 		transit bool
 		want    Instruction
 	}{
-		{"no instruction", unknown(), true, Instruction{Discard: true, Notify: true, Cause: CauseUnknownMessage}},
-		{"transit passes", unknown(with(0x80 | compatRelease)...), true, Instruction{}},
-		{"end node releases", unknown(with(0x80 | compatRelease)...), false,
+		{"no instruction", newUnknown(), true, Instruction{Discard: true, Notify: true, Cause: CauseUnknownMessage}},
+		{"passed on by a transit exchange", newUnknown(compatibility(0x80 | compatRelease)...), true, Instruction{}},
+		{"released by the end node", newUnknown(compatibility(0x80 | compatRelease)...), false,
 			Instruction{Release: true, Discard: true, Cause: CauseUnknownMessage}},
-		{"discard and tell", unknown(with(0x80 | compatTransit | compatNotify)...), true,
+		{"discarded and notified", newUnknown(compatibility(0x80 | compatEndNode | compatNotify)...), true,
 			Instruction{Discard: true, Notify: true, Cause: CauseUnknownMessage}},
 	} {
-		if got := Unrecognized(c.m, c.transit); got != c.want {
+		if got := Unrecognized(c.message, c.transit); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
-	m := Simple(ACM, 1)
-	m.Set(0x70, 1)
-	m.Set(0x71, 2)
-	m.Set(ParamParamCompat, 0x70, 0x80|compatDropPart|compatTransit|compatNotify, 0x71, 0x80)
-	got := Unrecognized(m, true)
-	if _, kept := m.Get(0x70); kept || !got.Notify || got.Release {
+	message := Simple(ACM, 1)
+	message.Set(0x70, 1)
+	message.Set(0x71, 2)
+	message.Set(ParamParameterCompatibility, 0x70, 0x80|compatDiscardParameter|compatEndNode|compatNotify, 0x71, 0x80)
+	got := Unrecognized(message, true)
+	if _, kept := message.Get(0x70); kept || !got.Notify || got.Release {
 		t.Errorf("parameter to discard: kept %v, %+v", kept, got)
 	}
-	if _, kept := m.Get(0x71); !kept {
-		t.Error("parameter to pass is gone")
+	if _, kept := message.Get(0x71); !kept {
+		t.Error("parameter to pass on was removed")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(iamBytes)
-	for _, m := range []*Message{NewRelease(5, ReleaseInfo{34, 2, 1}), Simple(ACM, 1), NewGroup(GRS, 1, 0, Range{Range: 9})} {
-		b, _ := m.Append(nil)
-		f.Add(b)
+	f.Add(sampleIAM)
+	for _, message := range []*Message{NewRelease(5, ReleaseInfo{34, 2, 1}), Simple(ACM, 1), NewGroup(GRS, 1, 0, Range{Range: 9})} {
+		raw, _ := message.Append(nil)
+		f.Add(raw)
 	}
 	f.Add([]byte{1, 0, 0x77, 1, 0x38, 1, 0x80, 0})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := Decode(b)
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		message, err := Decode(raw)
 		if err != nil {
 			return
 		}
-		Unrecognized(m, true)
-		_, _ = m.Setup()
-		_, _ = m.RangeStatus()
-		m.Release()
-		out, err := m.Append(nil)
+		Unrecognized(message, true)
+		_, _ = message.Setup()
+		_, _ = message.RangeStatus()
+		message.Release()
+		out, err := message.Append(nil)
 		if err != nil {
-			return // duplicates of mandatory parameters and the like cannot be written
+			return // for example duplicates of mandatory parameters cannot be encoded
 		}
 		again, err := Decode(out)
 		if err != nil {
-			t.Fatalf("%x was written as %x: %v", b, out, err)
+			t.Fatalf("%x was encoded as %x: %v", raw, out, err)
 		}
 		if twice, err := again.Append(nil); err != nil || !reflect.DeepEqual(twice, out) {
 			t.Fatalf("%x and %x, %v", out, twice, err)
--- a/isup/params.go
+++ b/isup/params.go
@@ -9,17 +9,20 @@
 
 // Number is a called or calling party number (Q.763 3.9, 3.10).
 type Number struct {
-	Digits string // 0-9, and the codes B, C, D, E, F of Q.763 (F is ST, end of pulsing)
+	Digits string // 0 to 9, and A to F for the codes 10 to 15 of Q.763; F is ST (end of pulsing)
 	Nature byte   // nature of address: 3 national, 4 international
 	Plan   byte   // numbering plan: 1 ISDN (E.164)
 }
 
-// MaxDigits is the longest number taken: E.164 has 15 digits, a routing number may add as many.
+// MaxDigits is the highest number of digits that is accepted: E.164 has 15, a routing number may add as many.
 const MaxDigits = 30
 
+const slotsPerSystem = 32 // time slots of a 2,048 kbit/s system
+
+// digitCodes holds the digits by their codes in Q.763 3.9.
 const digitCodes = "0123456789ABCDEF"
 
-// Append writes the number in the format of Q.763 3.9.
+// append encodes the number in the format of Q.763 3.9 and appends it to dst.
 func (n Number) append(dst []byte) ([]byte, error) {
 	if len(n.Digits) > MaxDigits {
 		return dst, fmt.Errorf("number of %d digits, more than %d", len(n.Digits), MaxDigits)
@@ -27,35 +30,37 @@
 	odd := byte(len(n.Digits)&1) << 7
 	dst = append(dst, odd|n.Nature&0x7f, n.Plan&7<<4)
 	for i := 0; i < len(n.Digits); i++ {
-		d := digitCode(n.Digits[i])
-		if d > 15 {
-			return dst, fmt.Errorf("number %q: %q is no digit", n.Digits, n.Digits[i])
+		code := digitCode(n.Digits[i])
+		if code > 15 {
+			return dst, fmt.Errorf("number %q: %q is not a digit", n.Digits, n.Digits[i])
 		}
 		if i&1 == 0 {
-			dst = append(dst, d)
+			dst = append(dst, code)
 		} else {
-			dst[len(dst)-1] |= d << 4
+			dst[len(dst)-1] |= code << 4
 		}
 	}
 	return dst, nil
 }
 
-func digitCode(c byte) byte {
+// digitCode returns the code of a digit (Q.763 3.9), or 0xff if it is not one.
+func digitCode(digit byte) byte {
 	switch {
-	case c >= '0' && c <= '9':
-		return c - '0'
-	case c >= 'A' && c <= 'F':
-		return c - 'A' + 10
+	case digit >= '0' && digit <= '9':
+		return digit - '0'
+	case digit >= 'A' && digit <= 'F':
+		return digit - 'A' + 10
 	}
 	return 0xff
 }
 
-func decodeNumber(v []byte) (Number, error) {
-	if len(v) < 2 {
-		return Number{}, fmt.Errorf("%w: number of %d octets", ErrTruncated, len(v))
+// decodeNumber decodes a number in the format of Q.763 3.9.
+func decodeNumber(value []byte) (Number, error) {
+	if len(value) < 2 {
+		return Number{}, fmt.Errorf("%w: number of %d octets", ErrTruncated, len(value))
 	}
-	count := 2 * (len(v) - 2)
-	if v[0]&0x80 != 0 {
+	count := 2 * (len(value) - 2)
+	if value[0]&0x80 != 0 {
 		count--
 	}
 	if count < 0 || count > MaxDigits {
@@ -63,173 +68,177 @@
 	}
 	digits := make([]byte, count)
 	for i := range digits {
-		d := v[2+i/2]
+		code := value[2+i/2]
 		if i&1 == 1 {
-			d >>= 4
+			code >>= 4
 		}
-		digits[i] = digitCodes[d&15]
+		digits[i] = digitCodes[code&15]
 	}
-	return Number{Digits: string(digits), Nature: v[0] & 0x7f, Plan: v[1] >> 4 & 7}, nil
+	return Number{Digits: string(digits), Nature: value[0] & 0x7f, Plan: value[1] >> 4 & 7}, nil
 }
 
-// CalledNumber reads the called party number of an IAM; a closing ST is left out.
+// CalledNumber returns the called party number of an IAM, without a closing ST. It fails if the number is missing or invalid.
 func (m *Message) CalledNumber() (Number, error) {
-	v, _ := m.Get(ParamCalledNumber)
-	n, err := decodeNumber(v)
+	value, _ := m.Get(ParamCalledNumber)
+	number, err := decodeNumber(value)
 	if err != nil {
-		return n, fmt.Errorf("isup: called party number: %w", err)
+		return number, fmt.Errorf("isup: called party number: %w", err)
 	}
-	if l := len(n.Digits); l > 0 && n.Digits[l-1] == 'F' {
-		n.Digits = n.Digits[:l-1]
+	if length := len(number.Digits); length > 0 && number.Digits[length-1] == 'F' {
+		number.Digits = number.Digits[:length-1]
 	}
-	return n, nil
+	return number, nil
 }
 
-// ReleaseInfo is what the cause indicators and the automatic congestion level of a REL tell.
+// ReleaseInfo holds the cause indicators and the automatic congestion level of a REL.
 type ReleaseInfo struct {
 	Cause      Cause
 	Location   Location
-	Congestion byte // automatic congestion level (Q.763 3.4): 0 absent, 1 or 2
+	Congestion byte // automatic congestion level (Q.763 3.4): 1 or 2; 0: absent
 }
 
-// Release reads a REL or CFN. An absent or cut cause reads as normal, unspecified.
+// Release returns the contents of a REL or CFN. If the cause is missing or truncated, it is CauseNormalUnspecified.
 func (m *Message) Release() ReleaseInfo {
 	info := ReleaseInfo{Cause: CauseNormalUnspecified}
-	if v, _ := m.Get(ParamCause); len(v) >= 2 {
+	if value, _ := m.Get(ParamCause); len(value) >= 2 {
 		i := 1
-		if v[0]&0x80 == 0 { // octet 1a: recommendation
+		if value[0]&0x80 == 0 { // octet 1a: recommendation
 			i = 2
 		}
-		if i < len(v) {
-			info.Cause, info.Location = Cause(v[i]&0x7f), Location(v[0]&0x0f)
+		if i < len(value) {
+			info.Cause, info.Location = Cause(value[i]&0x7f), Location(value[0]&0x0f)
 		}
 	}
-	if v, _ := m.Get(ParamCongestionLevel); len(v) >= 1 {
-		info.Congestion = v[0]
+	if value, _ := m.Get(ParamCongestionLevel); len(value) >= 1 {
+		info.Congestion = value[0]
 	}
 	return info
 }
 
-// NewRelease makes a REL.
+// NewRelease returns a REL.
 func NewRelease(cic uint16, info ReleaseInfo) *Message {
-	m := &Message{CIC: cic, Type: REL}
-	m.Set(ParamCause, 0x80|byte(info.Location)&0x0f, 0x80|byte(info.Cause))
+	message := &Message{CIC: cic, Type: REL}
+	message.Set(ParamCause, 0x80|byte(info.Location)&0x0f, 0x80|byte(info.Cause))
 	if info.Congestion > 0 {
-		m.Set(ParamCongestionLevel, info.Congestion)
+		message.Set(ParamCongestionLevel, info.Congestion)
 	}
-	return m
+	return message
 }
 
-// Setup is what the router needs of an IAM.
+// Setup holds the parameters of an IAM that routing needs.
 type Setup struct {
-	Called   Number
+	Called   Number        // called party number
 	Category byte          // calling party's category (Q.763 3.11)
-	Width    int           // circuits of 64 kbit/s, from the transmission medium requirement
-	Map      uint32        // circuit assignment map: bit 0 is time slot 1; 0: contiguous from the CIC
-	Elapsed  time.Duration // propagation delay counter, milliseconds on the wire
-	Hops     int           // hop counter left; -1 absent
+	Width    int           // circuits of 64 kbit/s, from the transmission medium requirement (Q.763 3.54)
+	Map      uint32        // circuit assignment map: bit 0 is time slot 1; 0: consecutive circuits from the CIC
+	Elapsed  time.Duration // propagation delay counter, in milliseconds on the wire
+	Hops     int           // hop counter: hops that are left; -1: absent
 }
 
-// Circuits are the codes that an IAM on a circuit names: by its circuit assignment map, or one after the other.
+// Circuits returns the circuit identification codes of a call whose IAM is sent on a circuit: those of the circuit assignment map,
+// or consecutive ones.
 func (s Setup) Circuits(cic uint16) []uint16 {
-	out := []uint16{cic}
+	cics := []uint16{cic}
 	if s.Map == 0 {
 		for i := 1; i < s.Width; i++ {
-			out = append(out, cic+uint16(i))
+			cics = append(cics, cic+uint16(i))
 		}
-		return out
+		return cics
 	}
-	out = out[:0]
-	for x := s.Map; x != 0; x &= x - 1 {
-		out = append(out, cic/32*32+uint16(bits.TrailingZeros32(x))+1)
+	cics = cics[:0]
+	for slots := s.Map; slots != 0; slots &= slots - 1 {
+		cics = append(cics, cic/slotsPerSystem*slotsPerSystem+uint16(bits.TrailingZeros32(slots))+1)
 	}
-	return out
+	return cics
 }
 
-// CircuitMap is the circuit assignment map for circuits of one 2,048 kbit/s system; 0 for a single one.
-func CircuitMap(cics []uint16) (m uint32) {
+// CircuitMap returns the circuit assignment map of circuits of one 2,048 kbit/s system: bit 0 is time slot 1. It is 0 for a single
+// circuit.
+func CircuitMap(cics []uint16) (bitmap uint32) {
 	if len(cics) > 1 {
-		for _, c := range cics {
-			m |= 1 << (c%32 - 1)
+		for _, cic := range cics {
+			bitmap |= 1 << (cic%slotsPerSystem - 1)
 		}
 	}
-	return m
+	return bitmap
 }
 
-// NewSetup makes an IAM. Width goes into the transmission medium requirement, Elapsed, Map and Hops into
-// optional parameters.
-func NewSetup(cic uint16, s Setup) (*Message, error) {
-	m := &Message{CIC: cic, Type: IAM}
-	tmr, err := mediumOf(s.Width)
+// NewSetup returns an IAM. Width is encoded as the transmission medium requirement; Elapsed, Map and Hops as optional parameters.
+// It fails if the called number is invalid or if no transmission medium requirement exists for the width.
+func NewSetup(cic uint16, setup Setup) (*Message, error) {
+	message := &Message{CIC: cic, Type: IAM}
+	medium, err := mediumForWidth(setup.Width)
 	if err != nil {
 		return nil, err
 	}
-	number, err := s.Called.append(nil)
+	number, err := setup.Called.append(nil)
 	if err != nil {
 		return nil, fmt.Errorf("isup: called party number: %w", err)
 	}
-	m.Params = append(make([]Param, 0, 8), Param{ParamNatureOfConnection, []byte{0}},
-		Param{ParamForwardCall, []byte{0x20, 0x01}}, Param{ParamCallingCategory, []byte{s.Category}},
-		Param{ParamTransmissionMedium, []byte{tmr}}, Param{ParamCalledNumber, number})
-	m.SetSetup(s)
-	return m, nil
+	message.Params = append(make([]Param, 0, 8), Param{ParamNatureOfConnectionIndicators, []byte{0}},
+		Param{ParamForwardCallIndicators, []byte{0x20, 0x01}}, Param{ParamCallingPartyCategory, []byte{setup.Category}},
+		Param{ParamTransmissionMediumRequirement, []byte{medium}}, Param{ParamCalledNumber, number})
+	message.SetSetup(setup)
+	return message, nil
 }
 
-// SetCalled replaces the called party number of an IAM that is passed on.
-func (m *Message) SetCalled(n Number) error {
-	v, err := n.append(nil)
+// SetCalled replaces the called party number of an IAM that is passed on. It fails if the number is invalid.
+func (m *Message) SetCalled(number Number) error {
+	value, err := number.append(nil)
 	if err != nil {
 		return fmt.Errorf("isup: called party number: %w", err)
 	}
-	m.Set(ParamCalledNumber, v...)
+	m.Set(ParamCalledNumber, value...)
 	return nil
 }
 
-// SetSetup writes the optional parts of s into an IAM that is passed on: the others stay as they came.
-func (m *Message) SetSetup(s Setup) {
-	if s.Map != 0 {
-		m.Set(ParamCircuitMap, 2, byte(s.Map), byte(s.Map>>8), byte(s.Map>>16), byte(s.Map>>24)&0x7f)
+// SetSetup sets the optional parameters of an IAM that is passed on (Map, Elapsed and Hops, if present). The other parameters
+// stay unchanged.
+func (m *Message) SetSetup(setup Setup) {
+	if setup.Map != 0 {
+		m.Set(ParamCircuitMap, 2, byte(setup.Map), byte(setup.Map>>8), byte(setup.Map>>16), byte(setup.Map>>24)&0x7f)
 	}
-	if s.Elapsed > 0 {
-		ms := uint16(min(s.Elapsed.Milliseconds(), math.MaxUint16))
-		m.Set(ParamPropagationDelay, byte(ms>>8), byte(ms))
+	if setup.Elapsed > 0 {
+		milliseconds := uint16(min(setup.Elapsed.Milliseconds(), math.MaxUint16))
+		m.Set(ParamPropagationDelay, byte(milliseconds>>8), byte(milliseconds))
 	}
-	if s.Hops >= 0 {
-		m.Set(ParamHopCounter, byte(s.Hops)&0x1f)
+	if setup.Hops >= 0 {
+		m.Set(ParamHopCounter, byte(setup.Hops)&0x1f)
 	}
 }
 
-// Setup reads an IAM.
-func (m *Message) Setup() (s Setup, err error) {
-	if s.Called, err = m.CalledNumber(); err != nil {
-		return s, err
-	}
-	if v, _ := m.Get(ParamCallingCategory); len(v) == 1 {
-		s.Category = v[0]
-	}
-	if v, _ := m.Get(ParamTransmissionMedium); len(v) == 1 {
-		if s.Width = widthOf(v[0]); s.Width == 0 {
-			return s, fmt.Errorf("isup: transmission medium requirement 0x%02x is unknown", v[0])
+// Setup returns the parameters of an IAM. It fails if the called number is invalid, or if the transmission medium requirement or
+// the type of the circuit assignment map is not supported.
+func (m *Message) Setup() (setup Setup, err error) {
+	if setup.Called, err = m.CalledNumber(); err != nil {
+		return setup, err
+	}
+	if value, _ := m.Get(ParamCallingPartyCategory); len(value) == 1 {
+		setup.Category = value[0]
+	}
+	if value, _ := m.Get(ParamTransmissionMediumRequirement); len(value) == 1 {
+		if setup.Width = widthForMedium(value[0]); setup.Width == 0 {
+			return setup, fmt.Errorf("isup: transmission medium requirement 0x%02x is not supported", value[0])
 		}
 	}
-	s.Hops = -1
-	if v, ok := m.Get(ParamHopCounter); ok && len(v) >= 1 {
-		s.Hops = int(v[0] & 0x1f)
+	setup.Hops = -1
+	if value, ok := m.Get(ParamHopCounter); ok && len(value) >= 1 {
+		setup.Hops = int(value[0] & 0x1f)
 	}
-	if v, ok := m.Get(ParamPropagationDelay); ok && len(v) >= 2 {
-		s.Elapsed = time.Duration(uint16(v[0])<<8|uint16(v[1])) * time.Millisecond
+	if value, ok := m.Get(ParamPropagationDelay); ok && len(value) >= 2 {
+		setup.Elapsed = time.Duration(uint16(value[0])<<8|uint16(value[1])) * time.Millisecond
 	}
-	if v, ok := m.Get(ParamCircuitMap); ok {
-		if len(v) < 5 || v[0]&0x3f != 2 {
-			return s, fmt.Errorf("isup: circuit assignment map of type %x: only the 2,048 kbit/s map is known", v)
+	if value, ok := m.Get(ParamCircuitMap); ok {
+		if len(value) < 5 || value[0]&0x3f != 2 {
+			return setup, fmt.Errorf("isup: circuit assignment map %x: only the 2,048 kbit/s map is supported", value)
 		}
-		s.Map = uint32(v[1]) | uint32(v[2])<<8 | uint32(v[3])<<16 | uint32(v[4]&0x7f)<<24
+		setup.Map = uint32(value[1]) | uint32(value[2])<<8 | uint32(value[3])<<16 | uint32(value[4]&0x7f)<<24
 	}
-	return s, nil
+	return setup, nil
 }
 
-// mediumOf is the transmission medium requirement for a width (Q.763 3.54).
-func mediumOf(width int) (byte, error) {
+// mediumForWidth returns the transmission medium requirement for a number of 64 kbit/s circuits (Q.763 3.54).
+func mediumForWidth(width int) (byte, error) {
 	switch {
 	case width == 1:
 		return 3, nil // 3.1 kHz audio
@@ -246,96 +255,99 @@
 	case width >= 7 && width <= 29:
 		return byte(20 + width - 7), nil
 	}
-	return 0, fmt.Errorf("isup: no transmission medium for %d circuits", width)
+	return 0, fmt.Errorf("isup: no transmission medium requirement for %d circuits", width)
 }
 
-// widthOf is the number of circuits for a transmission medium requirement; 0: unknown.
-func widthOf(tmr byte) int {
+// widthForMedium returns the number of 64 kbit/s circuits for a transmission medium requirement; 0 if it is not supported.
+func widthForMedium(medium byte) int {
 	switch {
-	case tmr == 0 || tmr >= 2 && tmr <= 6:
+	case medium == 0 || medium >= 2 && medium <= 6:
 		return 1
-	case tmr == 7:
+	case medium == 7:
 		return 2
-	case tmr == 8:
+	case medium == 8:
 		return 6
-	case tmr == 9:
+	case medium == 9:
 		return 24
-	case tmr == 10:
+	case medium == 10:
 		return 30
-	case tmr >= 16 && tmr <= 18:
-		return int(tmr) - 16 + 3
-	case tmr >= 20 && tmr <= 42 && tmr != 37:
-		return int(tmr) - 20 + 7
+	case medium >= 16 && medium <= 18:
+		return int(medium) - 16 + 3
+	case medium >= 20 && medium <= 42 && medium != 37:
+		return int(medium) - 20 + 7
 	}
 	return 0
 }
 
-// Range is the range and status parameter (Q.763 3.43): circuits CIC to CIC+Range, and a bit for each.
+// Range is the range and status parameter (Q.763 3.43): the circuits CIC to CIC+Range, with a status bit for each.
 type Range struct {
-	Range  int // circuits beyond the first
-	Status []byte
+	Range  int    // number of circuits after the first one
+	Status []byte // status bits: circuit CIC+i is bit i%8 of octet i/8
 }
 
-// Bit tells the status of circuit CIC+i.
-func (r Range) Bit(i int) bool { return i/8 < len(r.Status) && r.Status[i/8]>>(i%8)&1 == 1 }
+// Bit returns the status bit of circuit CIC+offset. Bits beyond Status are false.
+func (r Range) Bit(offset int) bool {
+	return offset/8 < len(r.Status) && r.Status[offset/8]>>(offset%8)&1 == 1
+}
 
-// SetBit marks circuit CIC+i.
-func (r *Range) SetBit(i int) {
-	for i/8 >= len(r.Status) {
+// SetBit sets the status bit of circuit CIC+offset.
+func (r *Range) SetBit(offset int) {
+	for offset/8 >= len(r.Status) {
 		r.Status = append(r.Status, 0)
 	}
-	r.Status[i/8] |= 1 << (i % 8)
+	r.Status[offset/8] |= 1 << (offset % 8)
 }
 
-// RangeStatus reads the range of a group message. GRS carries no status.
+// RangeStatus returns the range and status of a group message; GRS carries no status. It fails if the parameter is missing or has
+// too few status octets, or if the range of a GRS or GRA is not 1 to 31.
 func (m *Message) RangeStatus() (Range, error) {
-	v, _ := m.Get(ParamRangeStatus)
-	if len(v) < 1 {
-		return Range{}, fmt.Errorf("isup: %v: %w: no range", m.Type, ErrTruncated)
+	value, _ := m.Get(ParamRangeAndStatus)
+	if len(value) < 1 {
+		return Range{}, fmt.Errorf("isup: %v: %w: range is missing", m.Type, ErrTruncated)
 	}
-	r := Range{Range: int(v[0]), Status: v[1:]}
-	if m.Type != GRS && len(r.Status)*8 < r.Range+1 {
-		return r, fmt.Errorf("isup: %v: range %d with %d octets of status", m.Type, r.Range, len(r.Status))
+	rangeStatus := Range{Range: int(value[0]), Status: value[1:]}
+	if m.Type != GRS && len(rangeStatus.Status)*8 < rangeStatus.Range+1 {
+		return rangeStatus, fmt.Errorf("isup: %v: range %d with %d octets of status", m.Type, rangeStatus.Range, len(rangeStatus.Status))
 	}
-	if (m.Type == GRS || m.Type == GRA) && (r.Range < 1 || r.Range > 31) {
-		return r, fmt.Errorf("isup: %v: range %d, 1 to 31 are allowed", m.Type, r.Range)
+	if (m.Type == GRS || m.Type == GRA) && (rangeStatus.Range < 1 || rangeStatus.Range > 31) {
+		return rangeStatus, fmt.Errorf("isup: %v: range %d, 1 to 31 are allowed", m.Type, rangeStatus.Range)
 	}
-	return r, nil
+	return rangeStatus, nil
 }
 
-// NewGroup makes a group message on circuits cic to cic+r.Range; kind counts in blocking messages only.
-func NewGroup(t Type, cic uint16, kind GroupType, r Range) *Message {
-	m := &Message{CIC: cic, Type: t}
-	if t == GRS {
-		m.Set(ParamRangeStatus, byte(r.Range))
-		return m
-	}
-	status := make([]byte, r.Range/8+1)
-	copy(status, r.Status)
-	if t != GRA {
-		m.Set(ParamGroupSupervision, byte(kind))
-	}
-	m.Set(ParamRangeStatus, append([]byte{byte(r.Range)}, status...)...)
-	return m
+// NewGroup returns a group message for the circuits cic to cic+rangeStatus.Range. kind is used in blocking messages only.
+func NewGroup(messageType Type, cic uint16, kind GroupType, rangeStatus Range) *Message {
+	message := &Message{CIC: cic, Type: messageType}
+	if messageType == GRS {
+		message.Set(ParamRangeAndStatus, byte(rangeStatus.Range))
+		return message
+	}
+	status := make([]byte, rangeStatus.Range/8+1)
+	copy(status, rangeStatus.Status)
+	if messageType != GRA {
+		message.Set(ParamGroupSupervisionType, byte(kind))
+	}
+	message.Set(ParamRangeAndStatus, append([]byte{byte(rangeStatus.Range)}, status...)...)
+	return message
 }
 
-// GroupKind reads whether a group is blocked for maintenance or on a hardware failure.
+// GroupKind returns whether a blocking message is for maintenance or for a hardware failure; Maintenance if it does not say.
 func (m *Message) GroupKind() GroupType {
-	if v, _ := m.Get(ParamGroupSupervision); len(v) == 1 {
+	if v, _ := m.Get(ParamGroupSupervisionType); len(v) == 1 {
 		return GroupType(v[0] & 3)
 	}
 	return Maintenance
 }
 
-// Simple makes a message whose mandatory parts need no choice: ACM and CPG with neutral indicators, ANM, RLC
-// and the messages that have no parameters.
-func Simple(t Type, cic uint16) *Message {
-	m := &Message{CIC: cic, Type: t}
-	switch t {
+// Simple returns a message whose mandatory parameters need no input: ACM, CON and CPG with default indicators, ANM, RLC, and the
+// messages without parameters.
+func Simple(messageType Type, cic uint16) *Message {
+	message := &Message{CIC: cic, Type: messageType}
+	switch messageType {
 	case ACM, CON:
-		m.Set(ParamBackwardCall, 0x16, 0x04) // charge, subscriber free, ordinary; ISUP all the way
+		message.Set(ParamBackwardCallIndicators, 0x16, 0x04) // charge, subscriber free, ordinary subscriber; ISUP used all the way
 	case CPG:
-		m.Set(ParamEvent, 2) // progress
+		message.Set(ParamEventInformation, 2) // progress
 	}
-	return m
+	return message
 }
