--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -139,7 +139,7 @@
 		return message
 	}
 	compatibility := func(octet byte) []byte { return []byte{1, byte(ParamMessageCompatibility), 1, octet, 0} }
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		message *Message
 		transit bool
@@ -152,8 +152,8 @@
 		{"discarded and notified", newUnknown(compatibility(0x80 | compatEndNode | compatNotify)...), true,
 			Instruction{Discard: true, Notify: true, Cause: CauseUnknownMessage}},
 	} {
-		if got := Unrecognized(c.message, c.transit); got != c.want {
-			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
+		if got := Unrecognized(testCase.message, testCase.transit); got != testCase.want {
+			t.Errorf("%s: %+v, want %+v", testCase.name, got, testCase.want)
 		}
 	}
 	message := Simple(ACM, 1)
--- a/m3ua/as.go
+++ b/m3ua/as.go
@@ -16,7 +16,7 @@
 	Broadcast Mode = 3 // all active ASPs receive all traffic
 )
 
-// String returns the name of the mode as in the settings, or "mode" and its value.
+// String returns the name of the mode as in the configuration, or "mode" and its value.
 func (m Mode) String() string {
 	switch m {
 	case Override:
@@ -189,9 +189,9 @@
 	if a.settings.Mode == Broadcast {
 		return a.activeASPs
 	}
-	first := 0
+	chosen := 0
 	if a.settings.Mode == Loadshare {
-		first = call % len(a.activeASPs)
+		chosen = call % len(a.activeASPs)
 	}
-	return a.activeASPs[first : first+1]
+	return a.activeASPs[chosen : chosen+1]
 }
--- a/m3ua/as_test.go
+++ b/m3ua/as_test.go
@@ -9,101 +9,101 @@
 )
 
 func TestOverrideTakesOver(t *testing.T) {
-	a := NewAS(ASSettings{Mode: Override, ASPs: 2, Recovery: time.Second})
-	a.Update(0, 0, Inactive)
-	a.Update(0, 1, Inactive)
-	a.Update(0, 0, Active)
-	a.Events()
-	a.Update(0, 1, Active) // both active, by mistake or on purpose: the newer one receives the traffic
-	if events := a.Events(); !reflect.DeepEqual(events, []ASEvent{{Kind: ASOverridden, ASP: 0}}) || a.ASP(0) != Inactive {
-		t.Errorf("%+v, ASP 0 is %v", events, a.ASP(0))
-	}
-	if got := a.Route(5); !slices.Equal(got, []int{1}) || a.State() != ASActive {
-		t.Errorf("traffic is routed to %v in %v", got, a.State())
+	as := NewAS(ASSettings{Mode: Override, ASPs: 2, Recovery: time.Second})
+	as.Update(0, 0, Inactive)
+	as.Update(0, 1, Inactive)
+	as.Update(0, 0, Active)
+	as.Events()
+	as.Update(0, 1, Active) // both active, by mistake or on purpose: the newer one receives the traffic
+	if events := as.Events(); !reflect.DeepEqual(events, []ASEvent{{Kind: ASOverridden, ASP: 0}}) || as.ASP(0) != Inactive {
+		t.Errorf("%+v, ASP 0 is %v", events, as.ASP(0))
+	}
+	if got := as.Route(5); !slices.Equal(got, []int{1}) || as.State() != ASActive {
+		t.Errorf("traffic is routed to %v in %v", got, as.State())
 	}
 }
 
 func TestPendingAndRecovery(t *testing.T) {
-	a := NewAS(ASSettings{ASPs: 2, Recovery: 2 * time.Second})
-	a.Update(0, 0, Active)
-	a.Update(time.Second, 0, Closed)
-	if deadline, ok := a.Deadline(); a.State() != ASPending || !ok || deadline != 3*time.Second || a.Route(1) != nil {
-		t.Fatalf("%v, T(r) %v %v", a.State(), deadline, ok)
-	}
-	a.Tick(3*time.Second - 1)
-	a.Update(3*time.Second-1, 1, Inactive)
-	if a.State() != ASPending {
-		t.Errorf("%v before T(r)", a.State())
-	}
-	a.Update(3*time.Second-1, 1, Active)
-	if a.State() != ASActive || !slices.Equal(a.Route(1), []int{1}) {
-		t.Errorf("after the takeover: %v, %v", a.State(), a.Route(1))
-	}
-	a.Update(4*time.Second, 1, Closed)
-	a.Tick(6 * time.Second)
-	if a.State() != ASDown {
-		t.Errorf("after T(r): %v", a.State())
+	as := NewAS(ASSettings{ASPs: 2, Recovery: 2 * time.Second})
+	as.Update(0, 0, Active)
+	as.Update(time.Second, 0, Closed)
+	if deadline, ok := as.Deadline(); as.State() != ASPending || !ok || deadline != 3*time.Second || as.Route(1) != nil {
+		t.Fatalf("%v, T(r) %v %v", as.State(), deadline, ok)
+	}
+	as.Tick(3*time.Second - 1)
+	as.Update(3*time.Second-1, 1, Inactive)
+	if as.State() != ASPending {
+		t.Errorf("%v before T(r)", as.State())
+	}
+	as.Update(3*time.Second-1, 1, Active)
+	if as.State() != ASActive || !slices.Equal(as.Route(1), []int{1}) {
+		t.Errorf("after the takeover: %v, %v", as.State(), as.Route(1))
+	}
+	as.Update(4*time.Second, 1, Closed)
+	as.Tick(6 * time.Second)
+	if as.State() != ASDown {
+		t.Errorf("after T(r): %v", as.State())
 	}
 }
 
 func TestLoadshareKeepsCallsAndNeedsN(t *testing.T) {
-	a := NewAS(ASSettings{Mode: Loadshare, ASPs: 3, Needed: 2, Recovery: time.Second})
-	a.Update(0, 0, Active)
-	if a.State() == ASActive {
+	as := NewAS(ASSettings{Mode: Loadshare, ASPs: 3, Needed: 2, Recovery: time.Second})
+	as.Update(0, 0, Active)
+	if as.State() == ASActive {
 		t.Error("AS is active with one of two needed ASPs")
 	}
-	a.Update(0, 1, Active)
-	a.Update(0, 2, Active)
+	as.Update(0, 1, Active)
+	as.Update(0, 2, Active)
 	callsByASP := map[int]int{}
 	for call := range 300 {
-		first := a.Route(call)[0]
+		first := as.Route(call)[0]
 		callsByASP[first]++
-		if again := a.Route(call)[0]; again != first {
+		if again := as.Route(call)[0]; again != first {
 			t.Fatalf("call %d moves from ASP %d to ASP %d", call, first, again)
 		}
 	}
 	if callsByASP[0] != 100 || callsByASP[1] != 100 || callsByASP[2] != 100 {
 		t.Errorf("calls by ASP %v, want 100 each", callsByASP)
 	}
-	a.Events()
-	a.Update(0, 1, Closed)
-	if len(a.Events()) != 0 {
+	as.Events()
+	as.Update(0, 1, Closed)
+	if len(as.Events()) != 0 {
 		t.Error("event although two of two needed ASPs are active")
 	}
-	a.Update(0, 2, Closed)
-	if events := a.Events(); len(events) != 1 || events[0].Kind != ASShort || a.State() != ASActive {
-		t.Errorf("one of two: %+v, %v", events, a.State())
+	as.Update(0, 2, Closed)
+	if events := as.Events(); len(events) != 1 || events[0].Kind != ASShort || as.State() != ASActive {
+		t.Errorf("one of two: %+v, %v", events, as.State())
 	}
 }
 
 func TestBroadcastReachesAll(t *testing.T) {
-	a := NewAS(ASSettings{Mode: Broadcast, ASPs: 2})
-	a.Update(0, 0, Active)
-	a.Update(0, 1, Active)
-	if got := a.Route(7); !slices.Equal(got, []int{0, 1}) {
+	as := NewAS(ASSettings{Mode: Broadcast, ASPs: 2})
+	as.Update(0, 0, Active)
+	as.Update(0, 1, Active)
+	if got := as.Route(7); !slices.Equal(got, []int{0, 1}) {
 		t.Errorf("%v", got)
 	}
 }
 
 func TestOverriddenASPIsNotified(t *testing.T) {
-	p := newPair(Settings{Role: RoleASP}, Settings{Role: RoleSGP})
-	p.exchangeAll()
-	p.client.Indications()
-	p.server.NotifyAS(ASActive)
-	p.server.Overridden()
-	p.exchangeAll()
+	pair := newPair(Settings{Role: RoleASP}, Settings{Role: RoleSGP})
+	pair.exchangeAll()
+	pair.client.Indications()
+	pair.server.NotifyAS(ASActive)
+	pair.server.Overridden()
+	pair.exchangeAll()
 	var statuses []uint32
-	for _, i := range p.client.Indications() {
-		if i.Kind == IndPeer && i.Message.Kind == NTFY {
-			status, _ := i.Message.Uint32(TagStatus)
+	for _, indication := range pair.client.Indications() {
+		if indication.Kind == IndPeer && indication.Message.Kind == NTFY {
+			status, _ := indication.Message.Uint32(TagStatus)
 			statuses = append(statuses, status)
 		}
 	}
 	want := []uint32{statusTypeASStateChange<<16 | statusInfoASActive, statusTypeOther<<16 | statusInfoAlternateASPActive}
-	if !slices.Equal(statuses, want) || p.server.State() != Inactive {
-		t.Errorf("notified of %x, want %x; state %v", statuses, want, p.server.State())
+	if !slices.Equal(statuses, want) || pair.server.State() != Inactive {
+		t.Errorf("notified of %x, want %x; state %v", statuses, want, pair.server.State())
 	}
-	if err := p.server.Send(sampleData); err == nil {
+	if err := pair.server.Send(sampleData); err == nil {
 		t.Error("traffic was sent to an overridden ASP")
 	}
 }
@@ -117,7 +117,7 @@
 		TagTrafficModeType, uint32(Loadshare))
 	serviceIndicators := binary.BigEndian.AppendUint16(nil, uint16(tagServiceIndicators))
 	serviceIndicators = append(serviceIndicators, 0, 5, 3, 0, 0, 0) // SCCP only
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name string
 		key  []byte
 		want RegStatus
@@ -135,12 +135,12 @@
 			RegUnsupportedParameter},
 		{"truncated", validKey[:10], RegInvalidRoutingKey},
 	} {
-		p := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true}, gateway)
-		p.exchangeAll()
-		p.server.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, c.key).Append(nil))
-		message, err := Decode(p.server.Output())
+		pair := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true}, gateway)
+		pair.exchangeAll()
+		pair.server.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, testCase.key).Append(nil))
+		message, err := Decode(pair.server.Output())
 		if err != nil || message.Kind != REGRSP {
-			t.Errorf("%s: %v, %v", c.name, message, err)
+			t.Errorf("%s: %v, %v", testCase.name, message, err)
 			continue
 		}
 		result, _ := message.Get(tagRegistrationResult)
@@ -148,15 +148,15 @@
 		got := (&Message{Params: params})
 		status, _ := got.Uint32(tagRegistrationStatus)
 		context, _ := got.Uint32(TagRoutingContext)
-		if RegStatus(status) != c.want || (context == 9) != (c.want == Registered) {
-			t.Errorf("%s: status %d, context %d, want %d", c.name, status, context, c.want)
+		if RegStatus(status) != testCase.want || (context == 9) != (testCase.want == Registered) {
+			t.Errorf("%s: status %d, context %d, want %d", testCase.name, status, context, testCase.want)
 		}
 	}
-	p := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true}, gateway)
-	p.exchangeAll()
+	pair := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true}, gateway)
+	pair.exchangeAll()
 	deregister := func(context uint32) uint32 {
-		p.server.Receive(0, (&Message{Kind: DEREGREQ}).WithUint32(TagRoutingContext, context).Append(nil))
-		message, _ := Decode(p.server.Output())
+		pair.server.Receive(0, (&Message{Kind: DEREGREQ}).WithUint32(TagRoutingContext, context).Append(nil))
+		message, _ := Decode(pair.server.Output())
 		result, _ := message.Get(tagDeregistrationResult)
 		params, _ := parseParams(result)
 		status, _ := (&Message{Params: params}).Uint32(tagDeregistrationStatus)
@@ -165,13 +165,13 @@
 	if got := deregister(9); got != deregNotRegistered {
 		t.Errorf("not registered: status %d", got)
 	}
-	p.server.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, validKey).Append(nil))
-	p.server.Output()
+	pair.server.Receive(0, (&Message{Kind: REGREQ}).With(tagRoutingKey, validKey).Append(nil))
+	pair.server.Output()
 	if foreign, active := deregister(8), deregister(9); foreign != deregInvalidRoutingContext || active != deregASPActive {
 		t.Errorf("foreign context: status %d, active: status %d", foreign, active)
 	}
-	p.server.Receive(0, (&Message{Kind: ASPIA}).Append(nil))
-	p.server.Output()
+	pair.server.Receive(0, (&Message{Kind: ASPIA}).Append(nil))
+	pair.server.Output()
 	if got := deregister(9); got != deregistered {
 		t.Errorf("inactive: status %d", got)
 	}
--- a/m3ua/assoc.go
+++ b/m3ua/assoc.go
@@ -178,6 +178,7 @@
 	}
 }
 
+// write appends an encoded message to the output.
 func (a *Assoc) write(message *Message) { a.output = message.Append(a.output) }
 
 // sendRequest sends a request and starts T(ack).
@@ -194,8 +195,8 @@
 }
 
 // Leave takes this end out of service. On an active association an initiating end sends ASPIA, and ASPDN once that is
-// acknowledged; a signalling gateway notifies its ASP by NTFY; an IPSP server sends ASPIA of its own. No ASPAC is accepted from
-// then on.
+// acknowledged; a signalling gateway notifies its ASP by NTFY; an IPSP server sends ASPIA of its own. No ASPAC is accepted until
+// Connected is called again.
 func (a *Assoc) Leave(now time.Duration) {
 	a.shuttingDown = true
 	switch {
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -11,22 +11,22 @@
 var sampleData = ProtocolData{OPC: 101, DPC: 102, SI: 5, NI: 2, SLS: 7, Data: []byte{1, 2, 3, 4, 5},
 	HasContext: true, RoutingContext: 9}
 
-// pair is a fixture: two associations that exchange their output directly.
-type pair struct {
+// assocPair is a fixture: two associations that exchange their output directly.
+type assocPair struct {
 	client, server *Assoc
 	now            time.Duration
 }
 
 // newPair returns two connected associations that have exchanged nothing yet.
-func newPair(client, server Settings) *pair {
-	p := &pair{client: NewAssoc(client), server: NewAssoc(server)}
-	p.client.Connected(0)
-	p.server.Connected(0)
-	return p
+func newPair(client, server Settings) *assocPair {
+	pair := &assocPair{client: NewAssoc(client), server: NewAssoc(server)}
+	pair.client.Connected(0)
+	pair.server.Connected(0)
+	return pair
 }
 
 // exchangeAll delivers the output of both ends to each other for 20 rounds, more than any exchange here needs.
-func (p *pair) exchangeAll() {
+func (p *assocPair) exchangeAll() {
 	for i := 0; i < 20; i++ {
 		fromClient, fromServer := p.client.Output(), p.server.Output()
 		p.server.Receive(p.now, fromClient)
@@ -101,73 +101,73 @@
 }
 
 func TestIPSPSingleExchange(t *testing.T) {
-	p := newPair(Settings{Role: RoleIPSPClient, ASPID: 5}, Settings{Role: RoleIPSPServer})
-	p.exchangeAll()
-	if p.client.State() != Active || p.server.State() != Active {
-		t.Fatalf("%v and %v", p.client.State(), p.server.State())
+	pair := newPair(Settings{Role: RoleIPSPClient, ASPID: 5}, Settings{Role: RoleIPSPServer})
+	pair.exchangeAll()
+	if pair.client.State() != Active || pair.server.State() != Active {
+		t.Fatalf("%v and %v", pair.client.State(), pair.server.State())
 	}
-	p.client.Indications()
-	p.server.Indications()
-	for _, from := range []*Assoc{p.client, p.server} { // one exchange of requests makes both directions active
-		if err := from.Send(sampleData); err != nil {
+	pair.client.Indications()
+	pair.server.Indications()
+	for _, sender := range []*Assoc{pair.client, pair.server} { // one exchange of requests makes both directions active
+		if err := sender.Send(sampleData); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.exchangeAll()
-	if k := kinds(p.client.Indications()); len(k) != 1 || k[0] != IndData {
+	pair.exchangeAll()
+	if k := kinds(pair.client.Indications()); len(k) != 1 || k[0] != IndData {
 		t.Errorf("indications at the client: %v", k)
 	}
-	if k := kinds(p.server.Indications()); len(k) != 1 || k[0] != IndData {
+	if k := kinds(pair.server.Indications()); len(k) != 1 || k[0] != IndData {
 		t.Errorf("indications at the server: %v", k)
 	}
 }
 
 func TestLeaveInOrder(t *testing.T) {
-	p := newPair(Settings{Role: RoleIPSPClient}, Settings{Role: RoleIPSPServer})
-	p.exchangeAll()
-	p.client.Leave(0)
-	p.exchangeAll()
-	if p.client.State() != Down || p.server.State() != Down {
-		t.Errorf("%v and %v", p.client.State(), p.server.State())
+	pair := newPair(Settings{Role: RoleIPSPClient}, Settings{Role: RoleIPSPServer})
+	pair.exchangeAll()
+	pair.client.Leave(0)
+	pair.exchangeAll()
+	if pair.client.State() != Down || pair.server.State() != Down {
+		t.Errorf("%v and %v", pair.client.State(), pair.server.State())
 	}
-	if err := p.client.Send(sampleData); !errors.Is(err, ErrNotActive) {
+	if err := pair.client.Send(sampleData); !errors.Is(err, ErrNotActive) {
 		t.Errorf("Send after Leave: %v", err)
 	}
 }
 
 func TestRequestsGoOutAgain(t *testing.T) {
-	a := NewAssoc(Settings{Role: RoleASP, TAck: time.Second, Beat: -1})
-	a.Connected(0)
-	first := a.Output()
-	at, ok := a.Deadline()
-	if !ok || at != time.Second {
-		t.Fatalf("deadline %v, %v", at, ok)
+	assoc := NewAssoc(Settings{Role: RoleASP, TAck: time.Second, Beat: -1})
+	assoc.Connected(0)
+	first := assoc.Output()
+	deadline, ok := assoc.Deadline()
+	if !ok || deadline != time.Second {
+		t.Fatalf("deadline %v, %v", deadline, ok)
 	}
-	a.Tick(at - 1)
-	if len(a.Output()) > 0 {
+	assoc.Tick(deadline - 1)
+	if len(assoc.Output()) > 0 {
 		t.Error("sent before T(ack)")
 	}
-	a.Tick(at)
-	if again := a.Output(); !bytes.Equal(again, first) {
-		t.Errorf("sent again %x, first %x", again, first)
+	assoc.Tick(deadline)
+	if second := assoc.Output(); !bytes.Equal(second, first) {
+		t.Errorf("sent again %x, first %x", second, first)
 	}
 }
 
 func TestHeartbeats(t *testing.T) {
-	p := newPair(Settings{Role: RoleIPSPClient, Beat: time.Second, BeatMisses: 2}, Settings{Role: RoleIPSPServer, Beat: -1})
-	p.exchangeAll()
-	for p.now = time.Second; p.now <= 5*time.Second; p.now += time.Second {
-		p.client.Tick(p.now)
-		p.exchangeAll()
+	pair := newPair(Settings{Role: RoleIPSPClient, Beat: time.Second, BeatMisses: 2}, Settings{Role: RoleIPSPServer, Beat: -1})
+	pair.exchangeAll()
+	for pair.now = time.Second; pair.now <= 5*time.Second; pair.now += time.Second {
+		pair.client.Tick(pair.now)
+		pair.exchangeAll()
 	}
-	p.client.Indications()
-	for ; p.now <= 9*time.Second; p.now += time.Second { // the far end is unresponsive
-		p.client.Tick(p.now)
-		p.client.Output()
+	pair.client.Indications()
+	for ; pair.now <= 9*time.Second; pair.now += time.Second { // the far end is unresponsive
+		pair.client.Tick(pair.now)
+		pair.client.Output()
 	}
 	closed := 0
-	for _, i := range p.client.Indications() {
-		if i.Kind == IndClose {
+	for _, indication := range pair.client.Indications() {
+		if indication.Kind == IndClose {
 			closed++
 		}
 	}
@@ -185,7 +185,7 @@
 	binary.BigEndian.PutUint16(badParam[10:], 99)
 	foreign := sampleData
 	foreign.RoutingContext = 8
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name  string
 		input []byte
 		want  ErrorCode
@@ -202,45 +202,45 @@
 		{"traffic mode 9", encode(newMessage(ASPAC).WithUint32(TagTrafficModeType, 9)), ErrUnsupportedTrafficMode},
 		{"DUNA without a point code", encode(newMessage(DUNA)), ErrMissingParam},
 	} {
-		p := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true},
+		pair := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true},
 			Settings{Role: RoleSGP, RoutingContext: 9, HasContext: true, Mode: Override})
-		p.exchangeAll()
-		p.server.Indications()
-		p.server.Receive(0, c.input)
-		reply, err := Decode(p.server.Output())
+		pair.exchangeAll()
+		pair.server.Indications()
+		pair.server.Receive(0, testCase.input)
+		reply, err := Decode(pair.server.Output())
 		if err != nil || reply.Kind != ERR {
-			t.Errorf("%s: answered with %v, %v", c.name, reply, err)
+			t.Errorf("%s: answered with %v, %v", testCase.name, reply, err)
 			continue
 		}
-		if code, _ := reply.Uint32(TagErrorCode); ErrorCode(code) != c.want {
-			t.Errorf("%s: error code 0x%02x, want 0x%02x", c.name, code, uint32(c.want))
+		if code, _ := reply.Uint32(TagErrorCode); ErrorCode(code) != testCase.want {
+			t.Errorf("%s: error code 0x%02x, want 0x%02x", testCase.name, code, uint32(testCase.want))
 		}
-		if p.server.State() != Active {
-			t.Errorf("%s: association is %v", c.name, p.server.State())
+		if pair.server.State() != Active {
+			t.Errorf("%s: association is %v", testCase.name, pair.server.State())
 		}
 	}
 }
 
 func TestDataBeforeActive(t *testing.T) {
-	a := NewAssoc(Settings{Role: RoleSGP})
-	a.Connected(0)
-	a.Receive(0, sampleData.Message().Append(nil))
-	reply, err := Decode(a.Output())
+	assoc := NewAssoc(Settings{Role: RoleSGP})
+	assoc.Connected(0)
+	assoc.Receive(0, sampleData.Message().Append(nil))
+	reply, err := Decode(assoc.Output())
 	if code, _ := reply.Uint32(TagErrorCode); err != nil || ErrorCode(code) != ErrUnexpected {
 		t.Errorf("%v, %v", reply, err)
 	}
-	a.Receive(0, (&Message{Kind: ERR}).WithUint32(TagErrorCode, 99).Append(nil))
-	if out := a.Output(); len(out) > 0 {
+	assoc.Receive(0, (&Message{Kind: ERR}).WithUint32(TagErrorCode, 99).Append(nil))
+	if out := assoc.Output(); len(out) > 0 {
 		t.Errorf("ERR was answered with %x", out)
 	}
 }
 
 func TestBadLengthCloses(t *testing.T) {
-	a := NewAssoc(Settings{Role: RoleSGP})
-	a.Connected(0)
-	a.Indications()
-	a.Receive(0, []byte{1, 0, 3, 1, 0x80, 0, 0, 0})
-	if k := kinds(a.Indications()); len(k) != 2 || k[0] != IndFault || k[1] != IndClose {
+	assoc := NewAssoc(Settings{Role: RoleSGP})
+	assoc.Connected(0)
+	assoc.Indications()
+	assoc.Receive(0, []byte{1, 0, 3, 1, 0x80, 0, 0, 0})
+	if k := kinds(assoc.Indications()); len(k) != 2 || k[0] != IndFault || k[1] != IndClose {
 		t.Errorf("indications %v", k)
 	}
 }
@@ -266,22 +266,22 @@
 	f.Add((&Message{Kind: DUNA}).WithUint32(TagAffectedPointCode, 5).Append((&Message{Kind: ASPUP}).Append(nil)))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		for _, role := range []Role{RoleASP, RoleSGP, RoleIPSPClient, RoleIPSPServer} {
-			a := NewAssoc(Settings{Role: role})
-			a.Connected(0)
-			a.Receive(0, input)
-			for _, i := range a.Indications() {
-				if i.Kind == IndNetwork {
-					AffectedPointCodes(i.Message)
+			assoc := NewAssoc(Settings{Role: role})
+			assoc.Connected(0)
+			assoc.Receive(0, input)
+			for _, indication := range assoc.Indications() {
+				if indication.Kind == IndNetwork {
+					AffectedPointCodes(indication.Message)
 				}
 			}
-			a.Tick(time.Minute)
-			out := a.Output()
+			assoc.Tick(time.Minute)
+			output := assoc.Output()
 			framer := Framer{Max: 1 << 20}
-			framer.Write(out)
+			framer.Write(output)
 			for {
 				message, err := framer.Next()
 				if err != nil {
-					t.Fatalf("output cannot be split into messages: %x", out)
+					t.Fatalf("output cannot be split into messages: %x", output)
 				}
 				if message == nil {
 					break
--- a/trunk/group.go
+++ b/trunk/group.go
@@ -81,6 +81,7 @@
 // active reports whether the circuit is blocked in either way.
 func (b blockState) active() bool { return b.maintenance || b.hardware }
 
+// set blocks or unblocks the circuit in the way of kind.
 func (b *blockState) set(kind isup.GroupType, blocked bool) {
 	if kind == isup.Hardware {
 		b.hardware = blocked
@@ -217,8 +218,10 @@
 	return g.returnedEvents
 }
 
+// send appends a message to the output.
 func (g *Group) send(message *isup.Message) { g.output = append(g.output, message) }
 
+// addEvent appends an event. seizure and message may be nil.
 func (g *Group) addEvent(kind EventKind, seizure *Seizure, message *isup.Message) {
 	g.events = append(g.events, Event{Kind: kind, Seizure: seizure, Message: message})
 }
--- a/trunk/procedure.go
+++ b/trunk/procedure.go
@@ -46,8 +46,8 @@
 	return deadline, ok
 }
 
-// Tick sends unacknowledged messages again. When the long timer of a procedure expires, maintenance is alerted: a REL is then
-// replaced by RSC (Q.764 2.9.6), other messages are repeated at the interval of the long timer.
+// Tick sends unacknowledged messages again. When the long timer of a procedure expires, maintenance is alerted. A REL is then
+// replaced by RSC (T5, Q.764 2.9.6); other messages are repeated at the interval of the long timer.
 func (g *Group) Tick(now time.Duration) {
 	var expired []*procedure
 	for _, p := range g.pending {
--- a/trunk/receive.go
+++ b/trunk/receive.go
@@ -159,9 +159,9 @@
 
 // receiveREL answers a REL with RLC at once. If both ends release at the same time, each answers the REL of the other and
 // still awaits RLC for its own.
-func (g *Group) receiveREL(c *circuit, message *isup.Message) {
-	seizure := c.seizure
-	if c.state == Resetting {
+func (g *Group) receiveREL(circuit *circuit, message *isup.Message) {
+	seizure := circuit.seizure
+	if circuit.state == Resetting {
 		return // sent before the far end received the reset, which ends it: an RLC would acknowledge the release of its next call
 	}
 	if seizure != nil && seizure.CIC != message.CIC {
@@ -202,8 +202,8 @@
 }
 
 // dropCall ends the call on a circuit, if there is one.
-func (g *Group) dropCall(c *circuit) {
-	if s := c.seizure; s != nil {
+func (g *Group) dropCall(circuit *circuit) {
+	if s := circuit.seizure; s != nil {
 		g.endSeizure(s, Idle)
 		g.addEvent(Cut, s, nil)
 	}
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -386,7 +386,8 @@
 			pair.groups[0].Tick(pair.now)
 			pair.deliverAll()
 		}
-		if a, b := pair.groups[0].Spare(), pair.groups[1].Spare(); a != b || a < 4 || pair.countEvents(1, Cut)+pair.countEvents(1, Released) != 1 {
+		if a, b := pair.groups[0].Spare(), pair.groups[1].Spare(); a != b || a < 4 ||
+			pair.countEvents(1, Cut)+pair.countEvents(1, Released) != 1 {
 			t.Errorf("%s: finally %d and %d spare, %d calls ended at the far end", name, a, b,
 				pair.countEvents(1, Cut)+pair.countEvents(1, Released))
 		}
