--- a/isup/codes.go
+++ b/isup/codes.go
@@ -72,16 +72,16 @@
 
 // Causes that are sent or handled by name.
 const (
-	CauseUnallocated         Cause = 1   // unallocated number
-	CauseNormalClearing      Cause = 16  // normal call clearing
-	CauseUserBusy            Cause = 17  // user busy
-	CauseNoUserAnswer        Cause = 19  // no answer from user (user alerted)
-	CauseRejected            Cause = 21  // call rejected
-	CauseInvalidNumber       Cause = 28  // invalid number format (address incomplete)
-	CauseNormalUnspecified   Cause = 31  // normal, unspecified
-	CauseNoCircuit           Cause = 34  // no circuit/channel available
-	CauseNetworkOutOfOrder   Cause = 38  // network out of order
-	CauseTemporaryFailure    Cause = 41  // temporary failure
+	CauseUnallocated         Cause = 1 // unallocated number
+	CauseNormalClearing      Cause = 16
+	CauseUserBusy            Cause = 17
+	CauseNoUserAnswer        Cause = 19 // no answer from user (user alerted)
+	CauseRejected            Cause = 21 // call rejected
+	CauseInvalidNumber       Cause = 28 // invalid number format (address incomplete)
+	CauseNormalUnspecified   Cause = 31 // normal, unspecified
+	CauseNoCircuit           Cause = 34 // no circuit/channel available
+	CauseNetworkOutOfOrder   Cause = 38
+	CauseTemporaryFailure    Cause = 41
 	CauseCongestion          Cause = 42  // switching equipment congestion
 	CauseResourceUnavailable Cause = 47  // resource unavailable, unspecified
 	CauseNotImplemented      Cause = 79  // service or option not implemented, unspecified
--- a/m3ua/assoc.go
+++ b/m3ua/assoc.go
@@ -343,7 +343,7 @@
 		return a.receiveData(message)
 	case ClassSSNM:
 		if _, ok := message.Get(TagAffectedPointCode); !ok {
-			return &Fault{ErrMissingParam, message.Kind.String() + " without an affected point code"}
+			return &Fault{ErrMissingParameter, message.Kind.String() + " without an affected point code"}
 		}
 		if a.state != Active && a.state != Inactive {
 			return &Fault{ErrUnexpected, fmt.Sprintf("%v in %v", message.Kind, a.state)}
--- a/m3ua/codec.go
+++ b/m3ua/codec.go
@@ -28,25 +28,25 @@
 
 // Messages of RFC 4666. Those of routing key management follow below.
 const (
-	ERR      = Kind(ClassMGMT) << 8
-	NTFY     = Kind(ClassMGMT)<<8 | 1
-	DATA     = Kind(ClassTransfer)<<8 | 1
-	DUNA     = Kind(ClassSSNM)<<8 | 1
-	DAVA     = Kind(ClassSSNM)<<8 | 2
-	DAUD     = Kind(ClassSSNM)<<8 | 3
-	SCON     = Kind(ClassSSNM)<<8 | 4
-	DUPU     = Kind(ClassSSNM)<<8 | 5
-	DRST     = Kind(ClassSSNM)<<8 | 6
-	ASPUP    = Kind(ClassASPSM)<<8 | 1
-	ASPDN    = Kind(ClassASPSM)<<8 | 2
-	BEAT     = Kind(ClassASPSM)<<8 | 3
-	ASPUPACK = Kind(ClassASPSM)<<8 | 4
-	ASPDNACK = Kind(ClassASPSM)<<8 | 5
-	BEATACK  = Kind(ClassASPSM)<<8 | 6
-	ASPAC    = Kind(ClassASPTM)<<8 | 1
-	ASPIA    = Kind(ClassASPTM)<<8 | 2
-	ASPACACK = Kind(ClassASPTM)<<8 | 3
-	ASPIAACK = Kind(ClassASPTM)<<8 | 4
+	ERR      = Kind(ClassMGMT) << 8       // error
+	NTFY     = Kind(ClassMGMT)<<8 | 1     // notify
+	DATA     = Kind(ClassTransfer)<<8 | 1 // payload data
+	DUNA     = Kind(ClassSSNM)<<8 | 1     // destination unavailable
+	DAVA     = Kind(ClassSSNM)<<8 | 2     // destination available
+	DAUD     = Kind(ClassSSNM)<<8 | 3     // destination state audit
+	SCON     = Kind(ClassSSNM)<<8 | 4     // signalling congestion
+	DUPU     = Kind(ClassSSNM)<<8 | 5     // destination user part unavailable
+	DRST     = Kind(ClassSSNM)<<8 | 6     // destination restricted
+	ASPUP    = Kind(ClassASPSM)<<8 | 1    // ASP up
+	ASPDN    = Kind(ClassASPSM)<<8 | 2    // ASP down
+	BEAT     = Kind(ClassASPSM)<<8 | 3    // heartbeat
+	ASPUPACK = Kind(ClassASPSM)<<8 | 4    // ASP up acknowledgement
+	ASPDNACK = Kind(ClassASPSM)<<8 | 5    // ASP down acknowledgement
+	BEATACK  = Kind(ClassASPSM)<<8 | 6    // heartbeat acknowledgement
+	ASPAC    = Kind(ClassASPTM)<<8 | 1    // ASP active
+	ASPIA    = Kind(ClassASPTM)<<8 | 2    // ASP inactive
+	ASPACACK = Kind(ClassASPTM)<<8 | 3    // ASP active acknowledgement
+	ASPIAACK = Kind(ClassASPTM)<<8 | 4    // ASP inactive acknowledgement
 )
 
 // kindNames holds the messages that are known, with their names in RFC 4666.
@@ -102,15 +102,15 @@
 // Error codes.
 const (
 	ErrInvalidVersion         ErrorCode = 0x01
-	ErrClass                  ErrorCode = 0x03
+	ErrClass                  ErrorCode = 0x03 // unsupported message class
 	ErrUnsupportedType        ErrorCode = 0x04
 	ErrUnsupportedTrafficMode ErrorCode = 0x05
 	ErrUnexpected             ErrorCode = 0x06
 	ErrProtocol               ErrorCode = 0x07
-	ErrBlocking               ErrorCode = 0x0d
-	ErrInvalidParamValue      ErrorCode = 0x11
-	ErrParamFieldFormat       ErrorCode = 0x12
-	ErrMissingParam           ErrorCode = 0x16
+	ErrBlocking               ErrorCode = 0x0d // refused, management blocking
+	ErrInvalidParameterValue  ErrorCode = 0x11
+	ErrParameterField         ErrorCode = 0x12
+	ErrMissingParameter       ErrorCode = 0x16
 	ErrInvalidRoutingContext  ErrorCode = 0x19
 	ErrNoConfiguredAS         ErrorCode = 0x1a
 )
@@ -200,12 +200,12 @@
 	}
 	for raw = raw[headerSize:]; len(raw) > 0; {
 		if len(raw) < paramHeaderSize {
-			return message, &Fault{ErrParamFieldFormat,
+			return message, &Fault{ErrParameterField,
 				fmt.Sprintf("%v: %d octets after the last parameter", message.Kind, len(raw))}
 		}
 		tag, length := Tag(binary.BigEndian.Uint16(raw)), int(binary.BigEndian.Uint16(raw[2:]))
 		if length < paramHeaderSize || length > len(raw) {
-			return message, &Fault{ErrParamFieldFormat,
+			return message, &Fault{ErrParameterField,
 				fmt.Sprintf("%v: parameter 0x%04x has length %d", message.Kind, uint16(tag), length)}
 		}
 		message.Params = append(message.Params, Param{tag, raw[paramHeaderSize:length:length]})
@@ -307,10 +307,10 @@
 func ReadProtocolData(message *Message) (data ProtocolData, err error) {
 	value, ok := message.Get(TagProtocolData)
 	if !ok {
-		return data, &Fault{ErrMissingParam, "DATA without protocol data"}
+		return data, &Fault{ErrMissingParameter, "DATA without protocol data"}
 	}
 	if len(value) < minProtocolDataSize {
-		return data, &Fault{ErrParamFieldFormat, fmt.Sprintf("protocol data of %d octets", len(value))}
+		return data, &Fault{ErrParameterField, fmt.Sprintf("protocol data of %d octets", len(value))}
 	}
 	data.RoutingContext, data.HasContext = message.Uint32(TagRoutingContext)
 	data.OPC, data.DPC = binary.BigEndian.Uint32(value), binary.BigEndian.Uint32(value[4:])
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -193,14 +193,14 @@
 		{"version 2", version, ErrInvalidVersion},
 		{"class 7", encode(newMessage(0x0701)), ErrClass},
 		{"type 9 of ASPSM", encode(newMessage(Kind(ClassASPSM)<<8 | 9)), ErrUnsupportedType},
-		{"parameter too long", badParam, ErrParamFieldFormat},
-		{"DATA without data", encode(newMessage(DATA)), ErrMissingParam},
-		{"DATA too short", encode(newMessage(DATA).With(TagProtocolData, []byte{1, 2, 3})), ErrParamFieldFormat},
+		{"parameter too long", badParam, ErrParameterField},
+		{"DATA without data", encode(newMessage(DATA)), ErrMissingParameter},
+		{"DATA too short", encode(newMessage(DATA).With(TagProtocolData, []byte{1, 2, 3})), ErrParameterField},
 		{"foreign routing context", encode(foreign.Message()), ErrInvalidRoutingContext},
 		{"foreign activation", encode(newMessage(ASPAC).WithUint32(TagRoutingContext, 77)), ErrInvalidRoutingContext},
 		{"loadshare in an override AS", encode(newMessage(ASPAC).WithUint32(TagTrafficModeType, uint32(Loadshare))), ErrUnsupportedTrafficMode},
 		{"traffic mode 9", encode(newMessage(ASPAC).WithUint32(TagTrafficModeType, 9)), ErrUnsupportedTrafficMode},
-		{"DUNA without a point code", encode(newMessage(DUNA)), ErrMissingParam},
+		{"DUNA without a point code", encode(newMessage(DUNA)), ErrMissingParameter},
 	} {
 		pair := newPair(Settings{Role: RoleASP, RoutingContext: 9, HasContext: true},
 			Settings{Role: RoleSGP, RoutingContext: 9, HasContext: true, Mode: Override})
--- a/m3ua/rkm.go
+++ b/m3ua/rkm.go
@@ -8,10 +8,10 @@
 // Messages of routing key management (RFC 4666 sections 3.6 and 4.4.1), with which an ASP registers the traffic that it wants to
 // receive. Routing keys are checked against the settings of the association; a registration never adds a new one.
 const (
-	REGREQ   = Kind(ClassRKM)<<8 | 1
-	REGRSP   = Kind(ClassRKM)<<8 | 2
-	DEREGREQ = Kind(ClassRKM)<<8 | 3
-	DEREGRSP = Kind(ClassRKM)<<8 | 4
+	REGREQ   = Kind(ClassRKM)<<8 | 1 // registration request
+	REGRSP   = Kind(ClassRKM)<<8 | 2 // registration response
+	DEREGREQ = Kind(ClassRKM)<<8 | 3 // deregistration request
+	DEREGRSP = Kind(ClassRKM)<<8 | 4 // deregistration response
 
 	// Tags of the parameters that only these messages carry.
 	tagRoutingKey            Tag = 0x0207
@@ -86,7 +86,7 @@
 		return &Fault{ErrUnexpected, message.Kind.String() + " received by a signalling gateway"}
 	}
 	if len(response.Params) == 0 {
-		return &Fault{ErrMissingParam, message.Kind.String() + " without a routing key or routing context"}
+		return &Fault{ErrMissingParameter, message.Kind.String() + " without a routing key or routing context"}
 	}
 	a.write(response)
 	return nil
