--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,5 +1,6 @@
-// Package feed reads the journal service of the platform: server-sent events that carry numbered changes of the
-// list of offices. Pure: bytes in, events out. Only whole events count; a broken one is an error.
+// Package feed decodes the event stream of the platform's service discovery: server-sent events with numbered updates of
+// the list of offices. It does no input or output of its own. An incomplete event has no effect; an invalid one is an
+// error.
 package feed
 
 import (
@@ -9,30 +10,33 @@
 	"strconv"
 )
 
-// Most is how long one event may be.
-const Most = 1 << 20
+// MaxEventBytes limits the size of one event.
+const MaxEventBytes = 1 << 20
 
-// Event is one numbered change of the list.
+// maxValueBytes limits the id and the address of an office.
+const maxValueBytes = 256
+
+// Event is one numbered update of the list of offices.
 type Event struct {
-	Pos   uint64 `json:"pos"`
+	Pos   uint64 `json:"pos"` // position in the stream, from 1
 	Hosts Hosts  `json:"hosts"`
 }
 
-// Hosts is the whole list, or what has changed in it.
+// Hosts is a snapshot of the list of offices, or an update of it.
 type Hosts struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"`
+	Complete bool     `json:"complete"` // a snapshot: it replaces the whole list
 	Members  []Member `json:"members"`
 }
 
-// Member is one office as the list has it.
+// Member is the entry of one office in the list.
 type Member struct {
 	ID      string `json:"id"`
-	Addr    string `json:"host_port"`
+	Addr    string `json:"host_port"` // host and port that the office listens on
 	Zone    string `json:"locality"`
-	Cell    int    `json:"cell"`
+	Cell    int    `json:"cell"` // number of the exchange that the office belongs to
 	Phase   Phase  `json:"phase"`
-	UpSince int64  `json:"up_since_ms"` // Unix milliseconds of a late start, or 0
+	UpSince int64  `json:"up_since_ms"` // start time in Unix milliseconds of an office that started late, otherwise 0
 }
 
 // Phase is the state of an office.
@@ -45,77 +49,77 @@
 	Deleted  Phase = "DELETED"
 )
 
-// Known is the list as the configuration holds it.
+// Known is the state of service discovery that the configuration holds for the start.
 type Known struct {
-	Pos     uint64  `json:"pos"`
+	Pos     uint64  `json:"pos"` // position in the stream after Entries
 	Entries []Event `json:"entries"`
 }
 
-// Check tells what is wrong with an event.
-func (e *Event) Check() error {
-	if e.Pos == 0 {
-		return fmt.Errorf("event %d: pos is missing", e.Pos)
+// Check returns an error that names the first invalid field of an event, or nil.
+func (event *Event) Check() error {
+	if event.Pos == 0 {
+		return fmt.Errorf("event %d: pos is missing", event.Pos)
 	}
-	for i, m := range e.Hosts.Members {
-		at := fmt.Sprintf("event %d: hosts.members.%d", e.Pos, i)
-		switch m.Phase {
+	for i, member := range event.Hosts.Members {
+		path := fmt.Sprintf("event %d: hosts.members.%d", event.Pos, i)
+		switch member.Phase {
 		case Serving, Draining, Deleted:
 		default:
-			return fmt.Errorf("%s.phase: %.40q is no state", at, m.Phase)
+			return fmt.Errorf("%s.phase: unknown state %.40q", path, member.Phase)
 		}
-		if m.ID == "" || len(m.ID) > 256 {
-			return fmt.Errorf("%s.id: %.40q", at, m.ID)
+		if member.ID == "" || len(member.ID) > maxValueBytes {
+			return fmt.Errorf("%s.id: invalid value %.40q", path, member.ID)
 		}
-		if m.Addr == "" && m.Phase != Deleted || len(m.Addr) > 256 {
-			return fmt.Errorf("%s.host_port: %.40q", at, m.Addr)
+		if member.Addr == "" && member.Phase != Deleted || len(member.Addr) > maxValueBytes {
+			return fmt.Errorf("%s.host_port: invalid address %.40q", path, member.Addr)
 		}
-		if m.Cell < 0 || m.UpSince < 0 {
-			return fmt.Errorf("%s: a negative value", at)
+		if member.Cell < 0 || member.UpSince < 0 {
+			return fmt.Errorf("%s: cell or up_since_ms is negative", path)
 		}
 	}
 	return nil
 }
 
-// Decoder cuts a stream into events. After an error the stream cannot be followed any further.
+// Decoder splits a stream into events. After an error the rest of the stream cannot be parsed.
 type Decoder struct {
-	buf  []byte
-	id   string
-	data []byte
-	some bool
+	buffered []byte // bytes after the last complete line
+	id       string // id of the unfinished event
+	data     []byte // data of the unfinished event
+	hasData  bool   // the unfinished event has a data line
 }
 
-// Write adds bytes of the stream.
-func (d *Decoder) Write(b []byte) { d.buf = append(d.buf, b...) }
+// Write appends received bytes.
+func (d *Decoder) Write(data []byte) { d.buffered = append(d.buffered, data...) }
 
-// Next gives the next whole event, or nil where it has not come yet.
+// Next returns the next complete event, or nil if it has not arrived completely.
 func (d *Decoder) Next() (*Event, error) {
 	for {
-		i := bytes.IndexByte(d.buf, '\n')
-		if i < 0 {
-			if len(d.buf)+len(d.data) > Most {
-				return nil, fmt.Errorf("feed: an event of more than %d bytes", Most)
+		lineEnd := bytes.IndexByte(d.buffered, '\n')
+		if lineEnd < 0 {
+			if len(d.buffered)+len(d.data) > MaxEventBytes {
+				return nil, fmt.Errorf("feed: event exceeds %d bytes", MaxEventBytes)
 			}
 			return nil, nil
 		}
-		line := bytes.TrimSuffix(d.buf[:i], []byte{'\r'})
-		ev, err := d.line(line)
-		if d.buf = d.buf[i+1:]; len(d.buf) == 0 {
-			d.buf = nil
+		line := bytes.TrimSuffix(d.buffered[:lineEnd], []byte{'\r'})
+		event, err := d.readLine(line)
+		if d.buffered = d.buffered[lineEnd+1:]; len(d.buffered) == 0 {
+			d.buffered = nil
 		}
-		if ev != nil || err != nil {
-			return ev, err
+		if event != nil || err != nil {
+			return event, err
 		}
 	}
 }
 
-// line takes one line of the stream; a blank one ends an event, one that begins with a colon is a comment.
-func (d *Decoder) line(line []byte) (*Event, error) {
+// readLine handles one line of the stream. A blank line ends an event; a line that begins with a colon is a comment.
+func (d *Decoder) readLine(line []byte) (*Event, error) {
 	if len(line) == 0 {
-		defer func() { d.id, d.data, d.some = "", nil, false }()
-		if !d.some {
+		defer func() { d.id, d.data, d.hasData = "", nil, false }()
+		if !d.hasData {
 			return nil, nil
 		}
-		return d.event()
+		return d.decodeEvent()
 	}
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
@@ -123,30 +127,31 @@
 	case "id":
 		d.id = string(value)
 	case "data":
-		if d.some {
+		if d.hasData {
 			d.data = append(d.data, '\n')
 		}
-		if d.data, d.some = append(d.data, value...), true; len(d.data) > Most {
-			return nil, fmt.Errorf("feed: an event of more than %d bytes", Most)
+		if d.data, d.hasData = append(d.data, value...), true; len(d.data) > MaxEventBytes {
+			return nil, fmt.Errorf("feed: event exceeds %d bytes", MaxEventBytes)
 		}
 	}
 	return nil, nil
 }
 
-func (d *Decoder) event() (*Event, error) {
-	ev := &Event{}
-	if err := json.Unmarshal(d.data, ev); err != nil {
+// decodeEvent parses and checks the event whose lines have been read.
+func (d *Decoder) decodeEvent() (*Event, error) {
+	event := &Event{}
+	if err := json.Unmarshal(d.data, event); err != nil {
 		return nil, fmt.Errorf("feed: event %.40q: %w", d.id, err)
 	}
 	if d.id != "" {
 		pos, err := strconv.ParseUint(d.id, 10, 64)
-		if err != nil || ev.Pos != 0 && ev.Pos != pos {
-			return nil, fmt.Errorf("feed: event %.40q carries pos %d", d.id, ev.Pos)
+		if err != nil || event.Pos != 0 && event.Pos != pos {
+			return nil, fmt.Errorf("feed: event id %.40q does not match pos %d", d.id, event.Pos)
 		}
-		ev.Pos = pos
+		event.Pos = pos
 	}
-	if err := ev.Check(); err != nil {
+	if err := event.Check(); err != nil {
 		return nil, fmt.Errorf("feed: %w", err)
 	}
-	return ev, nil
+	return event, nil
 }
--- a/office/description.go
+++ b/office/description.go
@@ -6,58 +6,62 @@
 	"strconv"
 )
 
-// GoodDescription tells whether a description can be read: the description's id in hex digits, then lines in the
-// form of RFC 4566 with an address and a medium. What cannot be read must not be passed on as a success.
-func GoodDescription(b []byte) bool {
-	id, rest, ok := bytes.Cut(b, []byte("\r\n"))
-	if !ok || len(id) != 16 || !bytes.HasSuffix(rest, []byte("\r\n")) {
+// GoodDescription reports whether a session description is valid: its id of 16 hex digits, then lines in the form of
+// RFC 4566 (SDP), among them a connection address and a media line. An answer with an invalid description must not be
+// passed on as a success.
+func GoodDescription(description []byte) bool {
+	id, remaining, ok := bytes.Cut(description, []byte("\r\n"))
+	if !ok || len(id) != 16 || !bytes.HasSuffix(remaining, []byte("\r\n")) {
 		return false
 	}
-	for _, c := range id {
-		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
+	for _, char := range id {
+		if !(char >= '0' && char <= '9' || char >= 'a' && char <= 'f' || char >= 'A' && char <= 'F') {
 			return false
 		}
 	}
-	address, medium := false, false
-	for len(rest) > 0 {
+	hasAddress, hasMedia := false, false
+	for len(remaining) > 0 {
 		var line []byte
-		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
-		if len(line) < 2 || line[1] != '=' || !printable(line) {
+		line, remaining, _ = bytes.Cut(remaining, []byte("\r\n"))
+		if len(line) < 2 || line[1] != '=' || !isPrintable(line) {
 			return false
 		}
 		switch line[0] {
 		case 'c':
-			address = goodAddress(line[2:])
+			hasAddress = validAddress(line[2:])
 		case 'm':
-			medium = goodMedium(line[2:])
+			hasMedia = validMedia(line[2:])
 		}
 	}
-	return address && medium
+	return hasAddress && hasMedia
 }
 
-func printable(b []byte) bool {
-	for _, c := range b {
-		if c < ' ' || c > '~' {
+// isPrintable reports whether a line consists of printable ASCII characters.
+func isPrintable(line []byte) bool {
+	for _, char := range line {
+		if char < ' ' || char > '~' {
 			return false
 		}
 	}
 	return true
 }
 
-func goodAddress(v []byte) bool {
-	f := bytes.Fields(v)
-	if len(f) != 3 || string(f[0]) != "IN" {
+// validAddress reports whether the value of a c= line holds an IP address.
+func validAddress(value []byte) bool {
+	fields := bytes.Fields(value)
+	if len(fields) != 3 || string(fields[0]) != "IN" {
 		return false
 	}
-	_, err := netip.ParseAddr(string(f[2]))
+	_, err := netip.ParseAddr(string(fields[2]))
 	return err == nil
 }
 
-func goodMedium(v []byte) bool {
-	f := bytes.Fields(v)
-	if len(f) < 4 {
+// validMedia reports whether the value of an m= line holds a port number.
+func validMedia(value []byte) bool {
+	fields := bytes.Fields(value)
+	if len(fields) < 4 {
 		return false
 	}
-	_, err := strconv.ParseUint(string(f[1]), 10, 16)
+	_, err := strconv.ParseUint(string(fields[1]), 10, 16)
 	return err == nil
 }
--- a/office/office.go
+++ b/office/office.go
@@ -1,6 +1,6 @@
-// Package office reads and writes the binary messages between call servers and offices of the platform. Pure: bytes
-// in, messages out. A length that does not fit, a type that does not exist or a parameter that ends outside its
-// message is an error, after which a stream cannot be followed any further.
+// Package office encodes and decodes the binary messages between call servers and offices of the platform. It does no
+// input or output of its own. An invalid length, an unknown type, or a parameter that exceeds its message is an error;
+// after it the rest of a stream cannot be parsed.
 package office
 
 import (
@@ -11,25 +11,25 @@
 	"strings"
 )
 
-// Most is how long a message may be, its length included.
-const Most = 16 << 10
+// MaxMessageBytes limits the size of a message, its length field included.
+const MaxMessageBytes = 16 << 10
 
 // Type is the type of a message.
 type Type byte
 
-// The types of message.
+// The message types.
 const (
-	SetUp      Type = 1
-	Progress   Type = 6
-	Answer     Type = 9
-	Release    Type = 12
-	Heard      Type = 16 // a release was heard
-	GroupState Type = 43
-	Test       Type = 52
-	TestReport Type = 53
+	SetUp      Type = 1  // starts an attempt
+	Progress   Type = 6  // the attempt is in progress
+	Answer     Type = 9  // the call is established
+	Release    Type = 12 // ends an attempt or an established call
+	Heard      Type = 16 // acknowledges a Release
+	GroupState Type = 43 // circuits of the trunk group, sent without a request
+	Test       Type = 52 // health check of an office
+	TestReport Type = 53 // response to Test
 )
 
-// The codes of parameters.
+// The parameter codes.
 const (
 	paramClass       = 64
 	paramWait        = 65
@@ -40,164 +40,167 @@
 	paramDescription = 79
 )
 
-// Causes of a release, by Q.850.
+// Causes of a release (Q.850), and sizes of the fixed parts of a message in bytes.
 const (
-	CauseNormal     = 16
-	CauseBusy       = 17
-	CauseNoCircuit  = 34
-	CauseTemporary  = 41
-	CauseResource   = 47
-	CauseTimer      = 102
-	minLength       = 9 // type and call
-	lengthBytes     = 2
-	parameterHeader = 3
+	CauseNormal      = 16
+	CauseBusy        = 17
+	CauseNoCircuit   = 34
+	CauseTemporary   = 41
+	CauseResource    = 47
+	CauseTimer       = 102
+	minContentBytes  = 9 // type and call id
+	lengthFieldBytes = 2
+	paramHeaderBytes = 3
 )
 
-// Message is one message. What it does not carry is empty; HasCause tells a cause of 0 from none.
+// Message is one decoded message. Fields whose parameters are absent have their zero value.
 type Message struct {
 	Type        Type
-	Call        uint64
-	Class       string
-	Wait        int // milliseconds
-	Number      string
-	Note        string
-	Load        string
-	Cause       byte
-	HasCause    bool
-	Description []byte
+	Call        uint64 // id of the call
+	Class       string // name of the class of the call
+	Wait        int    // time left for the attempt in milliseconds
+	Number      string // called number
+	Note        string // detail of a release cause
+	Load        string // state of a trunk group, such as "spare:12;total:30"
+	Cause       byte   // Q.850 cause
+	HasCause    bool   // the message has a cause, which may be 0
+	Description []byte // session description (RFC 4566), preceded by its id
 }
 
-// Append adds a message in its form on the wire. What does not fit in a message is an error.
-func Append(b []byte, m *Message) ([]byte, error) {
+// Append appends a message in wire form. A message larger than MaxMessageBytes is an error.
+func Append(b []byte, msg *Message) ([]byte, error) {
 	start := len(b)
-	b = append(b, 0, 0, byte(m.Type))
-	b = binary.BigEndian.AppendUint64(b, m.Call)
-	b = text(b, paramClass, m.Class)
-	if m.Wait > 0 {
-		b = text(b, paramWait, strconv.Itoa(m.Wait))
+	b = append(b, 0, 0, byte(msg.Type))
+	b = binary.BigEndian.AppendUint64(b, msg.Call)
+	b = appendParam(b, paramClass, msg.Class)
+	if msg.Wait > 0 {
+		b = appendParam(b, paramWait, strconv.Itoa(msg.Wait))
 	}
-	b = text(b, paramNumber, m.Number)
-	b = text(b, paramNote, m.Note)
-	b = text(b, paramLoad, m.Load)
-	if m.HasCause {
-		b = append(b, paramCause, 0, 1, m.Cause)
+	b = appendParam(b, paramNumber, msg.Number)
+	b = appendParam(b, paramNote, msg.Note)
+	b = appendParam(b, paramLoad, msg.Load)
+	if msg.HasCause {
+		b = append(b, paramCause, 0, 1, msg.Cause)
 	}
-	b = text(b, paramDescription, m.Description)
-	if len(b)-start > Most {
-		return b[:start], fmt.Errorf("office: a message of %d bytes", len(b)-start)
+	b = appendParam(b, paramDescription, msg.Description)
+	if len(b)-start > MaxMessageBytes {
+		return b[:start], fmt.Errorf("office: message of %d bytes is too large", len(b)-start)
 	}
-	binary.BigEndian.PutUint16(b[start:], uint16(len(b)-start-lengthBytes))
+	binary.BigEndian.PutUint16(b[start:], uint16(len(b)-start-lengthFieldBytes))
 	return b, nil
 }
 
-func text[T string | []byte](b []byte, code byte, v T) []byte {
-	if len(v) == 0 {
+// appendParam appends one parameter; an empty value is left out.
+func appendParam[T string | []byte](b []byte, code byte, value T) []byte {
+	if len(value) == 0 {
 		return b
 	}
-	b = append(b, code, byte(len(v)>>8), byte(len(v)))
-	return append(b, v...)
+	b = append(b, code, byte(len(value)>>8), byte(len(value)))
+	return append(b, value...)
 }
 
-// Parse reads one message without its length. Parameters of unknown codes are passed over.
+// Parse decodes one message without its length field. Parameters with unknown codes are skipped.
 func Parse(b []byte) (*Message, error) {
-	if len(b) < minLength {
-		return nil, fmt.Errorf("office: a message of %d bytes", len(b))
+	if len(b) < minContentBytes {
+		return nil, fmt.Errorf("office: message of %d bytes is too short", len(b))
 	}
-	m := &Message{Type: Type(b[0]), Call: binary.BigEndian.Uint64(b[1:])}
-	switch m.Type {
+	msg := &Message{Type: Type(b[0]), Call: binary.BigEndian.Uint64(b[1:])}
+	switch msg.Type {
 	case SetUp, Progress, Answer, Release, Heard, GroupState, Test, TestReport:
 	default:
-		return nil, fmt.Errorf("office: a message of type %d", b[0])
+		return nil, fmt.Errorf("office: unknown message type %d", b[0])
 	}
-	for b = b[minLength:]; len(b) > 0; {
-		if len(b) < parameterHeader {
+	for b = b[minContentBytes:]; len(b) > 0; {
+		if len(b) < paramHeaderBytes {
 			return nil, fmt.Errorf("office: %d bytes after the last parameter", len(b))
 		}
-		code, n := b[0], int(binary.BigEndian.Uint16(b[1:]))
-		if b = b[parameterHeader:]; n > len(b) {
-			return nil, fmt.Errorf("office: parameter %d of %d bytes, where %d are left", code, n, len(b))
+		code, length := b[0], int(binary.BigEndian.Uint16(b[1:]))
+		if b = b[paramHeaderBytes:]; length > len(b) {
+			return nil, fmt.Errorf("office: parameter %d has length %d, but only %d bytes are left", code, length, len(b))
 		}
-		if err := m.set(code, b[:n]); err != nil {
+		if err := msg.setParam(code, b[:length]); err != nil {
 			return nil, err
 		}
-		b = b[n:]
+		b = b[length:]
 	}
-	return m, nil
+	return msg, nil
 }
 
-func (m *Message) set(code byte, v []byte) (err error) {
+// setParam stores the value of one parameter.
+func (m *Message) setParam(code byte, value []byte) (err error) {
 	switch code {
 	case paramClass:
-		m.Class = string(v)
+		m.Class = string(value)
 	case paramWait:
-		if m.Wait, err = strconv.Atoi(string(v)); err != nil || m.Wait < 0 {
-			return fmt.Errorf("office: parameter %d: a wait of %.40q", code, v)
+		if m.Wait, err = strconv.Atoi(string(value)); err != nil || m.Wait < 0 {
+			return fmt.Errorf("office: parameter %d: invalid wait time %.40q", code, value)
 		}
 	case paramNumber:
-		m.Number = string(v)
+		m.Number = string(value)
 	case paramNote:
-		m.Note = string(v)
+		m.Note = string(value)
 	case paramLoad:
-		m.Load = string(v)
+		m.Load = string(value)
 	case paramCause:
-		if len(v) != 1 {
-			return fmt.Errorf("office: parameter %d: a cause of %d bytes", code, len(v))
+		if len(value) != 1 {
+			return fmt.Errorf("office: parameter %d: cause has %d bytes, must be 1", code, len(value))
 		}
-		m.Cause, m.HasCause = v[0], true
+		m.Cause, m.HasCause = value[0], true
 	case paramDescription:
-		m.Description = bytes.Clone(v)
+		m.Description = bytes.Clone(value)
 	}
 	return nil
 }
 
-// Values reads a load ("spare:12;total:30") into the order of names; what is not told is -1.
+// Values parses Load, such as "spare:12;total:30", and returns the values in the order of names, -1 for each name that
+// is absent.
 func (m *Message) Values(names []string) ([]float64, error) {
 	if m.Load == "" {
 		return nil, nil
 	}
-	out := make([]float64, len(names))
-	for i := range out {
-		out[i] = -1
+	values := make([]float64, len(names))
+	for index := range values {
+		values[index] = -1
 	}
-	for _, part := range strings.Split(m.Load, ";") {
-		name, value, ok := strings.Cut(part, ":")
-		v, err := strconv.ParseFloat(value, 64)
+	for _, pair := range strings.Split(m.Load, ";") {
+		name, value, ok := strings.Cut(pair, ":")
+		number, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil {
-			return nil, fmt.Errorf("office: parameter %d: a load of %.40q", paramLoad, m.Load)
+			return nil, fmt.Errorf("office: parameter %d: invalid load %.40q", paramLoad, m.Load)
 		}
-		for i, n := range names {
-			if n == name {
-				out[i] = v
+		for index, wanted := range names {
+			if wanted == name {
+				values[index] = number
 			}
 		}
 	}
-	return out, nil
+	return values, nil
 }
 
-// Framer cuts a byte stream into messages. After an error the stream cannot be followed any further.
-type Framer struct{ buf []byte }
+// Framer splits a byte stream into messages. After an error the rest of the stream cannot be parsed.
+type Framer struct{ buffered []byte }
 
-// Write adds bytes of the stream.
-func (f *Framer) Write(b []byte) { f.buf = append(f.buf, b...) }
+// Write appends received bytes.
+func (f *Framer) Write(data []byte) { f.buffered = append(f.buffered, data...) }
 
-// Waiting is how many bytes of an unfinished message are held.
-func (f *Framer) Waiting() int { return len(f.buf) }
+// Waiting returns the number of buffered bytes of an incomplete message.
+func (f *Framer) Waiting() int { return len(f.buffered) }
 
-// Next gives the next whole message, or nil where it has not come yet.
+// Next returns the next complete message, or nil if it has not arrived completely.
 func (f *Framer) Next() (*Message, error) {
-	if len(f.buf) < lengthBytes {
+	if len(f.buffered) < lengthFieldBytes {
 		return nil, nil
 	}
-	n := int(binary.BigEndian.Uint16(f.buf))
-	if n < minLength || n+lengthBytes > Most {
-		return nil, fmt.Errorf("office: a length of %d", n)
+	length := int(binary.BigEndian.Uint16(f.buffered))
+	if length < minContentBytes || length+lengthFieldBytes > MaxMessageBytes {
+		return nil, fmt.Errorf("office: invalid message length %d", length)
 	}
-	if len(f.buf) < lengthBytes+n {
+	if len(f.buffered) < lengthFieldBytes+length {
 		return nil, nil
 	}
-	m, err := Parse(f.buf[lengthBytes : lengthBytes+n])
-	if f.buf = f.buf[lengthBytes+n:]; len(f.buf) == 0 {
-		f.buf = nil
+	msg, err := Parse(f.buffered[lengthFieldBytes : lengthFieldBytes+length])
+	if f.buffered = f.buffered[lengthFieldBytes+length:]; len(f.buffered) == 0 {
+		f.buffered = nil
 	}
-	return m, err
+	return msg, err
 }
--- a/sip/sip.go
+++ b/sip/sip.go
@@ -1,6 +1,7 @@
-// Package sip reads and writes the part of RFC 3261 that callers of the platform use on TCP: INVITE, ACK, CANCEL,
-// BYE, OPTIONS, NOTIFY and responses, each with Content-Length. Pure: bytes in, messages out. All that is read is
-// bounded, and whatever cannot be read is a Fault that says how to answer it.
+// Package sip reads and writes the subset of SIP (RFC 3261) that callers of the platform use over TCP: INVITE, ACK,
+// CANCEL, BYE, OPTIONS, NOTIFY and responses, each with Content-Length. It does no input or output of its own. The
+// size of a message and the number of its header fields are limited; a message that cannot be parsed gives a Fault
+// with the status of the response to it.
 package sip
 
 import (
@@ -10,38 +11,37 @@
 	"strings"
 )
 
-// Most is how long a message may be, header and body together.
-const Most = 16 << 10
+// MaxMessageBytes limits the size of a message, header and body together.
+const MaxMessageBytes = 16 << 10
 
-// mostFields is how many header fields a message may have.
-const mostFields = 64
+// maxHeaderFields limits the number of header fields of a message.
+const maxHeaderFields = 64
 
-// Message is a request or, where Status is set, a response. Its strings and Body are its own.
+// Message is a request or, if Status is not 0, a response. Its strings and Body are copies, not parts of a read buffer.
 type Message struct {
-	Method string // of a request; of a response the method in its CSeq
-	URI    string
-	Status int
-	Reason string
-	CallID string
-	CSeq   string // number and method
-	Fields []Field
+	Method string  // method of a request; for a response the method in its CSeq
+	URI    string  // Request-URI of a request
+	Status int     // status code of a response, 0 for a request
+	Reason string  // reason phrase of a response
+	CallID string  // value of Call-ID
+	CSeq   string  // sequence number and method
+	Fields []Field // header fields in order of arrival, compact names expanded
 	Body   []byte
 }
 
-// Field is one header field as it came.
+// Field is one header field as received; a compact name is expanded.
 type Field struct{ Name, Value string }
 
-// Fault tells what is wrong with a message, and the response that it deserves. Head is what could be read of the
-// message; the response echoes it.
+// Fault describes a message that cannot be parsed or is too large, and how to answer it.
 type Fault struct {
-	Status int
-	Text   string
-	Head   *Message
+	Status int      // status code of the response
+	Text   string   // description of the fault
+	Head   *Message // the header fields that could be parsed, which the response echoes; nil if there are none
 }
 
 func (f *Fault) Error() string { return fmt.Sprintf("sip: %s (%d)", f.Text, f.Status) }
 
-// Get gives the first value of a header field.
+// Get returns the value of the first header field with this name, or "".
 func (m *Message) Get(name string) string {
 	for _, f := range m.Fields {
 		if strings.EqualFold(f.Name, name) {
@@ -51,152 +51,152 @@
 	return ""
 }
 
-// User is the user part of the address in the first line.
+// User returns the user part of the Request-URI.
 func (m *Message) User() string {
-	s, _ := strings.CutPrefix(m.URI, "sip:")
-	user, _, _ := strings.Cut(s, "@")
+	address, _ := strings.CutPrefix(m.URI, "sip:")
+	user, _, _ := strings.Cut(address, "@")
 	return user
 }
 
-// Framer cuts a byte stream into messages. After a Fault the stream cannot be followed any further.
+// Framer splits a byte stream into messages. After a Fault the rest of the stream cannot be parsed.
 type Framer struct {
-	buf    []byte
-	header int // where the header was looked for already
+	buffered []byte
+	searched int // bytes of buffered that were searched for the end of the header
 }
 
-// Write adds bytes of the stream.
-func (f *Framer) Write(b []byte) { f.buf = append(f.buf, b...) }
+// Write appends received bytes.
+func (f *Framer) Write(data []byte) { f.buffered = append(f.buffered, data...) }
 
-// Waiting is how many bytes of an unfinished message are held.
-func (f *Framer) Waiting() int { return len(f.buf) }
+// Waiting returns the number of buffered bytes of an incomplete message.
+func (f *Framer) Waiting() int { return len(f.buffered) }
 
-// Next gives the next whole message, or nil where it has not come yet.
+// Next returns the next complete message, or nil if it has not arrived completely.
 func (f *Framer) Next() (*Message, error) {
-	for len(f.buf) >= 2 && f.buf[0] == '\r' && f.buf[1] == '\n' { // keep-alives between messages (RFC 5626)
-		f.drop(2)
+	for len(f.buffered) >= 2 && f.buffered[0] == '\r' && f.buffered[1] == '\n' { // keep-alives between messages (RFC 5626)
+		f.discard(2)
 	}
-	end := bytes.Index(f.buf[f.header:], []byte("\r\n\r\n"))
-	if end < 0 {
-		if len(f.buf) > Most {
-			return nil, &Fault{Status: 513, Text: fmt.Sprintf("a header of more than %d bytes", Most)}
+	headerEnd := bytes.Index(f.buffered[f.searched:], []byte("\r\n\r\n"))
+	if headerEnd < 0 {
+		if len(f.buffered) > MaxMessageBytes {
+			return nil, &Fault{Status: 513, Text: fmt.Sprintf("header exceeds %d bytes", MaxMessageBytes)}
 		}
-		f.header = max(0, len(f.buf)-3)
+		f.searched = max(0, len(f.buffered)-3)
 		return nil, nil
 	}
-	end += f.header
-	f.header = end
-	if end > Most {
-		return nil, &Fault{Status: 513, Text: fmt.Sprintf("a header of %d bytes", end)}
+	headerEnd += f.searched
+	f.searched = headerEnd
+	if headerEnd > MaxMessageBytes {
+		return nil, &Fault{Status: 513, Text: fmt.Sprintf("header of %d bytes is too large", headerEnd)}
 	}
-	m, length, fault := parseHead(f.buf[:end])
+	msg, bodyLength, fault := parseHead(f.buffered[:headerEnd])
 	if fault != nil {
 		return nil, fault
 	}
-	if end+4+length > Most {
-		return nil, &Fault{Status: 513, Text: fmt.Sprintf("a message of %d bytes", end+4+length), Head: m}
+	if headerEnd+4+bodyLength > MaxMessageBytes {
+		return nil, &Fault{Status: 513, Text: fmt.Sprintf("message of %d bytes is too large", headerEnd+4+bodyLength), Head: msg}
 	}
-	if len(f.buf) < end+4+length {
+	if len(f.buffered) < headerEnd+4+bodyLength {
 		return nil, nil
 	}
-	m.Body = bytes.Clone(f.buf[end+4 : end+4+length])
-	f.drop(end + 4 + length)
-	return m, nil
+	msg.Body = bytes.Clone(f.buffered[headerEnd+4 : headerEnd+4+bodyLength])
+	f.discard(headerEnd + 4 + bodyLength)
+	return msg, nil
 }
 
-// drop forgets the first n bytes; a buffer that is empty again gives its memory back.
-func (f *Framer) drop(n int) {
-	f.header = 0
-	if n == len(f.buf) {
-		f.buf = nil
+// discard removes the first n buffered bytes, and releases the memory of a buffer that is empty then.
+func (f *Framer) discard(n int) {
+	f.searched = 0
+	if n == len(f.buffered) {
+		f.buffered = nil
 		return
 	}
-	f.buf = f.buf[n:]
+	f.buffered = f.buffered[n:]
 }
 
-// compact are the short names of header fields (RFC 3261 section 20) that matter here.
-var compact = map[string]string{"i": "Call-ID", "l": "Content-Length", "v": "Via", "f": "From", "t": "To"}
+// compactNames maps the compact names of the header fields that are used here to their full names (RFC 3261 section 20).
+var compactNames = map[string]string{"i": "Call-ID", "l": "Content-Length", "v": "Via", "f": "From", "t": "To"}
 
-// parseHead reads the first line and the header fields.
+// parseHead parses the first line and the header fields, and returns the length of the body.
 func parseHead(head []byte) (*Message, int, *Fault) {
-	first, rest, _ := strings.Cut(string(head), "\r\n")
-	m := &Message{}
-	bad := func(status int, format string, a ...any) (*Message, int, *Fault) {
-		return m, 0, &Fault{Status: status, Text: fmt.Sprintf(format, a...), Head: m}
-	}
-	length, lengths := 0, 0
-	for line := ""; rest != ""; {
-		line, rest, _ = strings.Cut(rest, "\r\n")
+	firstLine, remaining, _ := strings.Cut(string(head), "\r\n")
+	msg := &Message{}
+	malformed := func(status int, format string, args ...any) (*Message, int, *Fault) {
+		return msg, 0, &Fault{Status: status, Text: fmt.Sprintf(format, args...), Head: msg}
+	}
+	contentLength, contentLengthFields := 0, 0
+	for line := ""; remaining != ""; {
+		line, remaining, _ = strings.Cut(remaining, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if name = strings.TrimRight(name, " \t"); !ok || name == "" || strings.ContainsAny(name, " \t\x00") {
-			return bad(400, "a header line that is not one: %.40q", line)
+			return malformed(400, "malformed header field: %.40q", line)
 		}
-		if len(m.Fields) == mostFields {
-			return bad(400, "more than %d header fields", mostFields)
+		if len(msg.Fields) == maxHeaderFields {
+			return malformed(400, "more than %d header fields", maxHeaderFields)
 		}
 		value = strings.Trim(value, " \t")
-		if long, ok := compact[strings.ToLower(name)]; ok {
-			name = long
+		if fullName, ok := compactNames[strings.ToLower(name)]; ok {
+			name = fullName
 		}
-		m.Fields = append(m.Fields, Field{name, value})
+		msg.Fields = append(msg.Fields, Field{name, value})
 		switch {
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.Atoi(value)
-			if err != nil || n < 0 || value[0] == '+' || lengths > 0 && n != length {
-				return bad(400, "Content-Length is %.40q", value)
+			if err != nil || n < 0 || value[0] == '+' || contentLengthFields > 0 && n != contentLength {
+				return malformed(400, "invalid Content-Length: %.40q", value)
 			}
-			length, lengths = n, lengths+1
+			contentLength, contentLengthFields = n, contentLengthFields+1
 		case strings.EqualFold(name, "Call-ID"):
-			if m.CallID != "" && m.CallID != value {
-				return bad(400, "two Call-ID fields")
+			if msg.CallID != "" && msg.CallID != value {
+				return malformed(400, "conflicting Call-ID fields")
 			}
-			m.CallID = value
+			msg.CallID = value
 		case strings.EqualFold(name, "CSeq"):
-			m.CSeq = value
+			msg.CSeq = value
 		}
 	}
-	if text := m.firstLine(first); text != "" {
-		return bad(400, "%s", text)
+	if problem := msg.parseFirstLine(firstLine); problem != "" {
+		return malformed(400, "%s", problem)
 	}
-	if lengths == 0 {
-		return bad(400, "Content-Length is missing")
+	if contentLengthFields == 0 {
+		return malformed(400, "Content-Length is missing")
 	}
-	return m, length, nil
+	return msg, contentLength, nil
 }
 
-// firstLine reads the first line, and tells what is wrong with it or with the CSeq that must match it.
-func (m *Message) firstLine(line string) string {
+// parseFirstLine parses the first line and checks that the CSeq matches it. It returns a description of what is wrong, or "".
+func (m *Message) parseFirstLine(line string) string {
 	number, method, _ := strings.Cut(m.CSeq, " ")
 	method = strings.TrimLeft(method, " ")
-	if _, err := strconv.ParseUint(number, 10, 32); err != nil || !token(method) {
-		return fmt.Sprintf("CSeq is %.40q", m.CSeq)
+	if _, err := strconv.ParseUint(number, 10, 32); err != nil || !isMethod(method) {
+		return fmt.Sprintf("malformed CSeq: %.40q", m.CSeq)
 	}
 	m.Method = method
 	if status, ok := strings.CutPrefix(line, "SIP/2.0 "); ok {
 		code, reason, _ := strings.Cut(status, " ")
-		n, err := strconv.Atoi(code)
-		if err != nil || len(code) != 3 || n < 100 || n > 699 {
-			return fmt.Sprintf("a status of %.40q", code)
+		statusCode, err := strconv.Atoi(code)
+		if err != nil || len(code) != 3 || statusCode < 100 || statusCode > 699 {
+			return fmt.Sprintf("invalid status code: %.40q", code)
 		}
-		m.Status, m.Reason = n, reason
+		m.Status, m.Reason = statusCode, reason
 		return ""
 	}
 	parts := strings.Split(line, " ")
-	if len(parts) != 3 || parts[2] != "SIP/2.0" || !token(parts[0]) || parts[1] == "" {
-		return fmt.Sprintf("a first line of %.40q", line)
+	if len(parts) != 3 || parts[2] != "SIP/2.0" || !isMethod(parts[0]) || parts[1] == "" {
+		return fmt.Sprintf("malformed first line: %.40q", line)
 	}
 	if parts[0] != method {
-		return fmt.Sprintf("%s with a CSeq of %.40q", parts[0], m.CSeq)
+		return fmt.Sprintf("method %s does not match CSeq %.40q", parts[0], m.CSeq)
 	}
 	m.URI = parts[1]
 	return ""
 }
 
-// token tells whether s is a method name.
-func token(s string) bool {
-	for i := range len(s) {
-		if s[i] < 'A' || s[i] > 'Z' {
+// isMethod reports whether text has the form of a method name: up to 32 capital letters.
+func isMethod(text string) bool {
+	for i := range len(text) {
+		if text[i] < 'A' || text[i] > 'Z' {
 			return false
 		}
 	}
-	return s != "" && len(s) <= 32
+	return text != "" && len(text) <= 32
 }
--- a/sip/sip_test.go
+++ b/sip/sip_test.go
@@ -14,107 +14,108 @@
 	stream := "\r\n\r\n" + invite + strings.Replace(invite, "INVITE\r\n", "INVITE\r\nv: SIP/2.0/TCP b\r\n", 1) +
 		"SIP/2.0 200 OK\r\ni: 1\r\nCSeq: 2 BYE\r\nl: 0\r\n\r\n"
 	for size := 1; size < len(stream); size++ {
-		var f Framer
+		var framer Framer
 		var got []string
-		for rest := stream; rest != ""; {
-			n := min(size, len(rest))
-			f.Write([]byte(rest[:n]))
-			rest = rest[n:]
+		for remaining := stream; remaining != ""; {
+			chunk := min(size, len(remaining))
+			framer.Write([]byte(remaining[:chunk]))
+			remaining = remaining[chunk:]
 			for {
-				m, err := f.Next()
+				msg, err := framer.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if m == nil {
+				if msg == nil {
 					break
 				}
-				got = append(got, fmt.Sprint(m.Method, " ", m.Status, " ", m.CallID, " ", m.User(), " ", string(m.Body)))
+				got = append(got, fmt.Sprint(msg.Method, " ", msg.Status, " ", msg.CallID, " ", msg.User(), " ", string(msg.Body)))
 			}
 		}
 		want := "INVITE 0 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 hello|INVITE 0 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 hello|BYE 200 1  "
-		if strings.Join(got, "|") != want || f.Waiting() != 0 {
-			t.Fatalf("pieces of %d: %q", size, got)
+		if strings.Join(got, "|") != want || framer.Waiting() != 0 {
+			t.Fatalf("chunks of %d bytes: %q", size, got)
 		}
 	}
 }
 
 func TestFaultsNameTheResponse(t *testing.T) {
 	for change, status := range map[string]int{
-		"Content-Length: 5>Content-Length: -5":                            400,
-		"Content-Length: 5>Content-Length: 5x":                            400,
-		"Content-Length: 5>Content-Length: 99999999999999999999":          400,
-		"Content-Length: 5>Content-Length: 60000000":                      513,
-		"Content-Length: 5>Content-Length: 5\r\nContent-Length: 6":        400,
-		"Content-Length: 5>X: 5":                                          400,
-		"CSeq: 1 INVITE>CSeq: 1 BYE":                                      400,
-		"CSeq: 1 INVITE>CSeq: x INVITE":                                   400,
-		"SIP/2.0\r\nVia>SIP/3.0\r\nVia":                                   400,
-		"X-Cos: voice>no colon":                                           400,
-		"X-Cos: voice>" + strings.Repeat("A: b\r\n", mostFields) + "C: d": 400,
-		"Call-ID: 9b1f03aa5c7e2d41>Call-ID: 1\r\nCall-ID: 2":              400,
-		"INVITE sip:>INVITE  sip:":                                        400,
-		"X-Cos: voice>X: " + strings.Repeat("z", Most):                    513,
+		"Content-Length: 5>Content-Length: -5":                                 400,
+		"Content-Length: 5>Content-Length: 5x":                                 400,
+		"Content-Length: 5>Content-Length: 99999999999999999999":               400,
+		"Content-Length: 5>Content-Length: 60000000":                           513,
+		"Content-Length: 5>Content-Length: 5\r\nContent-Length: 6":             400,
+		"Content-Length: 5>X: 5":                                               400,
+		"CSeq: 1 INVITE>CSeq: 1 BYE":                                           400,
+		"CSeq: 1 INVITE>CSeq: x INVITE":                                        400,
+		"SIP/2.0\r\nVia>SIP/3.0\r\nVia":                                        400,
+		"X-Cos: voice>no colon":                                                400,
+		"X-Cos: voice>" + strings.Repeat("A: b\r\n", maxHeaderFields) + "C: d": 400,
+		"Call-ID: 9b1f03aa5c7e2d41>Call-ID: 1\r\nCall-ID: 2":                   400,
+		"INVITE sip:>INVITE  sip:":                                             400,
+		"X-Cos: voice>X: " + strings.Repeat("z", MaxMessageBytes):              513,
 	} {
 		from, to, _ := strings.Cut(change, ">")
 		text := strings.Replace(invite, from, to, 1)
 		if text == invite {
-			t.Fatalf("%q changes nothing", from)
+			t.Fatalf("%q does not occur in the message", from)
 		}
-		var f Framer
-		f.Write([]byte(text))
-		m, err := f.Next()
+		var framer Framer
+		framer.Write([]byte(text))
+		msg, err := framer.Next()
 		var fault *Fault
-		if m != nil || !errors.As(err, &fault) || fault.Status != status {
-			t.Errorf("%.60q: %v, %v", change, m, err)
+		if msg != nil || !errors.As(err, &fault) || fault.Status != status {
+			t.Errorf("%.60q: %v, %v", change, msg, err)
 		}
 	}
 }
 
 func TestResponseRepeatsTheHead(t *testing.T) {
-	var f Framer
-	f.Write([]byte(invite))
-	m, err := f.Next()
+	var framer Framer
+	framer.Write([]byte(invite))
+	msg, err := framer.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := string(Response(nil, HeadOf(m), 503, 2, nil))
+	got := string(Response(nil, HeadOf(msg), 503, 2, nil))
 	want := "SIP/2.0 503 Service Unavailable\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"
 	if got != want {
 		t.Fatalf("%q", got)
 	}
 	bye := Request(nil, "BYE", "sip:1@net", "a", 2, 41)
-	f.Write(bye)
-	if m, err = f.Next(); err != nil || m.Get("reason") != "Q.850;cause=41" || m.Method != "BYE" {
+	framer.Write(bye)
+	if msg, err = framer.Next(); err != nil || msg.Get("reason") != "Q.850;cause=41" || msg.Method != "BYE" {
 		t.Fatalf("%q: %v", bye, err)
 	}
 }
 
-// Whatever comes, the framer neither panics nor holds more than a message, and what it gives can be written again.
+// FuzzFramer checks that on any input the framer neither panics nor buffers more than one message, and that the header
+// fields of each message it returns can be repeated in a response.
 func FuzzFramer(f *testing.F) {
 	f.Add([]byte(invite), uint8(7))
 	f.Add([]byte("SIP/2.0 200 OK\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n\r\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, stream []byte, size uint8) {
-		var fr Framer
+		var framer Framer
 		for len(stream) > 0 {
-			n := min(int(size)+1, len(stream))
-			fr.Write(stream[:n])
-			stream = stream[n:]
+			chunk := min(int(size)+1, len(stream))
+			framer.Write(stream[:chunk])
+			stream = stream[chunk:]
 			for {
-				m, err := fr.Next()
+				msg, err := framer.Next()
 				if err != nil {
 					return
 				}
-				if m == nil {
+				if msg == nil {
 					break
 				}
-				var again Framer
-				again.Write(Response(nil, HeadOf(m), 200, 0, m.Body))
-				if back, err := again.Next(); err != nil || string(back.Body) != string(m.Body) || back.CallID != m.CallID {
-					t.Fatalf("a response to %+v: %+v, %v", m, back, err)
+				var reread Framer
+				reread.Write(Response(nil, HeadOf(msg), 200, 0, msg.Body))
+				if response, err := reread.Next(); err != nil || string(response.Body) != string(msg.Body) || response.CallID != msg.CallID {
+					t.Fatalf("response to %+v: %+v, %v", msg, response, err)
 				}
 			}
-			if fr.Waiting() > Most+int(size)+1 {
-				t.Fatalf("%d bytes are held", fr.Waiting())
+			if framer.Waiting() > MaxMessageBytes+int(size)+1 {
+				t.Fatalf("%d bytes are buffered", framer.Waiting())
 			}
 		}
 	})
@@ -123,12 +124,12 @@
 func BenchmarkInvite(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		var f Framer
-		f.Write([]byte(invite))
-		m, err := f.Next()
+		var framer Framer
+		framer.Write([]byte(invite))
+		msg, err := framer.Next()
 		if err != nil {
 			b.Fatal(err)
 		}
-		Response(nil, HeadOf(m), 200, 0, m.Body)
+		Response(nil, HeadOf(msg), 200, 0, msg.Body)
 	}
 }
--- a/sip/write.go
+++ b/sip/write.go
@@ -5,74 +5,78 @@
 	"strings"
 )
 
-// reasons are the reason phrases of RFC 3261 section 21 for the responses that are given here.
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 405: "Method Not Allowed", 413: "Request Entity Too Large",
+// reasonPhrases holds the reason phrases (RFC 3261 section 21) of the status codes that the call server sends.
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 405: "Method Not Allowed", 413: "Request Entity Too Large",
 	480: "Temporarily Unavailable", 481: "Call/Transaction Does Not Exist", 482: "Loop Detected", 486: "Busy Here",
 	487: "Request Terminated", 500: "Server Internal Error", 503: "Service Unavailable", 504: "Server Time-out",
 	513: "Message Too Large"}
 
-// echoed are the fields of a request that its responses repeat (RFC 3261 section 8.2.6).
-var echoed = []string{"Via", "From", "To", "Call-ID", "CSeq"}
+// echoedFields are the header fields of a request that its responses repeat (RFC 3261 section 8.2.6).
+var echoedFields = []string{"Via", "From", "To", "Call-ID", "CSeq"}
 
-// Head keeps of a request what its responses repeat.
+// Head holds the header fields of a request that its responses repeat.
 type Head struct {
-	CallID string
-	lines  []byte
+	CallID string // value of Call-ID
+	fields []byte // the repeated header fields in wire form
 }
 
-// HeadOf keeps what responses to m repeat.
-func HeadOf(m *Message) Head {
-	var h Head
-	if m == nil {
-		return h
+// HeadOf returns the header fields that responses to msg repeat. msg may be nil.
+func HeadOf(msg *Message) Head {
+	var head Head
+	if msg == nil {
+		return head
 	}
-	h.CallID = m.CallID
-	for _, name := range echoed {
-		for _, f := range m.Fields {
+	head.CallID = msg.CallID
+	for _, name := range echoedFields {
+		for _, f := range msg.Fields {
 			if strings.EqualFold(f.Name, name) {
-				h.lines = field(h.lines, name, f.Value)
+				head.fields = appendField(head.fields, name, f.Value)
 			}
 		}
 	}
-	return h
+	return head
 }
 
-// Response appends a response to the request with the head h. wait, in seconds, is told where it is not 0.
-func Response(b []byte, h Head, status, wait int, body []byte) []byte {
+// Response appends a response to the request that head was taken from. If retryAfter, in seconds, is not 0, it goes into
+// a Retry-After field.
+func Response(b []byte, head Head, status, retryAfter int, body []byte) []byte {
 	b = append(b, "SIP/2.0 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\n"...)
-	b = append(b, h.lines...)
-	if wait > 0 {
-		b = field(b, "Retry-After", strconv.Itoa(wait))
+	b = append(b, head.fields...)
+	if retryAfter > 0 {
+		b = appendField(b, "Retry-After", strconv.Itoa(retryAfter))
 	}
-	return ended(b, body)
+	return appendBody(b, body)
 }
 
-// Request appends a request of ours about a call. reason is a Q.850 cause (RFC 3326), 0 for none.
-func Request(b []byte, method, uri, callID string, number, reason int) []byte {
+// Request appends a request that the call server sends about a call. cause is a Q.850 cause for the Reason field
+// (RFC 3326), 0 for none.
+func Request(b []byte, method, uri, callID string, sequence, cause int) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
 	b = append(b, uri...)
 	b = append(b, " SIP/2.0\r\n"...)
-	b = field(b, "Via", "SIP/2.0/TCP peer")
-	b = field(b, "Call-ID", callID)
-	b = field(b, "CSeq", strconv.Itoa(number)+" "+method)
-	if reason > 0 {
-		b = field(b, "Reason", "Q.850;cause="+strconv.Itoa(reason))
+	b = appendField(b, "Via", "SIP/2.0/TCP peer")
+	b = appendField(b, "Call-ID", callID)
+	b = appendField(b, "CSeq", strconv.Itoa(sequence)+" "+method)
+	if cause > 0 {
+		b = appendField(b, "Reason", "Q.850;cause="+strconv.Itoa(cause))
 	}
-	return ended(b, nil)
+	return appendBody(b, nil)
 }
 
-func ended(b, body []byte) []byte {
-	b = field(b, "Content-Length", strconv.Itoa(len(body)))
+// appendBody ends a message with Content-Length and the body.
+func appendBody(b, body []byte) []byte {
+	b = appendField(b, "Content-Length", strconv.Itoa(len(body)))
 	b = append(b, "\r\n"...)
 	return append(b, body...)
 }
 
-func field(b []byte, name, value string) []byte {
+// appendField appends one header field.
+func appendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = append(b, value...)
