--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink hosts many Controllers on the wire of the bench: events on standard input, actions on
-// standard output. It decides nothing.
+// Command benchlink connects the decision module to a simulator: it hosts one Controller for each simulated call server, reads
+// events from standard input and writes actions to standard output.
 package main
 
 import (
@@ -19,115 +19,128 @@
 	}
 }
 
-// instance is one hosted Controller; it is the Host of its actions.
+// instance is one hosted Controller. It implements logic.Host by writing the Controller's actions to the reply.
 type instance struct {
-	number int
-	out    *wire.Encoder
-	ctl    *logic.Controller
-	class  map[string]int
+	number     int
+	encoder    *wire.Encoder
+	controller *logic.Controller
+	classIndex map[string]int // index of each class by name
 }
 
+// serve answers batches of events from in on out until in ends.
 func serve(in io.Reader, out io.Writer) error {
-	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
-	hosted := map[int]*instance{}
+	decoder, encoder := wire.NewDecoder(in), wire.NewEncoder(out)
+	instances := map[int]*instance{}
 	for {
-		b, err := dec.Next()
+		batch, err := decoder.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for i := range b.Events {
-			if err := deliver(hosted, enc, b.Clock, &b.Events[i]); err != nil {
-				return fmt.Errorf("batch %d: %w", b.Number, err)
+		for i := range batch.Events {
+			if err := deliver(instances, encoder, batch.Clock, &batch.Events[i]); err != nil {
+				return fmt.Errorf("batch %d: %w", batch.Number, err)
 			}
 		}
-		if err := enc.Finish(b.Number); err != nil {
+		if err := encoder.Finish(batch.Number); err != nil {
 			return err
 		}
 	}
 }
 
-func deliver(hosted map[int]*instance, enc *wire.Encoder, now time.Duration, ev *wire.Event) error {
-	if ev.Kind == wire.Born {
-		in := &instance{number: ev.Instance, out: enc, class: map[string]int{}}
-		ev.Settings.Host = in
-		for n, c := range ev.Settings.Classes {
-			in.class[c.Name] = n
+// deliver passes an event to its instance, and starts or stops instances.
+func deliver(instances map[int]*instance, encoder *wire.Encoder, now time.Duration, event *wire.Event) error {
+	if event.Kind == wire.InstanceStarted {
+		inst := &instance{number: event.Instance, encoder: encoder, classIndex: map[string]int{}}
+		event.Settings.Host = inst
+		for index, class := range event.Settings.Classes {
+			inst.classIndex[class.Name] = index
 		}
-		ctl, err := logic.New(ev.Settings, ev.Seed)
+		controller, err := logic.New(event.Settings, event.Seed)
 		if err != nil {
 			return err
 		}
-		in.ctl = ctl
-		hosted[ev.Instance] = in
+		inst.controller = controller
+		instances[event.Instance] = inst
 		return nil
 	}
-	in := hosted[ev.Instance]
-	if in == nil {
-		return nil // what was on its way to an instance that has died
+	inst := instances[event.Instance]
+	if inst == nil {
+		return nil // the event was sent before the instance stopped
 	}
-	switch ev.Kind {
-	case wire.Shutdown:
-		delete(hosted, ev.Instance)
-	case wire.List:
-		in.ctl.List(now, ev.ListKind, ev.Offices)
-	case wire.Offered:
-		n, ok := in.class[ev.Class]
+	switch event.Kind {
+	case wire.InstanceStopped:
+		delete(instances, event.Instance)
+	case wire.OfficeList:
+		inst.controller.List(now, event.ListKind, event.Offices)
+	case wire.CallOffered:
+		index, ok := inst.classIndex[event.Class]
 		if !ok {
-			n = -1
+			index = -1
 		}
-		ev.Call.Class = n
-		in.ctl.Offered(now, ev.Call)
-	case wire.Outcome:
-		in.ctl.Outcome(now, ev.Outcome)
-	case wire.Stands:
-		in.ctl.Stands(now, ev.Outcome)
-	case wire.HungUp:
-		in.ctl.HungUp(now, ev.Call.ID)
-	case wire.Timer:
-		in.ctl.Timer(now, ev.Mark)
-	case wire.Peer:
-		in.ctl.Peer(now, ev.From, ev.Data)
-	case wire.Report:
-		in.ctl.Report(now, ev.Report)
+		event.Call.Class = index
+		inst.controller.Offered(now, event.Call)
+	case wire.AttemptOutcome:
+		inst.controller.Outcome(now, event.Outcome)
+	case wire.CallEstablished:
+		inst.controller.Stands(now, event.Outcome)
+	case wire.CallHungUp:
+		inst.controller.HungUp(now, event.Call.ID)
+	case wire.TimerExpired:
+		inst.controller.Timer(now, event.Mark)
+	case wire.PeerData:
+		inst.controller.Peer(now, event.From, event.Data)
+	case wire.OfficeReport:
+		inst.controller.Report(now, event.Report)
 	}
 	return nil
 }
 
-func (in *instance) Send(call uint64, office string, timeout time.Duration) {
-	in.out.Action("assign", in.number, wire.ID(call), wire.Text("office", office), wire.Int("within_ns", int64(timeout)))
+// Send starts an attempt at an office.
+func (inst *instance) Send(call uint64, office string, timeout time.Duration) {
+	inst.encoder.Action("assign", inst.number, wire.ID(call), wire.Text("office", office), wire.Int("within_ns", int64(timeout)))
 }
 
-func (in *instance) Refuse(call uint64, wait time.Duration) {
-	in.out.Action("not_now", in.number, wire.ID(call), wire.Int("cool_down_ns", int64(wait)))
+// Refuse refuses a call; the caller may try again after the wait.
+func (inst *instance) Refuse(call uint64, wait time.Duration) {
+	inst.encoder.Action("not_now", inst.number, wire.ID(call), wire.Int("cool_down_ns", int64(wait)))
 }
 
-func (in *instance) Fail(call uint64) { in.out.Action("abort", in.number, wire.ID(call)) }
+// Fail ends a call without success.
+func (inst *instance) Fail(call uint64) { inst.encoder.Action("abort", inst.number, wire.ID(call)) }
 
-func (in *instance) Cancel(call uint64, attempt int) {
-	in.out.Action("call_off", in.number, wire.ID(call), wire.Int("seq_no", int64(attempt)))
+// Cancel cancels an attempt.
+func (inst *instance) Cancel(call uint64, attempt int) {
+	inst.encoder.Action("call_off", inst.number, wire.ID(call), wire.Int("seq_no", int64(attempt)))
 }
 
-func (in *instance) Probe(office string) {
-	in.out.Action("test", in.number, wire.Text("office", office))
+// Probe asks an office for a report.
+func (inst *instance) Probe(office string) {
+	inst.encoder.Action("test", inst.number, wire.Text("office", office))
 }
 
-func (in *instance) Tell(peer int, data []byte) {
-	in.out.Action("tell", in.number, wire.Int("dest", int64(peer)), wire.Hex("data", data))
+// Tell sends data to another call server.
+func (inst *instance) Tell(peer int, data []byte) {
+	inst.encoder.Action("tell", inst.number, wire.Int("dest", int64(peer)), wire.Hex("data", data))
 }
 
-func (in *instance) Timer(wait time.Duration, mark string) {
-	in.out.Action("schedule", in.number, wire.Int("wait_ns", int64(wait)), wire.Text("mark", mark))
+// Timer starts a timer.
+func (inst *instance) Timer(wait time.Duration, mark string) {
+	inst.encoder.Action("schedule", inst.number, wire.Int("wait_ns", int64(wait)), wire.Text("mark", mark))
 }
 
-func (in *instance) Watch(on bool) {
-	v := int64(0)
+// Watch turns updates of the list of offices on or off.
+func (inst *instance) Watch(on bool) {
+	value := int64(0)
 	if on {
-		v = 1
+		value = 1
 	}
-	in.out.Action("keep_informed", in.number, wire.Int("on", v))
+	inst.encoder.Action("keep_informed", inst.number, wire.Int("on", value))
 }
 
-func (in *instance) Log(text string) { in.out.Action("print", in.number, wire.Text("body_text", text)) }
+// Log writes a log line.
+func (inst *instance) Log(text string) {
+	inst.encoder.Action("print", inst.number, wire.Text("body_text", text))
+}
--- a/internal/wire/tree.go
+++ b/internal/wire/tree.go
@@ -11,100 +11,102 @@
 	"finchlatch/logic"
 )
 
-// needed are the settings without which a call server cannot work, by path.
-var needed = []string{"tick_ns", "instances", "family_info.home_no", "family_info.release_ns", "rules.drain_grace_ns",
+// requiredSettings are the paths of the settings without which a call server cannot work.
+var requiredSettings = []string{"tick_ns", "instances", "family_info.home_no", "family_info.release_ns", "rules.drain_grace_ns",
 	"rules.tip_after_ns", "rules.overload_factor", "rules.cold_from", "rules.cold_ns", "reporting.fields", "limits.max_attempts",
 	"limits.connect_timeout_ns", "limits.max_open"}
 
-// neededOfClass are those of each class.
-var neededOfClass = []string{"name", "worth", "late_share", "target_ns", "deadline_ns"}
+// requiredClassSettings are the required settings of each class.
+var requiredClassSettings = []string{"name", "worth", "late_share", "target_ns", "deadline_ns"}
 
-// Settings are the settings of a configuration file: those of the module, read as the adapter reads its first
-// message, and those of the sockets around it.
+// Settings are the settings in a configuration file: those of the decision module, parsed like the fields of a born message,
+// and those of the sockets.
 type Settings struct {
 	logic.Settings
 	ConnectTimeout int64 // nanoseconds
-	MaxOpen        int   // set-ups open at once
+	MaxOpen        int   // limit of set-ups in progress
 }
 
-// ReadSettings reads the start-up settings where they stand in a file as nested JSON. Unknown keys are skipped; a
-// missing or wrong one is named by its path.
-func ReadSettings(raw []byte) (Settings, error) {
-	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber()
+// ReadSettings parses settings in the form of nested JSON. Unknown keys are skipped. The error names the path of the first
+// setting that is missing or invalid.
+func ReadSettings(data []byte) (Settings, error) {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := dec.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	m := &message{name: "settings"}
+	msg := &message{name: "settings"}
 	if tree != nil {
-		m.flatten("", tree)
+		msg.flatten("", tree)
 	}
-	for _, path := range needed {
-		m.text(path, true)
+	for _, path := range requiredSettings {
+		msg.text(path, true)
 	}
-	if n := m.integer("classes.count", true); n < 1 && m.err == nil {
-		m.err = fmt.Errorf("%s: classes is empty", m.name)
+	if classCount := msg.integer("classes.count", true); classCount < 1 && msg.err == nil {
+		msg.err = fmt.Errorf("%s: classes is empty", msg.name)
 	} else {
-		for i := range n {
-			for _, key := range neededOfClass {
-				m.text("classes."+strconv.FormatInt(i, 10)+"."+key, true)
+		for i := range classCount {
+			for _, key := range requiredClassSettings {
+				msg.text("classes."+strconv.FormatInt(i, 10)+"."+key, true)
 			}
 		}
 	}
-	s := Settings{Settings: m.settings(), ConnectTimeout: m.integer("limits.connect_timeout_ns", true),
-		MaxOpen: int(m.integer("limits.max_open", true))}
-	return s, m.err
+	settings := Settings{Settings: msg.settings(), ConnectTimeout: msg.integer("limits.connect_timeout_ns", true),
+		MaxOpen: int(msg.integer("limits.max_open", true))}
+	return settings, msg.err
 }
 
-// flatten writes a tree as the fields that the wire would carry: paths with dots, lists of plain values joined by
-// commas, lists of objects by count and place.
-func (m *message) flatten(path string, v any) {
-	switch v := v.(type) {
+// flatten adds a JSON tree in the form of the fields of the line protocol: names are paths with dots, lists of plain values are
+// joined by commas, and lists of objects have a count and the index of each object in its path.
+func (m *message) flatten(path string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
-		names := make([]string, 0, len(v))
-		for name := range v {
+		names := make([]string, 0, len(value))
+		for name := range value {
 			names = append(names, name)
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			m.flatten(join(path, name), v[name])
+			m.flatten(joinPath(path, name), value[name])
 		}
 	case []any:
-		plain := make([]string, 0, len(v))
-		for i, item := range v {
+		plain := make([]string, 0, len(value))
+		for i, item := range value {
 			switch item.(type) {
 			case map[string]any, []any:
-				m.flatten(join(path, strconv.Itoa(i)), item)
+				m.flatten(joinPath(path, strconv.Itoa(i)), item)
 			default:
-				plain = append(plain, text(item))
+				plain = append(plain, plainText(item))
 			}
 		}
-		m.fields = append(m.fields, field{join(path, "count"), strconv.Itoa(len(v))})
-		if len(plain) == len(v) {
+		m.fields = append(m.fields, field{joinPath(path, "count"), strconv.Itoa(len(value))})
+		if len(plain) == len(value) {
 			m.fields = append(m.fields, field{path, strings.Join(plain, ",")})
 		}
 	case nil:
 	default:
-		m.fields = append(m.fields, field{path, text(v)})
+		m.fields = append(m.fields, field{path, plainText(value)})
 	}
 }
 
-func join(path, name string) string {
+// joinPath appends a name to a path.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func text(v any) string {
-	switch v := v.(type) {
+// plainText returns a plain JSON value as text.
+func plainText(value any) string {
+	switch value := value.(type) {
 	case string:
-		return v
+		return value
 	case json.Number:
-		return v.String()
+		return value.String()
 	case bool:
-		return strconv.FormatBool(v)
+		return strconv.FormatBool(value)
 	}
 	return ""
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire reads batches of events and writes replies in the line format of the bench. It decides nothing.
+// Package wire decodes batches of events and encodes replies in the line protocol of the simulator.
 package wire
 
 import (
@@ -19,96 +19,97 @@
 
 // The kinds of event.
 const (
-	Born Kind = iota
-	Shutdown
-	List
-	Offered
-	Outcome
-	Stands
-	HungUp
-	Timer
-	Peer
-	Report
+	InstanceStarted Kind = iota // a call server starts
+	InstanceStopped             // a call server has stopped
+	OfficeList                  // service discovery sends a snapshot or an update of the offices
+	CallOffered                 // a caller offers a call
+	AttemptOutcome              // an attempt or an established call has ended
+	CallEstablished             // an attempt was answered
+	CallHungUp                  // the caller has hung up
+	TimerExpired                // a timer of the call server has expired
+	PeerData                    // another call server sent data
+	OfficeReport                // an office reports the state of its trunk group
 )
 
 // Event is one event for one instance. Only the fields of its kind are set.
 type Event struct {
 	Kind     Kind
-	Instance int
-	Seed     int64
-	Settings logic.Settings // without Host
-	ListKind logic.ListKind
-	Offices  []logic.Office
-	Call     logic.Call
-	Class    string // name of Call.Class, which the reader of the instance's settings fills in
-	Outcome  logic.Outcome
-	Report   logic.Report
-	From     int
-	Data     []byte
-	Mark     string
+	Instance int            // number of the instance
+	Seed     int64          // of InstanceStarted
+	Settings logic.Settings // of InstanceStarted, without Host
+	ListKind logic.ListKind // of OfficeList
+	Offices  []logic.Office // of OfficeList
+	Call     logic.Call     // of CallOffered; of CallHungUp only the ID
+	Class    string         // name of the call's class; Call.Class is set by the user of the event, who knows the instance's settings
+	Outcome  logic.Outcome  // of AttemptOutcome and CallEstablished
+	Report   logic.Report   // of OfficeReport
+	From     int            // of PeerData: number of the sending call server
+	Data     []byte         // of PeerData
+	Mark     string         // of TimerExpired: mark of the timer
 }
 
-// Batch is what comes between two replies.
+// Batch is a group of events that one reply answers.
 type Batch struct {
-	Clock  time.Duration
-	Number uint64
+	Clock  time.Duration // time of the events
+	Number uint64        // number that the reply repeats
 	Events []Event
 }
 
-// Decoder reads batches. Rosters are kept from one batch to the next.
+// Decoder reads batches. The rosters (lists of offices) that it has read stay valid in later batches.
 type Decoder struct {
 	in      *bufio.Reader
-	line    int
-	rosters map[int64][]logic.Office
+	line    int                      // number of the last line read
+	rosters map[int64][]logic.Office // by number of the roster
 }
 
-// NewDecoder reads from in.
+// NewDecoder returns a Decoder that reads from in.
 func NewDecoder(in io.Reader) *Decoder {
 	return &Decoder{in: bufio.NewReaderSize(in, 1<<20), rosters: map[int64][]logic.Office{}}
 }
 
-// Next returns the next batch, or io.EOF where the input ends between two batches.
+// Next returns the next batch, or io.EOF if the input ends between two batches. Other errors name the line.
 func (d *Decoder) Next() (*Batch, error) {
-	b, err := d.next()
+	batch, err := d.readBatch()
 	if err != nil && err != io.EOF {
 		err = fmt.Errorf("line %d: %w", d.line, err)
 	}
-	return b, err
+	return batch, err
 }
 
-func (d *Decoder) next() (*Batch, error) {
-	m, err := d.read()
+// readBatch reads the lines of one batch.
+func (d *Decoder) readBatch() (*Batch, error) {
+	msg, err := d.readLine()
 	if err != nil {
 		return nil, err
 	}
-	if m.name != "tick" {
-		return nil, fmt.Errorf("expected tick, found %q", m.name)
+	if msg.name != "tick" {
+		return nil, fmt.Errorf("expected tick, found %q", msg.name)
 	}
-	b := &Batch{Clock: m.span("clock_ns", true), Number: uint64(m.integer("n", true))}
-	for m.err == nil {
-		if m, err = d.inside(); err != nil {
+	batch := &Batch{Clock: msg.duration("clock_ns", true), Number: uint64(msg.integer("n", true))}
+	for msg.err == nil {
+		if msg, err = d.readLineInBatch(); err != nil {
 			return nil, err
 		}
-		if m.name == "flush" {
-			return b, nil
+		if msg.name == "flush" {
+			return batch, nil
 		}
-		if m.name == "roster" {
-			if err := d.roster(m); err != nil {
+		if msg.name == "roster" {
+			if err := d.readRoster(msg); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		var ev Event
-		if ev, err = d.event(m); err != nil {
+		var event Event
+		if event, err = d.parseEvent(msg); err != nil {
 			return nil, err
 		}
-		b.Events = append(b.Events, ev)
+		batch.Events = append(batch.Events, event)
 	}
-	return nil, m.err
+	return nil, msg.err
 }
 
-// read gives the next line, or io.EOF.
-func (d *Decoder) read() (*message, error) {
+// readLine reads and parses the next line, or returns io.EOF.
+func (d *Decoder) readLine() (*message, error) {
 	text, err := d.in.ReadString('\n')
 	if err == io.EOF && text == "" {
 		return nil, io.EOF
@@ -120,117 +121,127 @@
 	if err != nil {
 		return nil, err
 	}
-	return split(strings.TrimSuffix(text[:len(text)-1], "\r"))
+	return parseLine(strings.TrimSuffix(text[:len(text)-1], "\r"))
 }
 
-// inside is read within a batch, where the input must not end.
-func (d *Decoder) inside() (*message, error) {
-	m, err := d.read()
+// readLineInBatch is readLine inside a batch, where the input must not end.
+func (d *Decoder) readLineInBatch() (*message, error) {
+	msg, err := d.readLine()
 	if err == io.EOF {
 		return nil, fmt.Errorf("input ended inside a batch")
 	}
-	return m, err
+	return msg, err
 }
 
-func (d *Decoder) roster(m *message) error {
-	number, count := m.integer("list", true), m.integer("members", true)
-	if m.err != nil {
-		return m.err
+// readRoster reads the lines of a roster.
+func (d *Decoder) readRoster(msg *message) error {
+	number, count := msg.integer("list", true), msg.integer("members", true)
+	if msg.err != nil {
+		return msg.err
 	}
 	if count < 0 {
 		return fmt.Errorf("roster with %d members", count)
 	}
 	var offices []logic.Office
 	for ; count > 0; count-- {
-		o, err := d.inside()
+		line, err := d.readLineInBatch()
 		if err != nil {
 			return err
 		}
-		if o.name != "office" {
-			return fmt.Errorf("expected office, found %q", o.name)
+		if line.name != "office" {
+			return fmt.Errorf("expected office, found %q", line.name)
 		}
-		of := logic.Office{ID: o.text("office", true), Exchange: int(o.integer("cell", false)),
-			Started: o.span("start_time_ns", false)}
-		switch s := o.text("health", true); s {
+		parsed := logic.Office{ID: line.text("office", true), Exchange: int(line.integer("cell", false)),
+			Started: line.duration("start_time_ns", false)}
+		switch health := line.text("health", true); health {
 		case "Ready":
 		case "Terminating":
-			of.State = logic.Draining
+			parsed.State = logic.Draining
 		case "Gone":
-			of.State = logic.Gone
+			parsed.State = logic.Gone
 		default:
-			o.fail("health", s)
+			line.fail("health", health)
 		}
-		if o.err != nil {
-			return o.err
+		if line.err != nil {
+			return line.err
 		}
-		offices = append(offices, of)
+		offices = append(offices, parsed)
 	}
 	d.rosters[number] = offices
 	return nil
 }
 
+// listKinds maps the values of "form" to kinds of list.
 var listKinds = map[string]logic.ListKind{"update": logic.ListUpdate, "replace": logic.ListReplace,
 	"restored": logic.ListRestored, "unavailable": logic.ListUnavailable}
 
-func (d *Decoder) event(m *message) (Event, error) {
-	ev := Event{Instance: int(m.integer("i", true))}
-	switch m.name {
+// Flags of an incoming message.
+const (
+	flagAgain   = 2
+	flagTransit = 8
+	flagWasCut  = 16
+)
+
+// parseEvent converts a line to an event.
+func (d *Decoder) parseEvent(msg *message) (Event, error) {
+	event := Event{Instance: int(msg.integer("i", true))}
+	switch msg.name {
 	case "born":
-		ev.Kind, ev.Seed, ev.Settings = Born, m.integer("salt", true), m.settings()
+		event.Kind, event.Seed, event.Settings = InstanceStarted, msg.integer("salt", true), msg.settings()
 	case "shutdown":
-		ev.Kind = Shutdown
+		event.Kind = InstanceStopped
 	case "targets":
-		ev.Kind = List
-		form := m.text("form", true)
+		event.Kind = OfficeList
+		form := msg.text("form", true)
 		kind, ok := listKinds[form]
 		if !ok {
-			m.fail("form", form)
+			msg.fail("form", form)
 		}
-		ev.ListKind = kind
+		event.ListKind = kind
 		if kind == logic.ListUnavailable {
 			break
 		}
-		number := m.integer("list", true)
-		if ev.Offices, ok = d.rosters[number]; !ok {
-			m.fail("list", strconv.FormatInt(number, 10))
+		number := msg.integer("list", true)
+		if event.Offices, ok = d.rosters[number]; !ok {
+			msg.fail("list", strconv.FormatInt(number, 10))
 		}
 	case "incoming":
-		flags := m.integer("flags", false)
-		ev.Kind, ev.Class = Offered, m.text("qos", true)
-		ev.Call = logic.Call{ID: m.id(), Dest: int(m.or("dest", -1)), Width: int(m.or("circuits", 0)),
-			Via: int(m.or("hop", -1)), Transit: flags&8 != 0, Again: flags&2 != 0, WasCut: flags&16 != 0,
-			Number: m.text("partition_key", false), TimeLeft: m.span("time_left_ns", true)}
+		flags := msg.integer("flags", false)
+		event.Kind, event.Class = CallOffered, msg.text("qos", true)
+		event.Call = logic.Call{ID: msg.callID(), Dest: int(msg.integerOr("dest", -1)), Width: int(msg.integerOr("circuits", 0)),
+			Via: int(msg.integerOr("hop", -1)), Transit: flags&flagTransit != 0, Again: flags&flagAgain != 0, WasCut: flags&flagWasCut != 0,
+			Number: msg.text("partition_key", false), TimeLeft: msg.duration("time_left_ns", true)}
 	case "reply":
-		code := m.text("state_code", true)
+		code := msg.text("state_code", true)
 		if len(code) != 1 || !strings.Contains("SEFTCRXN", code) {
-			m.fail("state_code", code)
+			msg.fail("state_code", code)
 			break
 		}
-		ev.Kind = Outcome
-		ev.Outcome = logic.Outcome{Call: m.id(), Attempt: int(m.integer("seq_no", true)), Office: m.text("office", true),
-			Status: logic.Status(code[0]), Took: m.span("took_ns", false), Over: m.integer("finished", false) == 1,
-			Note: int(m.integer("note", false)), Load: m.row("usage")}
+		event.Kind = AttemptOutcome
+		event.Outcome = logic.Outcome{Call: msg.callID(), Attempt: int(msg.integer("seq_no", true)), Office: msg.text("office", true),
+			Status: logic.Status(code[0]), Took: msg.duration("took_ns", false), Over: msg.integer("finished", false) == 1,
+			Note: int(msg.integer("note", false)), Load: msg.floats("usage")}
 	case "accepted":
-		ev.Kind = Stands
-		ev.Outcome = logic.Outcome{Call: m.id(), Attempt: int(m.integer("seq_no", true)), Office: m.text("office", true),
-			Took: m.span("took_ns", false)}
+		event.Kind = CallEstablished
+		event.Outcome = logic.Outcome{Call: msg.callID(), Attempt: int(msg.integer("seq_no", true)), Office: msg.text("office", true),
+			Took: msg.duration("took_ns", false)}
 	case "hangup":
-		ev.Kind, ev.Call.ID = HungUp, m.id()
+		event.Kind, event.Call.ID = CallHungUp, msg.callID()
 	case "deadline_hit":
-		ev.Kind, ev.Mark = Timer, m.text("mark", true)
+		event.Kind, event.Mark = TimerExpired, msg.text("mark", true)
 	case "from_peer":
-		ev.Kind, ev.From, ev.Data = Peer, int(m.integer("from", true)), m.bytes("data")
+		event.Kind, event.From, event.Data = PeerData, int(msg.integer("from", true)), msg.hexBytes("data")
 	case "pong":
-		ev.Kind = Report
-		ev.Report = logic.Report{Office: m.text("office", true), OK: m.text("state_code", true) == "S",
-			Took: m.span("took_ns", false), Load: m.row("usage")}
+		event.Kind = OfficeReport
+		event.Report = logic.Report{Office: msg.text("office", true), OK: msg.text("state_code", true) == "S",
+			Took: msg.duration("took_ns", false), Load: msg.floats("usage")}
 	default:
-		return ev, fmt.Errorf("unknown message %q", m.name)
+		return event, fmt.Errorf("unknown message %q", msg.name)
 	}
-	return ev, m.err
+	return event, msg.err
 }
 
-// message is one line: a name and its fields. Its getters keep the first error.
+// message is one line: a name and its fields. The getters store the first error in err.
 type message struct {
 	name   string
 	fields []field
@@ -239,228 +250,241 @@
 
 type field struct{ name, value string }
 
-func split(line string) (*message, error) {
+// parseLine parses a line of tab-separated fields; the first one is the name of the message.
+func parseLine(line string) (*message, error) {
 	name, rest, more := strings.Cut(line, "\t")
-	m := &message{name: name}
+	msg := &message{name: name}
 	for more {
 		var part string
 		part, rest, more = strings.Cut(rest, "\t")
 		if part == "" {
 			continue
 		}
-		k, v, ok := strings.Cut(part, "=")
+		key, value, ok := strings.Cut(part, "=")
 		if !ok {
 			return nil, fmt.Errorf("%s: %q is not name=value", name, part)
 		}
-		m.fields = append(m.fields, field{k, v})
+		msg.fields = append(msg.fields, field{key, value})
 	}
-	return m, nil
+	return msg, nil
 }
 
+// fail stores an error about the value of a field.
 func (m *message) fail(name, value string) {
 	if m.err == nil {
 		m.err = fmt.Errorf("%s: bad %s %q", m.name, name, value)
 	}
 }
 
-func (m *message) text(name string, must bool) string {
-	for _, f := range m.fields {
-		if f.name == name {
-			return f.value
+// text returns the value of a field, or "" if it is absent.
+func (m *message) text(name string, required bool) string {
+	for _, field := range m.fields {
+		if field.name == name {
+			return field.value
 		}
 	}
-	if must && m.err == nil {
+	if required && m.err == nil {
 		m.err = fmt.Errorf("%s: %s is missing", m.name, name)
 	}
 	return ""
 }
 
-func (m *message) integer(name string, must bool) int64 {
-	s := m.text(name, must)
-	if s == "" {
-		if must {
-			m.fail(name, s)
+// integer returns the value of a numeric field, without its fraction, or 0 if it is absent.
+func (m *message) integer(name string, required bool) int64 {
+	text := m.text(name, required)
+	if text == "" {
+		if required {
+			m.fail(name, text)
 		}
 		return 0
 	}
-	v, err := strconv.ParseInt(s, 10, 64)
+	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		f, ferr := strconv.ParseFloat(s, 64)
-		if ferr != nil {
-			m.fail(name, s)
+		float, floatErr := strconv.ParseFloat(text, 64)
+		if floatErr != nil {
+			m.fail(name, text)
 		}
-		v = int64(f)
+		number = int64(float)
 	}
-	return v
+	return number
 }
 
-func (m *message) or(name string, absent int64) int64 {
+// integerOr returns the value of a numeric field, or fallback if it is absent.
+func (m *message) integerOr(name string, fallback int64) int64 {
 	if m.text(name, false) == "" {
-		return absent
+		return fallback
 	}
 	return m.integer(name, false)
 }
 
-func (m *message) id() uint64 { return uint64(m.integer("job", true)) }
+// callID returns the id of the call.
+func (m *message) callID() uint64 { return uint64(m.integer("job", true)) }
 
-func (m *message) span(name string, must bool) time.Duration {
-	return time.Duration(m.integer(name, must))
+// duration returns the value of a field in nanoseconds.
+func (m *message) duration(name string, required bool) time.Duration {
+	return time.Duration(m.integer(name, required))
 }
 
+// float returns the value of a numeric field, or 0 if it is absent.
 func (m *message) float(name string) float64 {
-	s := m.text(name, false)
-	if s == "" {
+	text := m.text(name, false)
+	if text == "" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(s, 64)
+	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		m.fail(name, s)
+		m.fail(name, text)
 	}
-	return v
+	return number
 }
 
-func (m *message) row(name string) []float64 {
-	s := m.text(name, false)
-	if s == "" || s == "-" {
+// floats returns the values of a field of numbers separated by commas, or nil if it is absent or "-".
+func (m *message) floats(name string) []float64 {
+	text := m.text(name, false)
+	if text == "" || text == "-" {
 		return nil
 	}
-	var out []float64
-	for _, p := range strings.Split(s, ",") {
-		v, err := strconv.ParseFloat(p, 64)
+	var numbers []float64
+	for _, part := range strings.Split(text, ",") {
+		number, err := strconv.ParseFloat(part, 64)
 		if err != nil {
-			m.fail(name, s)
+			m.fail(name, text)
 		}
-		out = append(out, v)
+		numbers = append(numbers, number)
 	}
-	return out
+	return numbers
 }
 
-func (m *message) list(name string) []string {
-	s := m.text(name, false)
-	if s == "" {
+// textList returns the values of a field of texts separated by commas, or nil if it is absent.
+func (m *message) textList(name string) []string {
+	text := m.text(name, false)
+	if text == "" {
 		return nil
 	}
-	return strings.Split(s, ",")
+	return strings.Split(text, ",")
 }
 
-func (m *message) bytes(name string) []byte {
-	s := m.text(name, false)
-	if s == "" || s == "-" {
+// hexBytes returns the value of a field in hex digits, or nil if it is absent or "-".
+func (m *message) hexBytes(name string) []byte {
+	text := m.text(name, false)
+	if text == "" || text == "-" {
 		return nil
 	}
-	b, err := hex.DecodeString(s)
+	decoded, err := hex.DecodeString(text)
 	if err != nil {
-		m.fail(name, s)
+		m.fail(name, text)
 	}
-	return b
+	return decoded
 }
 
-// settings reads the start-up settings of a born line.
+// settings returns the settings of an instance from its born message.
 func (m *message) settings() logic.Settings {
-	s := logic.Settings{
+	settings := logic.Settings{
 		Me: int(m.integer("my_number", false)), Instances: int(m.integer("instances", false)),
-		Home: int(m.or("family_info.home_no", -1)), Pools: m.text("family_info.layout", false) == "groups",
-		MaxAttempts: int(m.integer("limits.max_attempts", false)), CanCancel: m.flag("limits.cancel"),
-		CanProbe: m.flag("limits.probes"), CanTell: m.flag("limits.peers"), TellsWait: m.flag("limits.retry_after"),
-		MaxWait: m.span("limits.max_retry_after_ns", false), ListOnRequest: m.text("discovery", false) == "on_request",
-		AskWithin: m.span("rules.ask_within_ns", false), Advice: m.flag("family_info.route_advice"),
-		ReportFields: m.list("reporting.fields"), Tick: m.span("tick_ns", false),
-		Release: m.span("family_info.release_ns", false), DrainGrace: m.span("rules.drain_grace_ns", false),
-		TipAfter: m.span("rules.tip_after_ns", false), Overload: m.float("rules.overload_factor"),
-		ColdFrom: m.float("rules.cold_from"), ColdFor: m.span("rules.cold_ns", false),
-	}
-	holds, widths := m.row("family_info.mean_hold_ns"), m.row("family_info.channels_needed")
-	for n := int64(0); n < m.integer("classes.count", false); n++ {
-		p := "classes." + strconv.FormatInt(n, 10) + "."
-		c := logic.Class{Name: m.text(p+"name", true), Worth: m.float(p + "worth"), LateShare: m.float(p + "late_share"),
-			Aim: m.span(p+"target_ns", false), Deadline: m.span(p+"deadline_ns", false), Width: 1,
-			Safe: m.text(p+"effect", false) == "safe"}
-		if int(n) < len(holds) {
-			c.Hold = time.Duration(holds[n])
+		Home: int(m.integerOr("family_info.home_no", -1)), Pools: m.text("family_info.layout", false) == "groups",
+		MaxAttempts: int(m.integer("limits.max_attempts", false)), CanCancel: m.boolean("limits.cancel"),
+		CanProbe: m.boolean("limits.probes"), CanTell: m.boolean("limits.peers"), TellsWait: m.boolean("limits.retry_after"),
+		MaxWait: m.duration("limits.max_retry_after_ns", false), ListOnRequest: m.text("discovery", false) == "on_request",
+		AskWithin: m.duration("rules.ask_within_ns", false), Advice: m.boolean("family_info.route_advice"),
+		ReportFields: m.textList("reporting.fields"), Tick: m.duration("tick_ns", false),
+		Release: m.duration("family_info.release_ns", false), DrainGrace: m.duration("rules.drain_grace_ns", false),
+		TipAfter: m.duration("rules.tip_after_ns", false), Overload: m.float("rules.overload_factor"),
+		ColdFrom: m.float("rules.cold_from"), ColdFor: m.duration("rules.cold_ns", false),
+	}
+	holds, widths := m.floats("family_info.mean_hold_ns"), m.floats("family_info.channels_needed")
+	for index := int64(0); index < m.integer("classes.count", false); index++ {
+		prefix := "classes." + strconv.FormatInt(index, 10) + "."
+		class := logic.Class{Name: m.text(prefix+"name", true), Worth: m.float(prefix + "worth"), LateShare: m.float(prefix + "late_share"),
+			Aim: m.duration(prefix+"target_ns", false), Deadline: m.duration(prefix+"deadline_ns", false), Width: 1,
+			Safe: m.text(prefix+"effect", false) == "safe"}
+		if int(index) < len(holds) {
+			class.Hold = time.Duration(holds[index])
 		}
-		if int(n) < len(widths) {
-			c.Width = int(widths[n])
+		if int(index) < len(widths) {
+			class.Width = int(widths[index])
 		}
-		c.Pools = m.pools(int(n))
-		s.Classes = append(s.Classes, c)
+		class.Pools = m.pools(int(index))
+		settings.Classes = append(settings.Classes, class)
 	}
-	return s
+	return settings
 }
 
-// pools reads the pools that class n may go to: a list of lists, by path or by count.
-func (m *message) pools(n int) []int {
-	path := "family_info.allowed_pools." + strconv.Itoa(n)
+// pools returns the pools that calls of a class may go to. They are one field with all numbers, or one field for each number
+// and a count.
+func (m *message) pools(class int) []int {
+	path := "family_info.allowed_pools." + strconv.Itoa(class)
 	text := m.text(path, false)
 	if text == "" {
-		for k := int64(0); k < m.integer(path+".count", false); k++ {
-			text += "," + m.text(path+"."+strconv.FormatInt(k, 10), true)
+		for index := int64(0); index < m.integer(path+".count", false); index++ {
+			text += "," + m.text(path+"."+strconv.FormatInt(index, 10), true)
 		}
 	}
-	var out []int
-	for _, p := range strings.FieldsFunc(text, func(r rune) bool { return r < '0' || r > '9' }) {
-		v, err := strconv.Atoi(p)
+	var numbers []int
+	for _, digits := range strings.FieldsFunc(text, func(char rune) bool { return char < '0' || char > '9' }) {
+		number, err := strconv.Atoi(digits)
 		if err != nil {
 			m.fail(path, text)
 		}
-		out = append(out, v)
+		numbers = append(numbers, number)
 	}
-	return out
+	return numbers
 }
 
-func (m *message) flag(name string) bool {
-	s := m.text(name, false)
-	return s == "true" || s == "1"
+// boolean reports whether a field is "true" or "1".
+func (m *message) boolean(name string) bool {
+	text := m.text(name, false)
+	return text == "true" || text == "1"
 }
 
-// Encoder writes the reply to one batch; nothing goes out before Finish.
+// Encoder writes the reply to one batch. It writes nothing before Finish.
 type Encoder struct {
 	out io.Writer
 	buf bytes.Buffer
 }
 
-// NewEncoder writes to out.
+// NewEncoder returns an Encoder that writes to out.
 func NewEncoder(out io.Writer) *Encoder { return &Encoder{out: out} }
 
-// Action adds one action; fields are already name=value.
+// Action adds an action of an instance to the reply. Each of the fields has the form name=value.
 func (e *Encoder) Action(name string, instance int, fields ...string) {
 	e.buf.WriteString(name)
 	e.buf.WriteString("\ti=")
 	e.buf.WriteString(strconv.Itoa(instance))
-	for _, f := range fields {
+	for _, field := range fields {
 		e.buf.WriteByte('\t')
-		e.buf.WriteString(f)
+		e.buf.WriteString(field)
 	}
 	e.buf.WriteByte('\n')
 }
 
-// Finish ends the reply and sends it in one write.
-func (e *Encoder) Finish(number uint64) error {
-	fmt.Fprintf(&e.buf, "finished\tn=%d\n", number)
+// Finish ends the reply to the batch with this number, and writes it at once.
+func (e *Encoder) Finish(batch uint64) error {
+	fmt.Fprintf(&e.buf, "finished\tn=%d\n", batch)
 	_, err := e.out.Write(e.buf.Bytes())
 	e.buf.Reset()
 	return err
 }
 
-// ID writes a call's id.
+// ID returns the field with the id of a call.
 func ID(id uint64) string { return "job=" + strconv.FormatUint(id, 10) }
 
-// Int writes a number.
-func Int(name string, v int64) string { return name + "=" + strconv.FormatInt(v, 10) }
+// Int returns a field with a number.
+func Int(name string, value int64) string { return name + "=" + strconv.FormatInt(value, 10) }
 
-// Text writes a text, kept to one field of one line.
-func Text(name, v string) string {
-	return name + "=" + strings.Map(func(r rune) rune {
-		if r == '\t' || r == '\n' || r == '\r' {
+// Text returns a field with a text. Tabs and line breaks, which would end the field, become spaces.
+func Text(name, value string) string {
+	return name + "=" + strings.Map(func(char rune) rune {
+		if char == '\t' || char == '\n' || char == '\r' {
 			return ' '
 		}
-		return r
-	}, v)
+		return char
+	}, value)
 }
 
-// Hex writes bytes.
-func Hex(name string, b []byte) string {
-	if len(b) == 0 {
+// Hex returns a field with bytes in hex digits, "-" for none.
+func Hex(name string, data []byte) string {
+	if len(data) == 0 {
 		return name + "=-"
 	}
-	return name + "=" + hex.EncodeToString(b)
+	return name + "=" + hex.EncodeToString(data)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,16 +14,16 @@
 	"flush\n"
 
 func TestDecoderReadsABatch(t *testing.T) {
-	b, err := NewDecoder(strings.NewReader(sample)).Next()
-	if err != nil || b.Number != 12 || len(b.Events) != 3 {
-		t.Fatalf("batch %+v, error %v", b, err)
+	batch, err := NewDecoder(strings.NewReader(sample)).Next()
+	if err != nil || batch.Number != 12 || len(batch.Events) != 3 {
+		t.Fatalf("batch %+v, error %v", batch, err)
 	}
-	if c := b.Events[1].Call; c.ID != 7 || c.Dest != 3 || c.Via != 2 || c.Number != "91f0" {
-		t.Errorf("call %+v", c)
+	if call := batch.Events[1].Call; call.ID != 7 || call.Dest != 3 || call.Via != 2 || call.Number != "91f0" {
+		t.Errorf("call %+v", call)
 	}
 }
 
-// FuzzDecoder: whatever comes in, the decoder ends with a batch or one error that names the line, never a panic.
+// FuzzDecoder checks that on any input the decoder returns batches, or an error that names the line, and never panics.
 func FuzzDecoder(f *testing.F) {
 	f.Add(sample)
 	f.Add(strings.Replace(sample, "members=1", "members=-1", 1))
@@ -31,10 +31,10 @@
 	f.Add(strings.Replace(sample, "job=7", "job=x", 1))
 	f.Add("tick\tclock_ns=1\tn=1\n")
 	f.Add("flush\n")
-	f.Fuzz(func(t *testing.T, in string) {
-		d := NewDecoder(strings.NewReader(in))
+	f.Fuzz(func(t *testing.T, input string) {
+		decoder := NewDecoder(strings.NewReader(input))
 		for i := 0; i < 100; i++ {
-			if _, err := d.Next(); err != nil {
+			if _, err := decoder.Next(); err != nil {
 				if err.Error() != "EOF" && !strings.HasPrefix(err.Error(), "line ") {
 					t.Errorf("error without a line: %v", err)
 				}
