--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
 // Command benchlink connects the decision module to a simulator: it hosts one Controller for each simulated call server, reads
-// events from standard input and writes actions to standard output.
+// events from standard input and writes actions to standard output. It makes no decisions about calls.
 package main
 
 import (
--- a/internal/platform/acceptqueue.go
+++ b/internal/platform/acceptqueue.go
@@ -35,7 +35,7 @@
 	maxFillers       = 8                      // upper bound for the capacity of a short accept queue
 	fillTimeout      = 500 * time.Millisecond // the queue is full if a connection is not established within this time
 	maxBlockAttempts = 5                      // attempts to fill the whole queue with own connections
-	acceptAllTimeout = 2 * time.Millisecond   // how long acceptAll waits for a connection
+	acceptAllTimeout = 2 * time.Millisecond   // how long acceptAll accepts connections
 )
 
 // shortBacklogCapacity returns how many connections fill a short accept queue on this machine.
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -43,8 +43,8 @@
 // loopbackHost returns an address in 127.0.0.0/8 that only one Environment uses. Connections are opened from 127.0.0.1, and no
 // port is used twice. So the port of a listener that closes cannot be taken by others before it listens again.
 func loopbackHost() string {
-	n := uint32(os.Getpid())<<6 + environmentCount.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d", 64+n>>16&63, n>>8&255, 1+n%254)
+	number := uint32(os.Getpid())<<6 + environmentCount.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d", 64+number>>16&63, number>>8&255, 1+number%254)
 }
 
 // basePort is the port below the first one that FreeAddr returns. They lie below the ephemeral ports of the kernel.
--- a/internal/platform/office.go
+++ b/internal/platform/office.go
@@ -21,22 +21,22 @@
 	WidthOf    func(class string) int                  // circuits of a call by its class; nil: 1
 	Delay      func(call uint64) time.Duration         // wait before a set-up is handled; nil: none
 	BehaviorOf func(call uint64, attempt int) Behavior // reaction to a set-up; attempts of a call count from 1
-	Crosses    bool                                    // a connection that the call server half-closes releases all calls, no other does
+	Crosses    bool                                    // established calls are released on a half-closed connection, and on no other
 	Circuits   int                                     // circuits toward each call server; 0: defaultCircuits
 	Pushes     bool                                    // each change of a trunk group is sent on every connection of its call server
 	Tapped     bool                                    // a tap reports attempts to the rule checker, not the office
 	Events     OfficeEvents
 
-	env            *Environment
-	mu             sync.Mutex
-	resumed        *sync.Cond                 // signals changes of hung
-	hung           bool                       // the office reads and sends nothing
-	dead           bool                       // the office has ended
-	setUps         map[uint64]int             // attempts by call
-	established    map[uint64]establishedCall // established calls
-	conns          []*officeConn              // open connections, newest last
-	unsentReleases map[string][]uint64        // calls to release on the next connection, by call server
-	endedProcesses map[string]int             // number of ended processes, by call server
+	env             *Environment
+	mu              sync.Mutex
+	resumed         *sync.Cond                 // signals changes of hung
+	hung            bool                       // the office reads and sends nothing
+	dead            bool                       // the office has ended
+	setUps          map[uint64]int             // attempts by call
+	established     map[uint64]establishedCall // established calls
+	conns           []*officeConn              // open connections, newest last
+	pendingReleases map[string][]uint64        // calls to release on the next connection, by call server
+	endedProcesses  map[string]int             // number of ended processes, by call server
 }
 
 // OfficeEvents are called when calls at an Office change; each may be nil. node is the name of the call server.
@@ -60,7 +60,7 @@
 func (e *Environment) NewOffice(id string, cell int, hold time.Duration, behavior func(call uint64, attempt int) Behavior) (*Office, error) {
 	o := &Office{Hold: hold, BehaviorOf: behavior, env: e,
 		setUps: map[uint64]int{}, established: map[uint64]establishedCall{},
-		unsentReleases: map[string][]uint64{}, endedProcesses: map[string]int{}}
+		pendingReleases: map[string][]uint64{}, endedProcesses: map[string]int{}}
 	o.resumed = sync.NewCond(&o.mu)
 	o.Member = feed.Member{ID: id, Cell: cell, Phase: feed.Serving}
 	addr, err := o.Listen("")
@@ -132,7 +132,7 @@
 	o.dead, o.hung = true, false
 	o.resumed.Broadcast()
 	established, conns := o.established, slices.Clone(o.conns)
-	o.established, o.unsentReleases = map[uint64]establishedCall{}, map[string][]uint64{}
+	o.established, o.pendingReleases = map[uint64]establishedCall{}, map[string][]uint64{}
 	o.mu.Unlock()
 	for call, ended := range established {
 		o.reportEnded(call, ended.node, false)
@@ -165,7 +165,7 @@
 		return
 	}
 	delete(o.established, call)
-	o.unsentReleases[node] = append(o.unsentReleases[node], call)
+	o.pendingReleases[node] = append(o.pendingReleases[node], call)
 	conn := o.newestConn(node)
 	o.mu.Unlock()
 	o.reportEnded(call, node, conn != nil)
--- a/internal/platform/officeconn.go
+++ b/internal/platform/officeconn.go
@@ -64,13 +64,13 @@
 	if !dead {
 		o.conns = append(o.conns, c)
 	}
-	var unsentReleases []uint64
+	var pendingReleases []uint64
 	if !dead {
-		unsentReleases = o.unsentReleases[c.node]
-		delete(o.unsentReleases, c.node)
+		pendingReleases = o.pendingReleases[c.node]
+		delete(o.pendingReleases, c.node)
 	}
 	o.mu.Unlock()
-	for _, call := range unsentReleases {
+	for _, call := range pendingReleases {
 		if o.Events.Said != nil {
 			o.Events.Said(call, c.node)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire decodes batches of events and encodes replies in the line protocol of the simulator.
+// Package wire decodes batches of events and encodes replies in the line protocol of the simulator. It makes
+// no decisions about calls.
 package wire
 
 import (
