--- a/office/office.go
+++ b/office/office.go
@@ -68,60 +68,60 @@
 }
 
 // Append appends a message in wire form. A message larger than MaxMessageBytes is an error.
-func Append(b []byte, msg *Message) ([]byte, error) {
-	start := len(b)
-	b = append(b, 0, 0, byte(msg.Type))
-	b = binary.BigEndian.AppendUint64(b, msg.Call)
-	b = appendParam(b, paramClass, msg.Class)
+func Append(buf []byte, msg *Message) ([]byte, error) {
+	start := len(buf)
+	buf = append(buf, 0, 0, byte(msg.Type))
+	buf = binary.BigEndian.AppendUint64(buf, msg.Call)
+	buf = appendParam(buf, paramClass, msg.Class)
 	if msg.Wait > 0 {
-		b = appendParam(b, paramWait, strconv.Itoa(msg.Wait))
+		buf = appendParam(buf, paramWait, strconv.Itoa(msg.Wait))
 	}
-	b = appendParam(b, paramNumber, msg.Number)
-	b = appendParam(b, paramNote, msg.Note)
-	b = appendParam(b, paramLoad, msg.Load)
+	buf = appendParam(buf, paramNumber, msg.Number)
+	buf = appendParam(buf, paramNote, msg.Note)
+	buf = appendParam(buf, paramLoad, msg.Load)
 	if msg.HasCause {
-		b = append(b, paramCause, 0, 1, msg.Cause)
+		buf = append(buf, paramCause, 0, 1, msg.Cause)
 	}
-	b = appendParam(b, paramDescription, msg.Description)
-	if len(b)-start > MaxMessageBytes {
-		return b[:start], fmt.Errorf("office: message of %d bytes is too large", len(b)-start)
+	buf = appendParam(buf, paramDescription, msg.Description)
+	if len(buf)-start > MaxMessageBytes {
+		return buf[:start], fmt.Errorf("office: message of %d bytes is too large", len(buf)-start)
 	}
-	binary.BigEndian.PutUint16(b[start:], uint16(len(b)-start-lengthFieldBytes))
-	return b, nil
+	binary.BigEndian.PutUint16(buf[start:], uint16(len(buf)-start-lengthFieldBytes))
+	return buf, nil
 }
 
 // appendParam appends one parameter; an empty value is left out.
-func appendParam[T string | []byte](b []byte, code byte, value T) []byte {
+func appendParam[T string | []byte](buf []byte, code byte, value T) []byte {
 	if len(value) == 0 {
-		return b
+		return buf
 	}
-	b = append(b, code, byte(len(value)>>8), byte(len(value)))
-	return append(b, value...)
+	buf = append(buf, code, byte(len(value)>>8), byte(len(value)))
+	return append(buf, value...)
 }
 
 // Parse decodes one message without its length field. Parameters with unknown codes are skipped.
-func Parse(b []byte) (*Message, error) {
-	if len(b) < minContentBytes {
-		return nil, fmt.Errorf("office: message of %d bytes is too short", len(b))
+func Parse(data []byte) (*Message, error) {
+	if len(data) < minContentBytes {
+		return nil, fmt.Errorf("office: message of %d bytes is too short", len(data))
 	}
-	msg := &Message{Type: Type(b[0]), Call: binary.BigEndian.Uint64(b[1:])}
+	msg := &Message{Type: Type(data[0]), Call: binary.BigEndian.Uint64(data[1:])}
 	switch msg.Type {
 	case SetUp, Progress, Answer, Release, Heard, GroupState, Test, TestReport:
 	default:
-		return nil, fmt.Errorf("office: unknown message type %d", b[0])
+		return nil, fmt.Errorf("office: unknown message type %d", data[0])
 	}
-	for b = b[minContentBytes:]; len(b) > 0; {
-		if len(b) < paramHeaderBytes {
-			return nil, fmt.Errorf("office: %d bytes after the last parameter", len(b))
+	for data = data[minContentBytes:]; len(data) > 0; {
+		if len(data) < paramHeaderBytes {
+			return nil, fmt.Errorf("office: %d bytes after the last parameter", len(data))
 		}
-		code, length := b[0], int(binary.BigEndian.Uint16(b[1:]))
-		if b = b[paramHeaderBytes:]; length > len(b) {
-			return nil, fmt.Errorf("office: parameter %d has length %d, but only %d bytes are left", code, length, len(b))
+		code, length := data[0], int(binary.BigEndian.Uint16(data[1:]))
+		if data = data[paramHeaderBytes:]; length > len(data) {
+			return nil, fmt.Errorf("office: parameter %d has length %d, but only %d bytes are left", code, length, len(data))
 		}
-		if err := msg.setParam(code, b[:length]); err != nil {
+		if err := msg.setParam(code, data[:length]); err != nil {
 			return nil, err
 		}
-		b = b[length:]
+		data = data[length:]
 	}
 	return msg, nil
 }
--- a/sip/sip.go
+++ b/sip/sip.go
@@ -43,9 +43,9 @@
 
 // Get returns the value of the first header field with this name, or "".
 func (m *Message) Get(name string) string {
-	for _, f := range m.Fields {
-		if strings.EqualFold(f.Name, name) {
-			return f.Value
+	for _, field := range m.Fields {
+		if strings.EqualFold(field.Name, name) {
+			return field.Value
 		}
 	}
 	return ""
--- a/sip/write.go
+++ b/sip/write.go
@@ -28,9 +28,9 @@
 	}
 	head.CallID = msg.CallID
 	for _, name := range echoedFields {
-		for _, f := range msg.Fields {
-			if strings.EqualFold(f.Name, name) {
-				head.fields = appendField(head.fields, name, f.Value)
+		for _, field := range msg.Fields {
+			if strings.EqualFold(field.Name, name) {
+				head.fields = appendField(head.fields, name, field.Value)
 			}
 		}
 	}
@@ -39,46 +39,46 @@
 
 // Response appends a response to the request that head was taken from. If retryAfter, in seconds, is not 0, it goes into
 // a Retry-After field.
-func Response(b []byte, head Head, status, retryAfter int, body []byte) []byte {
-	b = append(b, "SIP/2.0 "...)
-	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(b, ' ')
-	b = append(b, reasonPhrases[status]...)
-	b = append(b, "\r\n"...)
-	b = append(b, head.fields...)
+func Response(buf []byte, head Head, status, retryAfter int, body []byte) []byte {
+	buf = append(buf, "SIP/2.0 "...)
+	buf = strconv.AppendInt(buf, int64(status), 10)
+	buf = append(buf, ' ')
+	buf = append(buf, reasonPhrases[status]...)
+	buf = append(buf, "\r\n"...)
+	buf = append(buf, head.fields...)
 	if retryAfter > 0 {
-		b = appendField(b, "Retry-After", strconv.Itoa(retryAfter))
+		buf = appendField(buf, "Retry-After", strconv.Itoa(retryAfter))
 	}
-	return appendBody(b, body)
+	return appendBody(buf, body)
 }
 
 // Request appends a request that the call server sends about a call. cause is a Q.850 cause for the Reason field
 // (RFC 3326), 0 for none.
-func Request(b []byte, method, uri, callID string, sequence, cause int) []byte {
-	b = append(b, method...)
-	b = append(b, ' ')
-	b = append(b, uri...)
-	b = append(b, " SIP/2.0\r\n"...)
-	b = appendField(b, "Via", "SIP/2.0/TCP peer")
-	b = appendField(b, "Call-ID", callID)
-	b = appendField(b, "CSeq", strconv.Itoa(sequence)+" "+method)
+func Request(buf []byte, method, uri, callID string, sequence, cause int) []byte {
+	buf = append(buf, method...)
+	buf = append(buf, ' ')
+	buf = append(buf, uri...)
+	buf = append(buf, " SIP/2.0\r\n"...)
+	buf = appendField(buf, "Via", "SIP/2.0/TCP peer")
+	buf = appendField(buf, "Call-ID", callID)
+	buf = appendField(buf, "CSeq", strconv.Itoa(sequence)+" "+method)
 	if cause > 0 {
-		b = appendField(b, "Reason", "Q.850;cause="+strconv.Itoa(cause))
+		buf = appendField(buf, "Reason", "Q.850;cause="+strconv.Itoa(cause))
 	}
-	return appendBody(b, nil)
+	return appendBody(buf, nil)
 }
 
 // appendBody ends a message with Content-Length and the body.
-func appendBody(b, body []byte) []byte {
-	b = appendField(b, "Content-Length", strconv.Itoa(len(body)))
-	b = append(b, "\r\n"...)
-	return append(b, body...)
+func appendBody(buf, body []byte) []byte {
+	buf = appendField(buf, "Content-Length", strconv.Itoa(len(body)))
+	buf = append(buf, "\r\n"...)
+	return append(buf, body...)
 }
 
 // appendField appends one header field.
-func appendField(b []byte, name, value string) []byte {
-	b = append(b, name...)
-	b = append(b, ": "...)
-	b = append(b, value...)
-	return append(b, "\r\n"...)
+func appendField(buf []byte, name, value string) []byte {
+	buf = append(buf, name...)
+	buf = append(buf, ": "...)
+	buf = append(buf, value...)
+	return append(buf, "\r\n"...)
 }
