--- a/config/config.go
+++ b/config/config.go
@@ -450,20 +450,20 @@
 			o.Lease = min(o.Lease, time.Duration(k.Aim)/5)
 		}
 	}
-	out.Enum = enum.Settings{Suffix: e.Suffix, Answers: e.Answers, Secret: []byte(e.Secret)}
+	out.Enum = enum.Settings{Suffix: e.Suffix, AnswerRate: e.Answers, CookieSecret: []byte(e.Secret)}
 	for i, a := range e.Askers {
 		at := fmt.Sprintf("enum.askers[%d]", i)
 		class, ok := classes[a.Class]
 		c.must(ok, at+".class", "%q is not among the classes", a.Class)
 		c.must(a.Name != "", at+".name", "is empty")
 		c.must(a.Rate >= 0 && a.Leases >= 0, at, "rate and leases must not be negative")
-		asker := enum.Asker{Name: a.Name, Rate: a.Rate}
+		asker := enum.Client{Name: a.Name, QueryRate: a.Rate}
 		for k, n := range a.Networks {
 			p, err := netip.ParsePrefix(n)
 			c.must(err == nil, fmt.Sprintf("%s.networks[%d]", at, k), "%q is no network such as \"127.0.0.0/8\"", n)
 			asker.Networks = append(asker.Networks, p)
 		}
-		out.Enum.Askers = append(out.Enum.Askers, asker)
+		out.Enum.Clients = append(out.Enum.Clients, asker)
 		o.Askers = append(o.Askers, router.Asker{Name: a.Name, Client: a.Client, Class: class, Leases: a.Leases})
 	}
 }
--- a/server/dns.go
+++ b/server/dns.go
@@ -71,7 +71,7 @@
 	for {
 		select {
 		case <-tick.C:
-			s.post(func(now time.Duration) { s.front.Sweep(now) })
+			s.post(func(now time.Duration) { s.front.RemoveExpired(now) })
 		case <-s.stop:
 			return
 		}
@@ -105,13 +105,13 @@
 }
 
 // deliver carries out what the front wants; on the loop's goroutine.
-func (s *Server) deliver(out []enum.Out) {
+func (s *Server) deliver(out []enum.Effect) {
 	for _, o := range out {
 		switch o := o.(type) {
 		case enum.Respond:
-			o.To.(chan *dns.Msg) <- o.Message
-		case enum.Ask:
-			s.step(router.Input{At: s.now(), Kind: router.InAsk, Ask: o.ID, Asker: o.Asker, Number: o.Number})
+			o.ReplyTo.(chan *dns.Msg) <- o.Message
+		case enum.RouteQuery:
+			s.step(router.Input{At: s.now(), Kind: router.InAsk, Ask: o.ID, Asker: o.Client, Number: o.Number})
 		}
 	}
 }
--- a/server/server.go
+++ b/server/server.go
@@ -39,7 +39,7 @@
 	console  net.Listener
 	list     []logic.Office
 	answers  [4]uint64
-	front    *enum.Front // nil: no look-ups
+	front    *enum.Frontend // nil: no look-ups
 	dns      [2]*dns.Server
 	traffic  *traffic // nil: nothing is measured
 	watch    func(in router.Input)
@@ -352,7 +352,7 @@
 		case router.Reply:
 			s.deliver(s.front.Reply(s.now(), e))
 		case router.Taken:
-			s.front.End(e.Ask)
+			s.front.EndLookup(e.Ask)
 		}
 	}
 }
