--- a/server/console.go
+++ b/server/console.go
@@ -14,29 +14,31 @@
 	"finchlatch/router"
 )
 
-// The console's replies: 2xx done, 215 followed by lines up to a dot, 4xx not now, 5xx wrong.
+// Reply codes of the console: 2xx success, 215 with lines that end at a single dot, 4xx temporary failure, 5xx error.
 const (
-	replyHello   = 200
-	replyDone    = 250
-	replyLines   = 215
-	replyBye     = 205
-	replyEnded   = 421
-	replyUnknown = 500
-	replyWrong   = 501
+	replyGreeting     = 200
+	replyDone         = 250
+	replyLines        = 215
+	replyBye          = 205
+	replyStopped      = 421
+	replyBadCommand   = 500
+	replyBadArguments = 501
 )
 
-// command is one verb of the console.
+// command is one command of the console.
 type command struct {
-	name, args, help string
-	least            int
-	run              func(s *Server, args []string) (lines []string, err error)
+	name    string
+	args    string // usage of the arguments
+	help    string
+	minArgs int
+	run     func(s *Server, args []string) (lines []string, err error) // args[0] is the name
 }
 
 var commands []command
 
 func init() {
 	commands = []command{
-		{"show", "status|calls|groups|exchanges|associations", "what the call server holds and knows", 1, (*Server).show},
+		{"show", "status|calls|groups|exchanges|associations", "what the call server holds and knows", 1, (*Server).showCommand},
 		{"drain", "[exchange]", "refuse new calls here, or send an exchange no new ones", 0, (*Server).drainCommand},
 		{"undrain", "[exchange]", "the end of a drain", 0, (*Server).drainCommand},
 		{"list", "update EXCHANGE ready|draining|gone [started-ago]", "news of the exchange list", 3, (*Server).listCommand},
@@ -48,6 +50,7 @@
 	}
 }
 
+// acceptConsole serves the connections of operators.
 func (s *Server) acceptConsole() {
 	defer s.wg.Done()
 	for {
@@ -63,125 +66,130 @@
 	}
 }
 
-// consoleIdle is how long a console may say nothing; consoleLine is the longest command.
+// Limits of a console connection: time without a command, and length of a command line in bytes.
 const (
-	consoleIdle = 10 * time.Minute
-	consoleLine = 512
+	consoleIdleTimeout = 10 * time.Minute
+	maxCommandLength   = 512
 )
 
+// serveConsole executes the commands of one connection.
 func (s *Server) serveConsole(conn net.Conn) {
-	end := make(chan struct{})
-	defer close(end)
-	go func() { // ends with this console or with the server
+	closed := make(chan struct{})
+	defer close(closed)
+	go func() { // closes the connection when the console or the server ends
 		select {
 		case <-s.stop:
-		case <-end:
+		case <-closed:
 		}
 		conn.Close()
 	}()
-	text := textproto.NewConn(conn)
-	_ = text.PrintfLine("%d finchlatch %s", replyHello, s.cfg.Router.Name)
+	console := textproto.NewConn(conn)
+	_ = console.PrintfLine("%d finchlatch %s", replyGreeting, s.cfg.Router.Name)
 	for {
-		_ = conn.SetDeadline(time.Now().Add(consoleIdle))
-		line, err := text.ReadLine()
+		_ = conn.SetDeadline(time.Now().Add(consoleIdleTimeout))
+		line, err := console.ReadLine()
 		if err != nil {
 			return
 		}
-		if len(line) > consoleLine {
-			_ = text.PrintfLine("%d line is too long", replyUnknown)
+		if len(line) > maxCommandLength {
+			_ = console.PrintfLine("%d line is too long", replyBadCommand)
 			continue
 		}
-		if !s.answerConsole(text, strings.Fields(line)) {
+		if !s.answerConsole(console, strings.Fields(line)) {
 			return
 		}
 	}
 }
 
-// answerConsole carries out one command; false: the console closes.
-func (s *Server) answerConsole(text *textproto.Conn, words []string) bool {
+// answerConsole executes one command. It returns false if the console closes.
+func (s *Server) answerConsole(console *textproto.Conn, words []string) bool {
 	if len(words) == 0 {
-		return text.PrintfLine("%d no command; help lists them", replyUnknown) == nil
+		return console.PrintfLine("%d no command; help lists them", replyBadCommand) == nil
 	}
 	verb := strings.ToLower(words[0])
 	switch verb {
 	case "quit":
-		_ = text.PrintfLine("%d bye", replyBye)
+		_ = console.PrintfLine("%d bye", replyBye)
 		return false
 	case "help":
 		var lines []string
-		for _, c := range commands {
-			lines = append(lines, strings.TrimSpace(fmt.Sprintf("%-8s %-50s %s", c.name, c.args, c.help)))
+		for _, command := range commands {
+			lines = append(lines, strings.TrimSpace(fmt.Sprintf("%-8s %-50s %s", command.name, command.args, command.help)))
 		}
-		return writeLines(text, lines)
+		return writeLines(console, lines)
 	}
-	i := slices.IndexFunc(commands, func(c command) bool { return c.name == verb })
-	if i < 0 {
-		return text.PrintfLine("%d %q is no command; help lists them", replyUnknown, verb) == nil
+	index := slices.IndexFunc(commands, func(candidate command) bool { return candidate.name == verb })
+	if index < 0 {
+		return console.PrintfLine("%d %q is no command; help lists them", replyBadCommand, verb) == nil
 	}
-	if len(words)-1 < commands[i].least {
-		return text.PrintfLine("%d usage: %s %s", replyWrong, verb, commands[i].args) == nil
+	if len(words)-1 < commands[index].minArgs {
+		return console.PrintfLine("%d usage: %s %s", replyBadArguments, verb, commands[index].args) == nil
 	}
-	lines, err := commands[i].run(s, words)
+	lines, err := commands[index].run(s, words)
 	switch {
 	case err == ErrStopped:
-		_ = text.PrintfLine("%d %v", replyEnded, err)
+		_ = console.PrintfLine("%d %v", replyStopped, err)
 		return false
 	case err != nil:
-		return text.PrintfLine("%d %v", replyWrong, err) == nil
+		return console.PrintfLine("%d %v", replyBadArguments, err) == nil
 	case lines != nil:
-		return writeLines(text, lines)
+		return writeLines(console, lines)
 	}
-	return text.PrintfLine("%d done", replyDone) == nil
+	return console.PrintfLine("%d done", replyDone) == nil
 }
 
-func writeLines(text *textproto.Conn, lines []string) bool {
-	if text.PrintfLine("%d %d lines follow", replyLines, len(lines)) != nil {
+// writeLines writes a multi-line reply.
+func writeLines(console *textproto.Conn, lines []string) bool {
+	if console.PrintfLine("%d %d lines follow", replyLines, len(lines)) != nil {
 		return false
 	}
-	w := text.DotWriter()
-	for _, l := range lines {
-		fmt.Fprintln(w, l)
+	writer := console.DotWriter()
+	for _, line := range lines {
+		fmt.Fprintln(writer, line)
 	}
-	return w.Close() == nil
+	return writer.Close() == nil
 }
 
-// mostCalls is how many calls a console shows.
-const mostCalls = 500
+// maxShownCalls is how many calls a console shows.
+const maxShownCalls = 500
 
-func (s *Server) show(args []string) (lines []string, err error) {
+// showCommand returns the lines of one view of the call server.
+func (s *Server) showCommand(args []string) (lines []string, err error) {
 	lines = []string{}
-	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
+	add := func(format string, values ...any) { lines = append(lines, fmt.Sprintf(format, values...)) }
 	views := map[string]func(r *router.Router, now time.Duration){
 		"status": func(r *router.Router, now time.Duration) {
-			calls, open := r.Held()
+			heldCalls, unanswered := r.Held()
 			add("exchange %s up %v draining %v", r.Name(), (now - Epoch).Round(time.Second), r.Draining())
-			add("calls %d unanswered %d", calls, open)
-			add("stands %d refused %d failed %d hung-up %d", s.answers[0], s.answers[1], s.answers[2], s.answers[3])
+			add("calls %d unanswered %d", heldCalls, unanswered)
+			add("stands %d refused %d failed %d hung-up %d", s.finalAnswers[0], s.finalAnswers[1], s.finalAnswers[2], s.finalAnswers[3])
 		},
 		"calls": func(r *router.Router, now time.Duration) {
-			for _, c := range r.Calls(now, mostCalls) {
-				add("call %d class %s called %s from %s to %s attempts %d %s %v", c.ID, c.Class, c.Called,
-					or(c.From), or(c.To), c.Attempts, c.State, c.Age.Round(time.Millisecond))
+			for _, call := range r.Calls(now, maxShownCalls) {
+				add("call %d class %s called %s from %s to %s attempts %d %s %v", call.ID, call.Class, call.Called,
+					orDash(call.From), orDash(call.To), call.Attempts, call.State, call.Age.Round(time.Millisecond))
 			}
 		},
 		"groups": func(r *router.Router, now time.Duration) {
-			for _, g := range r.Groups() {
-				add("group %s %s size %d usable %d spare %d out %d in %d releasing %d resetting %d blocked %d", g.Peer,
-					g.Kind, g.Size, g.Total, g.Spare, g.Out, g.In, g.Releasing, g.Resetting, g.Blocked)
+			for _, group := range r.Groups() {
+				add("group %s %s size %d usable %d spare %d out %d in %d releasing %d resetting %d blocked %d", group.Peer,
+					group.Kind, group.Size, group.Total, group.Spare, group.Out, group.In, group.Releasing, group.Resetting,
+					group.Blocked)
 			}
 		},
 		"exchanges": func(r *router.Router, now time.Duration) {
-			for _, e := range r.Exchanges() {
+			for _, exchange := range r.Exchanges() {
 				started := "long ago"
-				if e.Started > 0 {
-					started = (now - e.Started).Round(time.Millisecond).String() + " ago"
+				if exchange.Started > 0 {
+					started = (now - exchange.Started).Round(time.Millisecond).String() + " ago"
 				}
-				add("exchange %s %s started %s", e.Name, stateNames[e.State], started)
+				add("exchange %s %s started %s", exchange.Name, stateNames[exchange.State], started)
 			}
 		},
 		"associations": func(r *router.Router, now time.Duration) {
-			for _, a := range r.Associations() {
-				add("association %s/%d %v %v sent %d held %d", a.Peer, a.ASP, a.State, a.AS, a.Sent, a.Held)
+			for _, association := range r.Associations() {
+				add("association %s/%d %v %v sent %d held %d", association.Peer, association.ASP,
+					association.State, association.AS, association.Sent, association.Held)
 			}
 		},
 	}
@@ -193,32 +201,36 @@
 	return lines, err
 }
 
-func or(name string) string {
+// orDash returns a name, or a dash if it is empty.
+func orDash(name string) string {
 	if name == "" {
 		return "-"
 	}
 	return name
 }
 
+// stateNames holds the states of an exchange as the console shows them.
 var stateNames = map[logic.OfficeState]string{logic.Ready: "ready", logic.Draining: "draining", logic.Gone: "gone"}
 
+// drainCommand starts or ends the drain of this call server or, with an argument, of another exchange.
 func (s *Server) drainCommand(args []string) ([]string, error) {
-	on := strings.ToLower(args[0]) == "drain"
+	draining := strings.ToLower(args[0]) == "drain"
 	if len(args) > 1 {
 		state := "ready"
-		if on {
+		if draining {
 			state = "draining"
 		}
 		return s.listCommand([]string{"list", "update", args[1], state})
 	}
 	kind := router.InUndrain
-	if on {
+	if draining {
 		kind = router.InDrain
 	}
 	return nil, s.apply(router.Input{Kind: kind})
 }
 
-// listCommand takes an entry of the exchange list. The start is given as its age: clocks need not agree.
+// listCommand updates the entry of an exchange in service discovery. The time of its start is given as an age, since clocks
+// may differ.
 func (s *Server) listCommand(args []string) ([]string, error) {
 	if strings.ToLower(args[1]) != "update" || len(args) < 4 {
 		return nil, fmt.Errorf("usage: list update EXCHANGE ready|draining|gone [started-ago]")
@@ -240,35 +252,35 @@
 			return nil, fmt.Errorf("%q is no age such as 1.5s", args[4])
 		}
 	}
-	var wrong error
+	var listErr error
 	err := s.Do(func(r *router.Router, now time.Duration) {
-		e, ok := r.Exchange(args[2])
+		exchange, ok := r.Exchange(args[2])
 		if !ok {
-			wrong = fmt.Errorf("no exchange %q", args[2])
+			listErr = fmt.Errorf("no exchange %q", args[2])
 			return
 		}
-		o := logic.Office{ID: e.Name, Exchange: e.Number, State: state}
+		office := logic.Office{ID: exchange.Name, Exchange: exchange.Number, State: state}
 		if age >= 0 {
-			o.Started = max(0, now-age)
+			office.Started = max(0, now-age)
 		} else {
-			for _, v := range r.Exchanges() {
-				if v.Name == e.Name {
-					o.Started = v.Started
+			for _, view := range r.Exchanges() {
+				if view.Name == exchange.Name {
+					office.Started = view.Started
 				}
 			}
 		}
-		s.step(router.Input{At: now, Kind: router.InList, ListKind: logic.ListUpdate, List: []logic.Office{o}})
+		s.applyOnLoop(router.Input{At: now, Kind: router.InList, ListKind: logic.ListUpdate, List: []logic.Office{office}})
 	})
 	if err == nil {
-		err = wrong
+		err = listErr
 	}
 	return nil, err
 }
 
-// amount reads a number of things, or a share of them such as 40%.
-func amount(text string) (n int, share float64, err error) {
-	if rest, ok := strings.CutSuffix(text, "%"); ok {
-		if share, err = strconv.ParseFloat(rest, 64); err == nil && share >= 0 && share <= 100 {
+// parseAmount parses a number of circuits or calls, or a share of them such as 40%.
+func parseAmount(text string) (n int, share float64, err error) {
+	if percentage, ok := strings.CutSuffix(text, "%"); ok {
+		if share, err = strconv.ParseFloat(percentage, 64); err == nil && share >= 0 && share <= 100 {
 			return 0, share / 100, nil
 		}
 	} else if n, err = strconv.Atoi(text); err == nil && n > 0 {
@@ -277,44 +289,47 @@
 	return 0, 0, fmt.Errorf("%q is no number of circuits and no share such as 40%%", text)
 }
 
-// onPeer tells the Router in with a peer and an amount, a share of which is taken of what of gives.
-func (s *Server) onPeer(args []string, of func(g router.GroupView) int, in router.Input) ([]string, error) {
-	n, share, err := amount(args[2])
+// applyToPeer applies an input to the peer args[1] with the amount args[2]. A share is one of what total returns for the
+// trunk group of the peer.
+func (s *Server) applyToPeer(args []string, total func(g router.GroupView) int, input router.Input) ([]string, error) {
+	n, share, err := parseAmount(args[2])
 	if err != nil {
 		return nil, err
 	}
-	changed, known := 0, false
+	changed, found := 0, false
 	err = s.Do(func(r *router.Router, now time.Duration) {
-		id, ok := r.Peer(args[1])
+		peerID, ok := r.Peer(args[1])
 		if !ok {
 			return
 		}
-		known = true
+		found = true
 		if n == 0 {
-			n = int(share*float64(of(r.Groups()[id])) + 0.5)
+			n = int(share*float64(total(r.Groups()[peerID])) + 0.5)
 		}
-		in.At, in.Peer, in.Count = now, id, int64(n)
-		changed = s.step(in)
+		input.At, input.Peer, input.Count = now, peerID, int64(n)
+		changed = s.applyOnLoop(input)
 	})
-	if err == nil && !known {
+	if err == nil && !found {
 		err = fmt.Errorf("no peer %q", args[1])
 	}
 	return []string{fmt.Sprintf("changed %d", changed)}, err
 }
 
+// blockCommand blocks or unblocks circuits, for maintenance or as a hardware failure.
 func (s *Server) blockCommand(args []string) ([]string, error) {
-	kind, on := isup.Maintenance, strings.ToLower(args[0]) == "block"
+	reason, blocked := isup.Maintenance, strings.ToLower(args[0]) == "block"
 	if len(args) > 3 {
 		if strings.ToLower(args[3]) != "hardware" {
 			return nil, fmt.Errorf("%q: only hardware may follow", args[3])
 		}
-		kind = isup.Hardware
+		reason = isup.Hardware
 	}
-	size := func(g router.GroupView) int { return g.Size }
-	return s.onPeer(args, size, router.Input{Kind: router.InBlock, Group: kind, On: on})
+	groupSize := func(group router.GroupView) int { return group.Size }
+	return s.applyToPeer(args, groupSize, router.Input{Kind: router.InBlock, Group: reason, On: blocked})
 }
 
+// resetCommand resets circuits that carry calls.
 func (s *Server) resetCommand(args []string) ([]string, error) {
-	calls := func(g router.GroupView) int { return g.Out + g.In }
-	return s.onPeer(args, calls, router.Input{Kind: router.InReset})
+	groupCalls := func(group router.GroupView) int { return group.Out + group.In }
+	return s.applyToPeer(args, groupCalls, router.Input{Kind: router.InReset})
 }
--- a/server/dns.go
+++ b/server/dns.go
@@ -12,106 +12,111 @@
 	"finchlatch/router"
 )
 
-// startEnum opens the address for look-ups, over UDP and TCP on the same port.
+// startEnum starts the DNS frontend, over UDP and TCP on the same port.
 func (s *Server) startEnum() error {
 	if s.cfg.EnumAddress == "" {
 		return nil
 	}
-	s.front = enum.New(s.cfg.Enum)
-	tcp, err := net.Listen("tcp", s.cfg.EnumAddress)
+	s.enumFrontend = enum.New(s.cfg.Enum)
+	listener, err := net.Listen("tcp", s.cfg.EnumAddress)
 	if err != nil {
-		return fmt.Errorf("server: look-ups: %w", err)
+		return fmt.Errorf("server: ENUM: %w", err)
 	}
-	udp, err := net.ListenPacket("udp", tcp.Addr().String())
+	packetConn, err := net.ListenPacket("udp", listener.Addr().String())
 	if err != nil {
-		tcp.Close()
-		return fmt.Errorf("server: look-ups: %w", err)
+		listener.Close()
+		return fmt.Errorf("server: ENUM: %w", err)
 	}
-	s.dns = [2]*dns.Server{{Listener: tcp, Handler: dns.HandlerFunc(s.lookup)}, {PacketConn: udp, Handler: dns.HandlerFunc(s.lookup)}}
-	for _, d := range s.dns {
+	s.dnsServers = [2]*dns.Server{{Listener: listener, Handler: dns.HandlerFunc(s.handleQuery)},
+		{PacketConn: packetConn, Handler: dns.HandlerFunc(s.handleQuery)}}
+	for _, dnsServer := range s.dnsServers {
 		started := make(chan struct{})
-		d.NotifyStartedFunc = func() { close(started) }
+		dnsServer.NotifyStartedFunc = func() { close(started) }
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			if err := d.ActivateAndServe(); err != nil {
-				s.log.Warn("look-ups ended", "err", err)
+			if err := dnsServer.ActivateAndServe(); err != nil {
+				s.log.Warn("ENUM server ended", "err", err)
 			}
 		}()
 		<-started
 	}
 	s.wg.Add(1)
-	go s.sweep()
+	go s.expireLookups()
 	return nil
 }
 
+// stopEnum stops the DNS frontend.
 func (s *Server) stopEnum() {
-	for _, d := range s.dns {
+	for _, d := range s.dnsServers {
 		if d != nil {
 			_ = d.Shutdown()
 		}
 	}
 }
 
-// EnumAddr is the address for look-ups, or nil.
+// EnumAddr returns the address of the DNS frontend, or nil.
 func (s *Server) EnumAddr() net.Addr {
-	if s.dns[0] == nil {
+	if s.dnsServers[0] == nil {
 		return nil
 	}
-	return s.dns[0].Listener.Addr()
+	return s.dnsServers[0].Listener.Addr()
 }
 
-// sweepEvery is how often the front forgets what has run out.
-const sweepEvery = time.Second
+// expiryInterval is how often expired lookups are removed.
+const expiryInterval = time.Second
 
-func (s *Server) sweep() {
+// expireLookups removes expired lookups until the server stops.
+func (s *Server) expireLookups() {
 	defer s.wg.Done()
-	tick := time.NewTicker(sweepEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(expiryInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			s.post(func(now time.Duration) { s.front.RemoveExpired(now) })
+		case <-ticker.C:
+			s.post(func(now time.Duration) { s.enumFrontend.RemoveExpired(now) })
 		case <-s.stop:
 			return
 		}
 	}
 }
 
-// answerWithin is how much longer than the Router's time for a question a query may wait: for the loop.
-const answerWithin = time.Second
+// loopAllowance is the time, beyond the Router's reply time, that a DNS query may wait for the event loop.
+const loopAllowance = time.Second
 
-// lookup takes a query on the DNS library's goroutine, and writes its answer.
-func (s *Server) lookup(w dns.ResponseWriter, q *dns.Msg) {
-	from, err := netip.ParseAddrPort(w.RemoteAddr().String())
+// handleQuery handles a DNS query on a goroutine of the DNS library: it waits for the response and writes it.
+func (s *Server) handleQuery(writer dns.ResponseWriter, query *dns.Msg) {
+	from, err := netip.ParseAddrPort(writer.RemoteAddr().String())
 	if err != nil {
 		return
 	}
-	_, tcp := w.RemoteAddr().(*net.TCPAddr)
-	answer := make(chan *dns.Msg, 1)
-	if !s.post(func(now time.Duration) { s.deliver(s.front.Query(now, from.Addr(), tcp, q, answer)) }) {
+	_, overTCP := writer.RemoteAddr().(*net.TCPAddr)
+	response := make(chan *dns.Msg, 1)
+	if !s.post(func(now time.Duration) {
+		s.executeEnumEffects(s.enumFrontend.Query(now, from.Addr(), overTCP, query, response))
+	}) {
 		return
 	}
-	late := time.NewTimer(s.cfg.Router.AskWithin + answerWithin)
-	defer late.Stop()
+	timeout := time.NewTimer(s.cfg.Router.AskWithin + loopAllowance)
+	defer timeout.Stop()
 	select {
-	case m := <-answer:
-		_ = w.WriteMsg(m)
-	case <-late.C: // the loop stands still: say so, rather than nothing
-		m := new(dns.Msg)
-		_ = w.WriteMsg(m.SetRcode(q, dns.RcodeServerFailure))
+	case message := <-response:
+		_ = writer.WriteMsg(message)
+	case <-timeout.C: // the event loop is stuck: an error is better than no response
+		failure := new(dns.Msg)
+		_ = writer.WriteMsg(failure.SetRcode(query, dns.RcodeServerFailure))
 	case <-s.stop:
 	}
 }
 
-// deliver carries out what the front wants; on the loop's goroutine.
-func (s *Server) deliver(out []enum.Effect) {
-	for _, o := range out {
-		switch o := o.(type) {
+// executeEnumEffects executes the effects of the frontend. It must run on the goroutine of the event loop.
+func (s *Server) executeEnumEffects(effects []enum.Effect) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case enum.Respond:
-			o.ReplyTo.(chan *dns.Msg) <- o.Message
+			effect.ReplyTo.(chan *dns.Msg) <- effect.Message
 		case enum.RouteQuery:
-			s.step(router.Input{At: s.now(), Kind: router.InAsk, Ask: o.ID, Asker: o.Client, Number: o.Number})
+			s.applyOnLoop(router.Input{At: s.now(), Kind: router.InAsk, Ask: effect.ID, Asker: effect.Client, Number: effect.Number})
 		}
 	}
 }
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,6 @@
-// Package server is the daemon around one Router: TCP connections, the clock, logs, the drain and the operators'
-// console. One goroutine owns the Router; each connection has a reader and a writer with bounded queues. It
-// decides nothing about calls.
+// Package server is the daemon around one Router: TCP connections, the clock, logs, the drain, the ENUM frontend and the
+// operator console. One goroutine owns the Router; each connection has a reader and a writer goroutine with bounded queues.
+// The Router makes all decisions about calls.
 package server
 
 import (
@@ -25,75 +25,77 @@
 
 // Server runs one call server.
 type Server struct {
-	cfg      *config.Config
-	log      *slog.Logger
-	router   *router.Router
-	began    time.Time
-	inputs   chan input
-	done     chan struct{} // closed when the loop has ended
-	stop     chan struct{} // closed to end at once
-	stopOnce sync.Once
-	links    map[router.LinkID]*link.Link
-	wg       sync.WaitGroup
-	listener net.Listener
-	console  net.Listener
-	list     []logic.Office
-	answers  [4]uint64
-	front    *enum.Frontend // nil: no look-ups
-	dns      [2]*dns.Server
-	traffic  *traffic // nil: nothing is measured
-	watch    func(in router.Input)
-	effects  func(e []router.Effect)
+	cfg            *config.Config
+	log            *slog.Logger
+	router         *router.Router
+	startedAt      time.Time
+	tasks          chan loopTask
+	done           chan struct{} // closed when the event loop has ended
+	stop           chan struct{} // closed to end the server at once
+	stopOnce       sync.Once
+	links          map[router.LinkID]*link.Link
+	wg             sync.WaitGroup
+	listener       net.Listener     // for M3UA
+	console        net.Listener     // for operators
+	initialOffices []logic.Office   // last known snapshot of service discovery
+	finalAnswers   [4]uint64        // calls by router.Verdict
+	enumFrontend   *enum.Frontend   // nil: no DNS frontend
+	dnsServers     [2]*dns.Server   // TCP and UDP
+	traffic        *trafficRecorder // nil: no traffic measurement
+	observeInput   func(in router.Input)
+	observeEffects func(effects []router.Effect)
 }
 
-// input is something that the loop does with the Router.
-type input func(now time.Duration)
+// loopTask is work on the Router that runs on the goroutine of the event loop.
+type loopTask func(now time.Duration)
 
-// ErrStopped is returned by calls to a server that has ended.
+// ErrStopped is returned by calls to a server that has stopped.
 var ErrStopped = errors.New("server: has ended")
 
 // Option changes a Server before it starts.
 type Option func(*Server)
 
-// WithListeners uses listeners that are open already, in place of the addresses in the configuration; either
-// may be nil.
+// WithListeners uses open listeners in place of the configured addresses. Either may be nil.
 func WithListeners(signalling, console net.Listener) Option {
 	return func(s *Server) { s.listener, s.console = signalling, console }
 }
 
-// WithList starts with the exchange list as it was last known.
-func WithList(list []logic.Office) Option { return func(s *Server) { s.list = list } }
+// WithList starts the Router with the last known snapshot of service discovery.
+func WithList(offices []logic.Office) Option { return func(s *Server) { s.initialOffices = offices } }
 
-// WithObserver has every input of the Router and all of its effects shown, in order, on the goroutine that owns it.
-// Inputs must not be kept: their bytes change. Either function may be nil.
+// WithObserver passes every input of the Router and all of its effects to two functions, in order and on the goroutine of
+// the event loop. The functions must not keep the bytes of an input, whose buffer is reused. Either may be nil.
 func WithObserver(inputs func(router.Input), effects func([]router.Effect)) Option {
-	return func(s *Server) { s.watch, s.effects = inputs, effects }
+	return func(s *Server) { s.observeInput, s.observeEffects = inputs, effects }
 }
 
-// New makes a Server from a checked configuration.
+// taskQueueSize bounds the tasks that wait for the event loop. Goroutines that post further ones block.
+const taskQueueSize = 256
+
+// New returns a Server for a validated configuration. It does not listen yet.
 func New(cfg *config.Config, log *slog.Logger, options ...Option) (*Server, error) {
 	settings := cfg.Router
-	for _, l := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
-		if settings.LogLevel = l; log.Enabled(context.Background(), l) {
+	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
+		if settings.LogLevel = level; log.Enabled(context.Background(), level) {
 			break
 		}
 	}
-	s := &Server{cfg: cfg, log: log.With("exchange", cfg.Router.Name), inputs: make(chan input, 256),
+	s := &Server{cfg: cfg, log: log.With("exchange", cfg.Router.Name), tasks: make(chan loopTask, taskQueueSize),
 		done: make(chan struct{}), stop: make(chan struct{}), links: map[router.LinkID]*link.Link{}}
-	if err := s.measured(&settings); err != nil {
+	if err := s.openTraffic(&settings); err != nil {
 		return nil, err
 	}
 	var err error
 	if s.router, err = router.New(settings, cfg.Seed); err != nil {
 		return nil, errors.Join(err, s.closeTraffic())
 	}
-	for _, o := range options {
-		o(s)
+	for _, option := range options {
+		option(s)
 	}
 	return s, nil
 }
 
-// Start opens the addresses and begins work.
+// Start opens the listeners and starts all goroutines.
 func (s *Server) Start() error {
 	var err error
 	if s.listener == nil && s.cfg.ListenAddress != "" {
@@ -106,12 +108,12 @@
 			return errors.Join(fmt.Errorf("server: console: %w", err), closeListener(s.listener), s.closeTraffic())
 		}
 	}
-	s.began = time.Now()
+	s.startedAt = time.Now()
 	s.wg.Add(1)
 	go s.loop()
 	if s.traffic != nil {
 		s.wg.Add(1)
-		go s.keepTraffic()
+		go s.trafficLoop()
 	}
 	if s.listener != nil {
 		s.wg.Add(1)
@@ -133,21 +135,23 @@
 	return nil
 }
 
-func closeListener(l net.Listener) error {
-	if l == nil {
+// closeListener closes a listener that may be nil.
+func closeListener(listener net.Listener) error {
+	if listener == nil {
 		return nil
 	}
-	return l.Close()
+	return listener.Close()
 }
 
-func addressOf(l net.Listener) string {
-	if l == nil {
+// addressOf returns the address of a listener for the log.
+func addressOf(listener net.Listener) string {
+	if listener == nil {
 		return "none"
 	}
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// Addr is the address of the M3UA listener, or nil.
+// Addr returns the address of the M3UA listener, or nil.
 func (s *Server) Addr() net.Addr {
 	if s.listener == nil {
 		return nil
@@ -155,7 +159,7 @@
 	return s.listener.Addr()
 }
 
-// ConsoleAddr is the address of the operators' console, or nil.
+// ConsoleAddr returns the address of the operator console, or nil.
 func (s *Server) ConsoleAddr() net.Addr {
 	if s.console == nil {
 		return nil
@@ -163,8 +167,8 @@
 	return s.console.Addr()
 }
 
-// Run works until the context ends, then drains: calls held get their answers, standing ones may go on until the
-// configured drain time is over, and the associations are taken down in order.
+// Run serves until the context ends, then drains: unanswered calls get their final answers, established calls may go on
+// until the configured drain time is over, and the associations are taken down in order.
 func (s *Server) Run(ctx context.Context) error {
 	if err := s.Start(); err != nil {
 		return err
@@ -177,28 +181,31 @@
 	return s.Shutdown(s.cfg.DrainTimeout)
 }
 
-// Shutdown drains for at most the time given and ends the server.
-func (s *Server) Shutdown(within time.Duration) error {
-	s.log.Info("draining", "within", within)
+// drainPollInterval is how often a drain checks whether calls are left.
+const drainPollInterval = 20 * time.Millisecond
+
+// Shutdown drains for at most the timeout, then ends the server.
+func (s *Server) Shutdown(timeout time.Duration) error {
+	s.log.Info("draining", "within", timeout)
 	if err := s.apply(router.Input{Kind: router.InDrain}); err != nil {
 		return err
 	}
-	limit := time.NewTimer(within)
-	defer limit.Stop()
-	poll := time.NewTicker(20 * time.Millisecond)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	for waiting := true; waiting; {
-		held := 0
-		if err := s.Do(func(r *router.Router, now time.Duration) { held, _ = r.Held() }); err != nil {
+		heldCalls := 0
+		if err := s.Do(func(r *router.Router, now time.Duration) { heldCalls, _ = r.Held() }); err != nil {
 			return err
 		}
 		select {
-		case <-limit.C:
+		case <-timer.C:
 			waiting = false
 		case <-poll.C:
-			waiting = held > 0
+			waiting = heldCalls > 0
 		}
-		if held == 0 {
+		if heldCalls == 0 {
 			waiting = false
 		}
 	}
@@ -206,28 +213,29 @@
 	s.flushLinks()
 	s.writeTraffic()
 	s.Kill()
-	s.log.Info("ended", "stands", s.answers[router.Stands], "refused", s.answers[router.Refused],
-		"failed", s.answers[router.Failed], "hung_up", s.answers[router.HungUp])
+	s.log.Info("ended", "stands", s.finalAnswers[router.Stands], "refused", s.finalAnswers[router.Refused],
+		"failed", s.finalAnswers[router.Failed], "hung_up", s.finalAnswers[router.HungUp])
 	return err
 }
 
-// flushTime is how long the last messages may take to be written.
-const flushTime = time.Second
+// flushTimeout bounds the time to write the last messages.
+const flushTimeout = time.Second
 
+// flushLinks waits until all queued bytes are written, at most flushTimeout.
 func (s *Server) flushLinks() {
-	deadline := time.Now().Add(flushTime)
+	deadline := time.Now().Add(flushTimeout)
 	var links []*link.Link
 	_ = s.Do(func(*router.Router, time.Duration) {
-		for _, l := range s.links {
-			links = append(links, l)
+		for _, peerLink := range s.links {
+			links = append(links, peerLink)
 		}
 	})
-	for _, l := range links {
-		l.Drain(deadline)
+	for _, peerLink := range links {
+		peerLink.Drain(deadline)
 	}
 }
 
-// Kill ends the server at once, as a crash would: nothing is answered.
+// Kill ends the server at once, as a crash would: no call gets an answer.
 func (s *Server) Kill() {
 	s.stopOnce.Do(func() { close(s.stop) })
 	_ = closeListener(s.listener)
@@ -237,147 +245,155 @@
 	s.wg.Wait()
 }
 
-// apply tells the Router something, between two events, and waits until it has been told.
-func (s *Server) apply(in router.Input) error {
+// apply applies an input to the Router on the goroutine of the event loop and waits until that is done.
+func (s *Server) apply(input router.Input) error {
 	return s.Do(func(_ *router.Router, now time.Duration) {
-		in.At = now
-		s.step(in)
+		input.At = now
+		s.applyOnLoop(input)
 	})
 }
 
-// step tells the Router something; the loop's goroutine does so.
-func (s *Server) step(in router.Input) int {
-	if s.watch != nil {
-		s.watch(in)
+// applyOnLoop applies an input to the Router. It must run on the goroutine of the event loop.
+func (s *Server) applyOnLoop(input router.Input) int {
+	if s.observeInput != nil {
+		s.observeInput(input)
 	}
-	return s.router.Apply(in)
+	return s.router.Apply(input)
 }
 
-// Do runs f on the Router, between two events. f may look; what changes the Router goes by apply.
+// Do runs f on the goroutine of the event loop and waits until that is done. f must only read the Router: changes go through
+// apply, so that an observer sees them.
 func (s *Server) Do(f func(r *router.Router, now time.Duration)) error {
-	ran := make(chan struct{})
-	if !s.post(func(now time.Duration) { f(s.router, now); close(ran) }) {
+	finished := make(chan struct{})
+	if !s.post(func(now time.Duration) { f(s.router, now); close(finished) }) {
 		return ErrStopped
 	}
 	select {
-	case <-ran:
+	case <-finished:
 		return nil
 	case <-s.done:
 		return ErrStopped
 	}
 }
 
-// post hands an input to the loop; false: the server has ended.
-func (s *Server) post(in input) bool {
+// post queues a task for the event loop. It returns false if the server has stopped.
+func (s *Server) post(task loopTask) bool {
 	select {
-	case s.inputs <- in:
+	case s.tasks <- task:
 		return true
 	case <-s.stop:
 		return false
 	}
 }
 
-// loop owns the Router.
+// maxIdleWait is how long the event loop sleeps while the Router has no timer.
+const maxIdleWait = time.Hour
+
+// loop is the event loop, whose goroutine owns the Router.
 func (s *Server) loop() {
 	defer s.wg.Done()
 	defer close(s.done)
-	timer := time.NewTimer(time.Hour)
+	timer := time.NewTimer(maxIdleWait)
 	defer timer.Stop()
-	s.step(router.Input{At: s.now(), Kind: router.InStart, List: s.list})
-	s.carryOut()
+	s.applyOnLoop(router.Input{At: s.now(), Kind: router.InStart, List: s.initialOffices})
+	s.executeEffects()
 	for {
-		if at, ok := s.router.Next(); ok {
-			timer.Reset(max(0, at-s.now()))
+		if wakeAt, ok := s.router.Next(); ok {
+			timer.Reset(max(0, wakeAt-s.now()))
 		} else {
-			timer.Reset(time.Hour)
+			timer.Reset(maxIdleWait)
 		}
 		select {
-		case in := <-s.inputs:
-			in(s.now())
-			s.more()
+		case task := <-s.tasks:
+			task(s.now())
+			s.runQueuedTasks()
 		case <-timer.C:
 		case <-s.stop:
 			s.closeLinks()
 			return
 		}
-		s.step(router.Input{At: s.now(), Kind: router.InAdvance})
-		s.carryOut()
+		s.applyOnLoop(router.Input{At: s.now(), Kind: router.InAdvance})
+		s.executeEffects()
 	}
 }
 
-// batch is how many inputs are handled before their effects are carried out: a burst costs fewer writes, and
-// none waits longer than a batch takes, some hundred microseconds.
-const batch = 64
+// maxBatchSize is how many tasks run before their effects are executed. Batches save writes in a burst; a full batch takes a
+// few hundred microseconds, which bounds the delay of an effect.
+const maxBatchSize = 64
 
-// more handles what else has come.
-func (s *Server) more() {
-	for range batch {
+// runQueuedTasks runs the tasks that wait, at most maxBatchSize.
+func (s *Server) runQueuedTasks() {
+	for range maxBatchSize {
 		select {
-		case in := <-s.inputs:
-			in(s.now())
+		case task := <-s.tasks:
+			task(s.now())
 		default:
 			return
 		}
 	}
 }
 
-// Epoch is the time at the start: what is said to have started some time ago has a time too.
+// Epoch is the Router's time when the server starts. It is not 0, so that an exchange that started before has a positive
+// time of its start.
 const Epoch = time.Hour
 
-func (s *Server) now() time.Duration { return Epoch + time.Since(s.began) }
+// now returns the Router's time.
+func (s *Server) now() time.Duration { return Epoch + time.Since(s.startedAt) }
 
-// carryOut does what the Router asks for.
-func (s *Server) carryOut() {
+// executeEffects executes the effects of the Router's last inputs.
+func (s *Server) executeEffects() {
 	effects := s.router.Effects()
-	if s.effects != nil {
-		s.effects(effects)
+	if s.observeEffects != nil {
+		s.observeEffects(effects)
 	}
-	for _, e := range effects {
-		switch e := e.(type) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case router.Write:
-			if l := s.links[e.Link]; l != nil && !l.Write(e.Bytes, s.cfg.MaxQueueBytes) {
-				s.log.Warn("peer does not read: connection closed", "peer", s.router.LinkName(e.Link))
-				l.Close()
+			if peerLink := s.links[effect.Link]; peerLink != nil && !peerLink.Write(effect.Bytes, s.cfg.MaxQueueBytes) {
+				s.log.Warn("peer does not read: connection closed", "peer", s.router.LinkName(effect.Link))
+				peerLink.Close()
 			}
 		case router.Close:
-			if l := s.links[e.Link]; l != nil {
-				l.Close()
+			if peerLink := s.links[effect.Link]; peerLink != nil {
+				peerLink.Close()
 			}
 		case router.Log:
-			s.logLine(e)
+			s.logLine(effect)
 		case router.Answer:
-			if !e.Transit {
-				s.answers[e.Verdict]++
+			if !effect.Transit {
+				s.finalAnswers[effect.Verdict]++
 			}
 		case router.Reply:
-			s.deliver(s.front.Reply(s.now(), e))
+			s.executeEnumEffects(s.enumFrontend.Reply(s.now(), effect))
 		case router.Taken:
-			s.front.EndLookup(e.Ask)
+			s.enumFrontend.EndLookup(effect.Ask)
 		}
 	}
 }
 
-func (s *Server) logLine(e router.Log) {
+// logLine writes a Log effect, with the number of its call.
+func (s *Server) logLine(entry router.Log) {
 	ctx := context.Background()
-	if !s.log.Enabled(ctx, e.Level) {
+	if !s.log.Enabled(ctx, entry.Level) {
 		return
 	}
-	attrs := e.Attrs
-	if e.Call != 0 {
-		attrs = append(attrs[:len(attrs):len(attrs)], slog.Uint64("call", e.Call))
+	attrs := entry.Attrs
+	if entry.Call != 0 {
+		attrs = append(attrs[:len(attrs):len(attrs)], slog.Uint64("call", entry.Call))
 	}
-	s.log.LogAttrs(ctx, e.Level, e.Text, attrs...)
+	s.log.LogAttrs(ctx, entry.Level, entry.Text, attrs...)
 }
 
 func (s *Server) closeLinks() {
-	for _, l := range s.links {
-		l.Close()
+	for _, peerLink := range s.links {
+		peerLink.Close()
 	}
 }
 
-// identifyTime is how long an accepted connection may take to say who it is.
-const identifyTime = 5 * time.Second
+// identifyTimeout bounds the time until an accepted connection has identified its peer.
+const identifyTimeout = 5 * time.Second
 
+// accept serves the connections that peers open.
 func (s *Server) accept() {
 	defer s.wg.Done()
 	places := make(link.Places, max(1, s.cfg.MaxConnections))
@@ -390,154 +406,161 @@
 		go func() {
 			defer s.wg.Done()
 			defer places.Leave()
-			stopped := context.AfterFunc(s.context(), func() { conn.Close() })
-			id, first, err := s.identify(conn)
-			if !stopped() || err != nil {
+			cancelClose := context.AfterFunc(s.stopContext(), func() { conn.Close() })
+			id, initialBytes, err := s.identify(conn)
+			if !cancelClose() || err != nil {
 				if err != nil {
 					s.log.Warn("connection refused", "from", conn.RemoteAddr().String(), "err", err)
 				}
 				conn.Close()
 				return
 			}
-			s.serve(id, conn, first)
+			s.serve(id, conn, initialBytes)
 		}()
 	})
 }
 
-// context ends with the server.
-func (s *Server) context() context.Context { return link.Context(s.stop) }
+// stopContext returns a context that ends with the server.
+func (s *Server) stopContext() context.Context { return link.Context(s.stop) }
+
+// errorWriteTimeout bounds the time to send an M3UA error to a connection that is refused.
+const errorWriteTimeout = time.Second
 
-// reject tells a connection what is wrong with it.
-func reject(conn net.Conn, fault *m3ua.Fault) {
-	_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
+// sendError sends an M3UA error for a connection that is about to be closed.
+func sendError(conn net.Conn, fault *m3ua.Fault) {
+	_ = conn.SetWriteDeadline(time.Now().Add(errorWriteTimeout))
 	_, _ = conn.Write(m3ua.Reject(fault))
 }
 
-// refuse closes a connection that there is no place for.
+// refuse closes a connection with an M3UA error.
 func (s *Server) refuse(conn net.Conn, fault *m3ua.Fault) {
 	s.log.Warn("connection refused", "from", conn.RemoteAddr().String(), "err", fault)
-	reject(conn, fault)
+	sendError(conn, fault)
 	conn.Close()
 }
 
-// identify finds out which peer has connected, by the ASP identifier in its ASPUP.
+// identify identifies the peer process of a connection by the ASP identifier in its ASPUP message. It also returns the bytes
+// that it has read.
 func (s *Server) identify(conn net.Conn) (router.LinkID, []byte, error) {
-	_ = conn.SetReadDeadline(time.Now().Add(identifyTime))
+	_ = conn.SetReadDeadline(time.Now().Add(identifyTimeout))
 	defer conn.SetReadDeadline(time.Time{})
 	framer := m3ua.Framer{Max: s.cfg.MaxMessageBytes}
-	var got []byte
-	buf := make([]byte, 4096)
+	var received []byte
+	buffer := make([]byte, 4096)
 	for {
-		raw, err := framer.Next()
+		message, err := framer.Next()
 		if err != nil {
 			return 0, nil, err
 		}
-		if raw != nil {
-			asp, err := m3ua.Identify(raw)
+		if message != nil {
+			aspID, err := m3ua.Identify(message)
 			if err == nil {
-				if id, ok := s.cfg.LinkByASPID[asp]; ok {
-					return id, got, nil
+				if id, ok := s.cfg.LinkByASPID[aspID]; ok {
+					return id, received, nil
 				}
-				err = &m3ua.Fault{Code: m3ua.ErrIDInvalid, Text: fmt.Sprintf("ASP identifier %d is not configured", asp)}
+				err = &m3ua.Fault{Code: m3ua.ErrIDInvalid, Text: fmt.Sprintf("ASP identifier %d is not configured", aspID)}
 			}
 			var fault *m3ua.Fault
 			if errors.As(err, &fault) {
-				reject(conn, fault)
+				sendError(conn, fault)
 			}
 			return 0, nil, err
 		}
-		n, err := conn.Read(buf)
-		got = append(got, buf[:n]...)
-		framer.Write(buf[:n])
+		n, err := conn.Read(buffer)
+		received = append(received, buffer[:n]...)
+		framer.Write(buffer[:n])
 		if err != nil && n == 0 {
 			return 0, nil, err
 		}
 	}
 }
 
-// Pauses between tries to connect to a peer.
+// Backoff between attempts to connect to a peer, and the timeout of one attempt.
 const (
-	firstRedial = 100 * time.Millisecond
-	lastRedial  = 2 * time.Second
-	dialTime    = 2 * time.Second
+	minDialBackoff = 100 * time.Millisecond
+	maxDialBackoff = 2 * time.Second
+	dialTimeout    = 2 * time.Second
 )
 
-func (s *Server) dial(id router.LinkID, addr string) {
+// dial keeps a connection to a peer open until the server stops.
+func (s *Server) dial(id router.LinkID, address string) {
 	defer s.wg.Done()
-	ctx := s.context()
-	pause := firstRedial
+	ctx := s.stopContext()
+	backoff := minDialBackoff
 	for ctx.Err() == nil {
-		d := net.Dialer{Timeout: dialTime}
-		conn, err := d.DialContext(ctx, "tcp", addr)
+		dialer := net.Dialer{Timeout: dialTimeout}
+		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
-			pause = firstRedial
+			backoff = minDialBackoff
 			s.serve(id, conn, nil)
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-s.stop:
 			return
 		}
-		pause = min(2*pause, lastRedial)
+		backoff = min(2*backoff, maxDialBackoff)
 	}
 }
 
-// serve works on one connection until it ends.
-func (s *Server) serve(id router.LinkID, conn net.Conn, first []byte) {
-	l := link.New(conn)
+// serve reads and writes one connection until it ends. initialBytes were read from it already.
+func (s *Server) serve(id router.LinkID, conn net.Conn, initialBytes []byte) {
+	peerLink := link.New(conn)
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
-		l.WriteLoop()
+		peerLink.WriteLoop()
 	}()
-	if !s.post(func(now time.Duration) { s.up(now, id, l, first) }) {
-		l.Close()
+	if !s.post(func(now time.Duration) { s.linkUp(now, id, peerLink, initialBytes) }) {
+		peerLink.Close()
 		return
 	}
-	s.read(id, l)
-	l.Close()
-	s.post(func(now time.Duration) { s.down(now, id, l) })
+	s.readLoop(id, peerLink)
+	peerLink.Close()
+	s.post(func(now time.Duration) { s.linkDown(now, id, peerLink) })
 }
 
-func (s *Server) up(now time.Duration, id router.LinkID, l *link.Link, first []byte) {
-	if old := s.links[id]; old != nil { // the newest connection of a peer counts
-		old.Close()
-		s.step(router.Input{At: now, Kind: router.InDisconnected, Link: id, Count: old.Written()})
+// linkUp registers a connection. It replaces an older connection of the same process.
+func (s *Server) linkUp(now time.Duration, id router.LinkID, peerLink *link.Link, initialBytes []byte) {
+	if previous := s.links[id]; previous != nil {
+		previous.Close()
+		s.applyOnLoop(router.Input{At: now, Kind: router.InDisconnected, Link: id, Count: previous.Written()})
 	}
-	s.links[id] = l
-	s.step(router.Input{At: now, Kind: router.InConnected, Link: id})
-	if len(first) > 0 {
-		s.step(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: first})
+	s.links[id] = peerLink
+	s.applyOnLoop(router.Input{At: now, Kind: router.InConnected, Link: id})
+	if len(initialBytes) > 0 {
+		s.applyOnLoop(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: initialBytes})
 	}
 }
 
-func (s *Server) down(now time.Duration, id router.LinkID, l *link.Link) {
-	if s.links[id] == l {
+// linkDown removes a connection, unless a newer one has replaced it.
+func (s *Server) linkDown(now time.Duration, id router.LinkID, peerLink *link.Link) {
+	if s.links[id] == peerLink {
 		delete(s.links, id)
-		s.step(router.Input{At: now, Kind: router.InDisconnected, Link: id, Count: l.Written()})
+		s.applyOnLoop(router.Input{At: now, Kind: router.InDisconnected, Link: id, Count: peerLink.Written()})
 	}
 }
 
-// readSize is the most that is read at once; the Router copies what it keeps.
-const readSize = 16384
+// readBufferSize is the most that one read returns, in bytes. Buffers are reused: the Router copies what it keeps.
+const readBufferSize = 16384
 
-var buffers = sync.Pool{New: func() any { return new([readSize]byte) }}
+var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// read hands what comes to the loop, one piece at a time: a peer that sends faster than calls are handled is
-// slowed down by TCP.
-func (s *Server) read(id router.LinkID, l *link.Link) {
+// readLoop passes received bytes to the event loop. While the task queue is full it does not read, so that TCP flow control
+// slows down a peer that sends faster than its calls are handled.
+func (s *Server) readLoop(id router.LinkID, peerLink *link.Link) {
 	for {
-		buf := buffers.Get().(*[readSize]byte)
-		n, err := l.Conn().Read(buf[:])
+		buffer := readBuffers.Get().(*[readBufferSize]byte)
+		n, err := peerLink.Conn().Read(buffer[:])
 		if n > 0 {
-			came := s.now()
-			ok := s.post(func(now time.Duration) {
-				if s.links[id] == l {
-					s.step(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: buf[:n], Waited: now - came})
+			receivedAt := s.now()
+			posted := s.post(func(now time.Duration) {
+				if s.links[id] == peerLink {
+					s.applyOnLoop(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: buffer[:n], Waited: now - receivedAt})
 				}
-				buffers.Put(buf)
+				readBuffers.Put(buffer)
 			})
-			if !ok {
+			if !posted {
 				return
 			}
 		}
--- a/server/traffic.go
+++ b/server/traffic.go
@@ -8,57 +8,59 @@
 	"finchlatch/router"
 )
 
-// traffic keeps what the Router's Meter measures, and has the advisor hear it.
-type traffic struct {
+// trafficRecorder stores what the Router's Meter measures and passes it to the advisor.
+type trafficRecorder struct {
 	meter   *measure.Meter
 	store   *measure.Store
 	advisor measure.Advisor
-	run     uint64
-	pending []measure.Interval // that the store did not take yet, the newest last
+	runID   uint64             // differs from run to run
+	unsaved []measure.Interval // ended but not stored yet, oldest first
 }
 
-// mostPending is how many intervals wait for a store that cannot be written: about ten days.
-const mostPending = 1000
+// maxUnsaved bounds the intervals that wait for a store that cannot be written: with 15 minutes each about ten days.
+const maxUnsaved = 1000
 
-// measured puts a Meter into the settings of the Router, where the configuration wants one.
-func (s *Server) measured(settings *router.Config) error {
-	c := s.cfg.Traffic
-	if c == nil {
+// openTraffic opens the measurement store and adds a Meter to the settings of the Router, if so configured.
+func (s *Server) openTraffic(settings *router.Config) error {
+	trafficSettings := s.cfg.Traffic
+	if trafficSettings == nil {
 		return nil
 	}
-	store, err := measure.OpenStore(c.Store, time.Duration(c.Retention))
+	store, err := measure.OpenStore(trafficSettings.Store, time.Duration(trafficSettings.Retention))
 	if err != nil {
 		return err
 	}
-	home := 0
-	for _, e := range settings.Exchanges {
-		if e.Name == settings.Name {
-			home = e.Number
+	homeNumber := 0
+	for _, exchange := range settings.Exchanges {
+		if exchange.Name == settings.Name {
+			homeNumber = exchange.Number
 		}
 	}
-	classes, now := settings.LogicClasses(), wall()
-	s.traffic = &traffic{store: store, run: uint64(now.UnixNano()), advisor: measure.Advisor{Classes: classes, Targets: s.cfg.BlockingTargets},
-		meter: measure.New(measure.Settings{Home: home, Classes: classes}, Epoch, now)}
+	classes, startedAt := settings.LogicClasses(), wallClock()
+	s.traffic = &trafficRecorder{store: store, runID: uint64(startedAt.UnixNano()),
+		advisor: measure.Advisor{Classes: classes, Targets: s.cfg.BlockingTargets},
+		meter:   measure.New(measure.Settings{Home: homeNumber, Classes: classes}, Epoch, startedAt)}
 	settings.Meter = s.traffic.meter
 	return nil
 }
 
-// wall is the clock without Go's own reading beside it, which would hide that it was set.
-func wall() time.Time { return time.Now().Round(0) }
+// wallClock returns the time without Go's monotonic clock reading, which would hide that the system clock was set.
+func wallClock() time.Time { return time.Now().Round(0) }
 
-// keepTraffic writes what was measured every fine interval, the open interval too: a crash loses no more than that.
-func (s *Server) keepTraffic() {
+// trafficLoop stores the measurements after every fine interval, with those of the open interval, so that a crash loses no
+// more than one fine interval.
+func (s *Server) trafficLoop() {
 	defer s.wg.Done()
 	defer func() {
 		if err := s.closeTraffic(); err != nil {
-			s.log.Error("traffic not kept", "err", err)
+			s.log.Error("traffic measurements not stored", "err", err)
 		}
 	}()
-	tick := time.NewTicker(measure.Fine)
-	defer tick.Stop()
+	ticker := time.NewTicker(measure.Fine)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			s.writeTraffic()
 		case <-s.stop:
 			return
@@ -66,6 +68,7 @@
 	}
 }
 
+// closeTraffic closes the measurement store.
 func (s *Server) closeTraffic() error {
 	if s.traffic == nil {
 		return nil
@@ -73,31 +76,32 @@
 	return s.traffic.store.Close()
 }
 
-// writeTraffic takes what has been measured and keeps it. Only Kill, as a crash, ends a server without it.
+// writeTraffic passes ended intervals to the advisor and stores them with the open one. Shutdown calls it before the server
+// ends; only Kill, as a crash would, loses the measurements since the last call.
 func (s *Server) writeTraffic() {
 	if s.traffic == nil {
 		return
 	}
-	t := s.traffic
+	recorder := s.traffic
 	var ended []measure.Interval
 	var open measure.Interval
 	err := s.Do(func(_ *router.Router, now time.Duration) {
-		t.meter.Clock(now, wall())
-		ended, open = t.meter.Take(now), t.meter.Open(now)
+		recorder.meter.Clock(now, wallClock())
+		ended, open = recorder.meter.Take(now), recorder.meter.Open(now)
 	})
 	if err != nil {
 		return
 	}
-	for _, i := range ended {
-		for _, a := range t.advisor.Hear(i) {
-			s.log.Warn("traffic", "exchange", a.To, "outgrew", a.Outgrew, "text", a.Text)
+	for _, interval := range ended {
+		for _, advice := range recorder.advisor.Hear(interval) {
+			s.log.Warn("traffic", "exchange", advice.To, "outgrew", advice.Outgrew, "text", advice.Text)
 		}
 	}
-	t.pending = append(t.pending, ended...)
-	t.pending = t.pending[max(0, len(t.pending)-mostPending):]
-	if err := t.store.Put(t.run, append(slices.Clip(t.pending), open)...); err != nil {
-		s.log.Error("traffic not kept", "err", err, "intervals", len(t.pending))
+	recorder.unsaved = append(recorder.unsaved, ended...)
+	recorder.unsaved = recorder.unsaved[max(0, len(recorder.unsaved)-maxUnsaved):]
+	if err := recorder.store.Put(recorder.runID, append(slices.Clip(recorder.unsaved), open)...); err != nil {
+		s.log.Error("traffic measurements not stored", "err", err, "intervals", len(recorder.unsaved))
 		return
 	}
-	t.pending = nil
+	recorder.unsaved = nil
 }
