--- a/server/dns_test.go
+++ b/server/dns_test.go
@@ -14,15 +14,17 @@
 	"finchlatch/isup"
 )
 
-const withEnum = `enum: { listen: '127.0.0.1:0', routing: '99', secret: 'x', lease: '40ms', answers: 1e6,
+// enumSettings replaces "name: 'a'," in testSettings, to add a DNS frontend.
+const enumSettings = `enum: { listen: '127.0.0.1:0', routing: '99', secret: 'x', lease: '40ms', answers: 1e6,
     askers: [{ name: 'switch', networks: ['127.0.0.0/8'], client: 'counters', class: 'one', rate: 1e6, leases: 1000 }] },
   name: 'a',`
 
-func startEnum(t testing.TB) *Server {
-	return startWith(t, strings.Replace(settings, "name: 'a',", withEnum, 1))
+func startEnumServer(t testing.TB) *Server {
+	return startServerWith(t, strings.Replace(testSettings, "name: 'a',", enumSettings, 1))
 }
 
-func naptr(number string) *dns.Msg {
+// naptrQuery returns the query for a number.
+func naptrQuery(number string) *dns.Msg {
 	name := ""
 	for i := len(number) - 1; i >= 0; i-- {
 		name += number[i:i+1] + "."
@@ -30,64 +32,66 @@
 	return new(dns.Msg).SetQuestion(name+"e164.arpa.", dns.TypeNAPTR)
 }
 
-// routingOf reads the routing number of an answer; empty: there is none.
-func routingOf(m *dns.Msg) string {
-	for _, rr := range m.Answer {
-		if n, ok := rr.(*dns.NAPTR); ok {
-			_, rest, _ := strings.Cut(n.Regexp, "rn=+")
+// routingOf returns the routing number of a response; empty: there is none.
+func routingOf(message *dns.Msg) string {
+	for _, record := range message.Answer {
+		if naptr, ok := record.(*dns.NAPTR); ok {
+			_, rest, _ := strings.Cut(naptr.Regexp, "rn=+")
 			return strings.TrimSuffix(rest, "!")
 		}
 	}
 	return ""
 }
 
-// A look-up over UDP and over TCP, and the set-up that takes the lease over.
+// Queries over UDP and over TCP, each followed by the set-up that uses the lease.
 func TestLookUpThenSetUp(t *testing.T) {
-	s := startEnum(t)
-	far, counters := dial(t, s, 102), dial(t, s, 2001)
-	ready(t, s, "b", far)
-	ready(t, s, "counters", counters)
+	s := startEnumServer(t)
+	exchange, counters := connectPeer(t, s, 102), connectPeer(t, s, 2001)
+	waitForCircuits(t, s, "b", exchange)
+	waitForCircuits(t, s, "counters", counters)
 	for i, network := range []string{"udp", "tcp"} {
 		cic := uint16(1 + i)
-		c := &dns.Client{Net: network, Timeout: 10 * time.Second}
-		m, _, err := c.Exchange(naptr("5521"), s.EnumAddr().String())
+		client := &dns.Client{Net: network, Timeout: 10 * time.Second}
+		response, _, err := client.Exchange(naptrQuery("5521"), s.EnumAddr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		routing := routingOf(m)
-		if m.Rcode != dns.RcodeSuccess || len(routing) != 10 {
-			t.Fatalf("%s: %v", network, m)
+		routing := routingOf(response)
+		if response.Rcode != dns.RcodeSuccess || len(routing) != 10 {
+			t.Fatalf("%s: %v", network, response)
 		}
-		counters.got, far.got = nil, nil
-		counters.call(cic, routing)
+		counters.received, exchange.received = nil, nil
+		counters.sendSetup(cic, routing)
 		counters.flush()
-		far.until("IAM", func() bool { return len(far.got) > 0 && far.got[len(far.got)-1].Type == isup.IAM })
-		iam := far.got[len(far.got)-1]
-		if n, err := iam.CalledNumber(); err != nil || n.Digits != "5521" {
-			t.Errorf("%s: the exchange is called %+v, %v", network, n, err)
+		exchange.readUntil("IAM", func() bool {
+			return len(exchange.received) > 0 && exchange.received[len(exchange.received)-1].Type == isup.IAM
+		})
+		iam := exchange.received[len(exchange.received)-1]
+		if number, err := iam.CalledNumber(); err != nil || number.Digits != "5521" {
+			t.Errorf("%s: the exchange is called %+v, %v", network, number, err)
 		}
-		far.send(isup.Simple(isup.ACM, iam.CIC))
-		far.send(isup.Simple(isup.ANM, iam.CIC))
-		far.flush()
-		counters.until("answer", counters.has(isup.ANM, cic))
+		exchange.send(isup.Simple(isup.ACM, iam.CIC))
+		exchange.send(isup.Simple(isup.ANM, iam.CIC))
+		exchange.flush()
+		counters.readUntil("answer", counters.hasReceived(isup.ANM, cic))
 		counters.send(isup.NewRelease(cic, isup.ReleaseInfo{Cause: 16}))
-		counters.until("RLC", counters.has(isup.RLC, cic))
-		far.until("REL", far.has(isup.REL, iam.CIC))
+		counters.readUntil("RLC", counters.hasReceived(isup.RLC, cic))
+		exchange.readUntil("REL", exchange.hasReceived(isup.REL, iam.CIC))
 	}
 }
 
-// Bytes that are no DNS are not answered with more, and harm nobody.
+// Packets that are not DNS messages do no harm: the frontend answers the next query.
 func TestNoDNS(t *testing.T) {
-	s := startEnum(t)
+	s := startEnumServer(t)
 	conn, err := net.Dial("udp", s.EnumAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	loop := []byte{0, 1, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0xc0, 0x0c, 0, 35, 0, 1}
-	for _, b := range [][]byte{{}, {1}, make([]byte, 11), loop, make([]byte, 60000)} {
-		if _, err := conn.Write(b); err != nil {
-			t.Logf("%d octets: %v", len(b), err)
+	pointerLoop := []byte{0, 1, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0xc0, 0x0c, 0, 35, 0, 1}
+	for _, packet := range [][]byte{{}, {1}, make([]byte, 11), pointerLoop, make([]byte, 60000)} {
+		if _, err := conn.Write(packet); err != nil {
+			t.Logf("%d octets: %v", len(packet), err)
 		}
 	}
 	tcp, err := net.Dial("tcp", s.EnumAddr().String())
@@ -96,64 +100,66 @@
 	}
 	_, _ = tcp.Write(append([]byte{0xff, 0xff}, make([]byte, 65535)...))
 	tcp.Close()
-	m, _, err := (&dns.Client{Timeout: 10 * time.Second}).Exchange(naptr("771"), s.EnumAddr().String())
-	if err != nil || m.Rcode != dns.RcodeNameError {
-		t.Errorf("afterwards: %v, %v", m, err)
+	response, _, err := (&dns.Client{Timeout: 10 * time.Second}).Exchange(naptrQuery("771"), s.EnumAddr().String())
+	if err != nil || response.Rcode != dns.RcodeNameError {
+		t.Errorf("afterwards: %v, %v", response, err)
 	}
 }
 
-// BenchmarkLookUp is queries over UDP from several sockets at once, against the same DNS library that answers a constant.
+// BenchmarkLookUp measures queries over UDP from several sockets at once, and compares the frontend with a server of the same
+// DNS library that answers with a constant.
 func BenchmarkLookUp(b *testing.B) {
-	constant := func() string {
+	startConstant := func() string {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		rr, err := dns.NewRR(`1.2.5.5.e164.arpa. 0 IN NAPTR 100 10 "u" "E2U+pstn:tel" "!^.*$!tel:+5521;npdi;rn=+9912345678!" .`)
+		record, err := dns.NewRR(`1.2.5.5.e164.arpa. 0 IN NAPTR 100 10 "u" "E2U+pstn:tel" "!^.*$!tel:+5521;npdi;rn=+9912345678!" .`)
 		if err != nil {
 			b.Fatal(err)
 		}
 		d := &dns.Server{PacketConn: conn, Handler: dns.HandlerFunc(func(w dns.ResponseWriter, q *dns.Msg) {
 			m := new(dns.Msg).SetReply(q)
-			m.Answer = []dns.RR{rr}
+			m.Answer = []dns.RR{record}
 			_ = w.WriteMsg(m)
 		})}
 		go func() { _ = d.ActivateAndServe() }()
 		b.Cleanup(func() { _ = d.Shutdown() })
 		return conn.LocalAddr().String()
 	}
-	front := func() string {
-		text := strings.ReplaceAll(strings.Replace(settings, "name: 'a',", withEnum, 1), "count: 4 ", "count: 186 ")
-		s := startWith(b, text)
-		far := benchDial(b, s, 102, "b")
-		go func() { (&endpoint{conn: far, own: 102, far: 101}).serveCalls() }()
+	startFrontend := func() string {
+		settings := strings.ReplaceAll(strings.Replace(testSettings, "name: 'a',", enumSettings, 1),
+			"count: 4 ", "count: 186 ")
+		s := startServerWith(b, settings)
+		exchange := connectBenchPeer(b, s, 102, "b")
+		go func() { (&endpoint{conn: exchange, ownPointCode: 102, remotePointCode: 101}).serveCalls() }()
 		return s.EnumAddr().String()
 	}
-	for _, way := range []struct {
-		name string
-		addr func() string
-	}{{"constant", constant}, {"front", front}} {
-		b.Run(way.name, func(b *testing.B) {
-			addr := way.addr()
+	for _, target := range []struct {
+		name  string
+		start func() string
+	}{{"constant", startConstant}, {"front", startFrontend}} {
+		b.Run(target.name, func(b *testing.B) {
+			addr := target.start()
 			const sockets = 8
-			var all sync.WaitGroup
-			times := make([]*hdrhistogram.Histogram, sockets) // microseconds
+			var clients sync.WaitGroup
+			latencies := make([]*hdrhistogram.Histogram, sockets) // microseconds
 			b.ResetTimer()
-			for k := range sockets {
-				times[k] = hdrhistogram.New(1, 10_000_000, 3)
-				all.Add(1)
+			for socket := range sockets {
+				latencies[socket] = hdrhistogram.New(1, 10_000_000, 3)
+				clients.Add(1)
 				go func() {
-					defer all.Done()
+					defer clients.Done()
 					conn, err := dns.Dial("udp", addr)
 					if err != nil {
 						b.Error(err)
 						return
 					}
 					defer conn.Close()
-					for i := k; i < b.N; i += sockets {
-						sent := time.Now()
-						_ = conn.SetDeadline(sent.Add(10 * time.Second))
-						if err := conn.WriteMsg(naptr("552" + string(rune('0'+k)))); err != nil {
+					for i := socket; i < b.N; i += sockets {
+						sentAt := time.Now()
+						_ = conn.SetDeadline(sentAt.Add(10 * time.Second))
+						if err := conn.WriteMsg(naptrQuery("552" + string(rune('0'+socket)))); err != nil {
 							b.Error(err)
 							return
 						}
@@ -161,42 +167,42 @@
 							b.Error(err)
 							return
 						}
-						_ = times[k].RecordValue(time.Since(sent).Microseconds())
+						_ = latencies[socket].RecordValue(time.Since(sentAt).Microseconds())
 					}
 				}()
 			}
-			all.Wait()
+			clients.Wait()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "queries/s")
-			for _, t := range times[1:] {
-				times[0].Merge(t)
+			for _, latency := range latencies[1:] {
+				latencies[0].Merge(latency)
 			}
-			b.ReportMetric(float64(times[0].ValueAtQuantile(99)), "p99-us")
+			b.ReportMetric(float64(latencies[0].ValueAtQuantile(99)), "p99-us")
 		})
 	}
 }
 
-// BenchmarkFlood is one asker's look-ups, twenty a second, alone and while another asks twenty times as fast as it may:
-// the share of the first one's that are granted.
+// BenchmarkFlood measures the share of one client's queries, 20 a second, that get a routing number: alone, and while another
+// client queries at 20 times its rate limit.
 func BenchmarkFlood(b *testing.B) {
-	text := strings.Replace(settings, "name: 'a',", `enum: { listen: '127.0.0.1:0', routing: '99', secret: 'x', lease: '40ms', answers: 1e6,
+	settings := strings.Replace(testSettings, "name: 'a',", `enum: { listen: '127.0.0.1:0', routing: '99', secret: 'x', lease: '40ms', answers: 1e6,
     askers: [{ name: 'quiet', networks: ['127.0.5.0/24'], client: 'counters', class: 'one', rate: 100 },
       { name: 'flood', networks: ['127.0.6.0/24'], client: 'counters', class: 'one', rate: 100 }] }, name: 'a',`, 1)
 	for b.Loop() {
-		s := startWith(b, strings.ReplaceAll(text, "count: 4 ", "count: 186 "))
-		far := benchDial(b, s, 102, "b")
-		go func() { (&endpoint{conn: far, own: 102, far: 101}).serveCalls() }()
-		b.ReportMetric(granted(b, s, 5, 20, 40), "alone")
-		flooding := make(chan float64)
-		go func() { flooding <- granted(b, s, 6, 2000, 4000) }()
-		b.ReportMetric(granted(b, s, 5, 20, 40), "during")
-		b.ReportMetric(<-flooding, "flood")
+		s := startServerWith(b, strings.ReplaceAll(settings, "count: 4 ", "count: 186 "))
+		exchange := connectBenchPeer(b, s, 102, "b")
+		go func() { (&endpoint{conn: exchange, ownPointCode: 102, remotePointCode: 101}).serveCalls() }()
+		b.ReportMetric(grantedShare(b, s, 5, 20, 40), "alone")
+		flood := make(chan float64)
+		go func() { flood <- grantedShare(b, s, 6, 2000, 4000) }()
+		b.ReportMetric(grantedShare(b, s, 5, 20, 40), "during")
+		b.ReportMetric(<-flood, "flood")
 		s.Kill()
 	}
 }
 
-// granted asks n times at a rate from an address of a network, each time for another number, and gives the share that got
+// grantedShare sends queries at a rate from an address of a network, each for another number, and returns the share that got
 // a routing number.
-func granted(b *testing.B, s *Server, network byte, rate float64, n int) float64 {
+func grantedShare(b *testing.B, s *Server, network byte, rate float64, queries int) float64 {
 	dialer := &net.Dialer{LocalAddr: &net.UDPAddr{IP: net.IPv4(127, 0, network, 1)}}
 	conn, err := (&dns.Client{Dialer: dialer, Timeout: 10 * time.Second}).Dial(s.EnumAddr().String())
 	if err != nil {
@@ -204,28 +210,28 @@
 		return 0
 	}
 	defer conn.Close()
-	got, done := 0, make(chan struct{})
+	granted, done := 0, make(chan struct{})
 	go func() {
 		defer close(done)
-		for range n {
+		for range queries {
 			_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-			m, err := conn.ReadMsg()
+			response, err := conn.ReadMsg()
 			if err != nil {
 				b.Error(err)
 				return
 			}
-			if len(m.Answer) > 0 {
-				got++
+			if len(response.Answer) > 0 {
+				granted++
 			}
 		}
 	}()
-	began := time.Now()
-	for i := range n {
-		time.Sleep(time.Until(began.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
-		if err := conn.WriteMsg(naptr(fmt.Sprintf("552%d%05d", network, i))); err != nil {
+	startedAt := time.Now()
+	for i := range queries {
+		time.Sleep(time.Until(startedAt.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
+		if err := conn.WriteMsg(naptrQuery(fmt.Sprintf("552%d%05d", network, i))); err != nil {
 			b.Error(err)
 		}
 	}
 	<-done
-	return float64(got) / float64(n)
+	return float64(granted) / float64(queries)
 }
--- a/server/library_test.go
+++ b/server/library_test.go
@@ -17,54 +17,57 @@
 	"finchlatch/router"
 )
 
-// tell writes effects down, with every byte that goes out.
-func tell(effects []router.Effect) (out []string) {
-	for _, e := range effects {
-		switch e := e.(type) {
+// describeEffects returns a line for each effect except log records, with every byte that is written.
+func describeEffects(effects []router.Effect) (lines []string) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case router.Write:
-			out = append(out, fmt.Sprintf("write %d %x", e.Link, e.Bytes))
+			lines = append(lines, fmt.Sprintf("write %d %x", effect.Link, effect.Bytes))
 		case router.Log:
 		default:
-			out = append(out, fmt.Sprintf("%T %+v", e, e))
+			lines = append(lines, fmt.Sprintf("%T %+v", effect, effect))
 		}
 	}
-	return out
+	return lines
 }
 
-// TestLibraryEqualsDaemon plays a script on a daemon over loopback, and then hands a Router used as a library what the
-// daemon's was told. Time is made equal by taking it as part of each input: the daemon's clock at the moment it told
-// its Router, timers (InAdvance) among them. Decisions, answers and every byte written must be the same.
+// TestLibraryEqualsDaemon runs a script against a daemon over loopback, and then applies the recorded inputs to a Router that
+// is used as a library. Each input carries the time of the daemon at which it was applied, timers (InAdvance) among them, so
+// that both see the same times. Decisions, answers and every byte written must be the same.
 func TestLibraryEqualsDaemon(t *testing.T) {
-	cfg, err := config.Evaluate("test.jsonnet", settings, nil)
+	cfg, err := config.Evaluate("test.jsonnet", testSettings, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var inputs []router.Input
-	var daemon []string
+	var daemonLines []string
 	s, err := New(cfg, slog.New(slog.DiscardHandler), WithObserver(func(in router.Input) {
 		in.Bytes = bytes.Clone(in.Bytes)
 		inputs = append(inputs, in)
-	}, func(e []router.Effect) { daemon = append(daemon, tell(e)...) }))
+	}, func(e []router.Effect) { daemonLines = append(daemonLines, describeEffects(e)...) }))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
-	playOn(t, s)
+	runScript(t, s)
 	s.Kill()
 
-	got := replay(t, cfg, inputs)
-	last := slices.IndexFunc(inputs, func(in router.Input) bool { return in.Kind == router.InReceive && in.At > Epoch+time.Second })
-	if other := replay(t, cfg, slices.Delete(slices.Clone(inputs), last, last+1)); slices.Equal(other, got) {
-		t.Error("an input less makes no difference: the comparison cannot fail")
+	libraryLines := replay(t, cfg, inputs)
+	removed := slices.IndexFunc(inputs, func(in router.Input) bool {
+		return in.Kind == router.InReceive && in.At > Epoch+time.Second
+	})
+	if other := replay(t, cfg, slices.Delete(slices.Clone(inputs), removed, removed+1)); slices.Equal(other, libraryLines) {
+		t.Error("removing an input makes no difference: the comparison cannot fail")
 	}
 	decisions := 0
-	for i := range max(len(got), len(daemon)) {
-		if i >= len(got) || i >= len(daemon) || got[i] != daemon[i] {
-			t.Fatalf("line %d of %d and %d differs:\n%s\n%s", i, len(got), len(daemon), at(got, i), at(daemon, i))
+	for i := range max(len(libraryLines), len(daemonLines)) {
+		if i >= len(libraryLines) || i >= len(daemonLines) || libraryLines[i] != daemonLines[i] {
+			t.Fatalf("line %d of %d and %d differs:\n%s\n%s", i, len(libraryLines), len(daemonLines),
+				lineAt(libraryLines, i), lineAt(daemonLines, i))
 		}
-		if strings.HasPrefix(got[i], "router.Decision") {
+		if strings.HasPrefix(libraryLines[i], "router.Decision") {
 			decisions++
 		}
 	}
@@ -73,45 +76,45 @@
 	}
 }
 
-// replay hands inputs to a Router used as a library.
-func replay(t *testing.T, cfg *config.Config, inputs []router.Input) (got []string) {
+// replay applies inputs to a Router that is used as a library, and describes its effects.
+func replay(t *testing.T, cfg *config.Config, inputs []router.Input) (lines []string) {
 	library, err := router.New(cfg.Router, cfg.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, in := range inputs {
-		library.Apply(in)
-		got = append(got, tell(library.Effects())...)
+	for _, input := range inputs {
+		library.Apply(input)
+		lines = append(lines, describeEffects(library.Effects())...)
 	}
-	return got
+	return lines
 }
 
-func at(lines []string, i int) string {
+// lineAt returns a line, or a text if there are not so many.
+func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
 	}
 	return "nothing"
 }
 
-// behave answers calls in the background by a plan that takes turns: answer, answer late, turn away, reset, say nothing.
-// It ends with the connection.
-func (p *peer) behave() (ended chan struct{}) {
+// answerInBackground answers calls until the connection ends, by the fixed pattern of answerSetup.
+func (p *testPeer) answerInBackground() (ended chan struct{}) {
 	ended = make(chan struct{})
-	calls, buf := 0, make([]byte, 4096)
+	calls, buffer := 0, make([]byte, 4096)
 	go func() {
 		defer close(ended)
 		for {
 			_ = p.conn.SetReadDeadline(time.Time{})
-			n, err := p.conn.Read(buf)
-			p.assoc.Receive(0, bytes.Clone(buf[:n]))
-			for _, i := range p.assoc.Indications() {
-				m, bad := isup.Decode(i.Data.Data)
-				if i.Kind != m3ua.IndData || bad != nil {
+			n, err := p.conn.Read(buffer)
+			p.assoc.Receive(0, bytes.Clone(buffer[:n]))
+			for _, indication := range p.assoc.Indications() {
+				message, decodeErr := isup.Decode(indication.Data.Data)
+				if indication.Kind != m3ua.IndData || decodeErr != nil {
 					continue
 				}
-				p.answer(m)
-				if m.Type == isup.IAM {
-					p.turn(calls, m.CIC)
+				p.acknowledge(message)
+				if message.Type == isup.IAM {
+					p.answerSetup(calls, message.CIC)
 					calls++
 				}
 			}
@@ -124,32 +127,33 @@
 	return ended
 }
 
-func (p *peer) turn(call int, cic uint16) {
+// answerSetup answers most set-ups; of nine, one is refused, one reset and one left without an answer.
+func (p *testPeer) answerSetup(call int, cic uint16) {
 	switch call % 9 {
 	case 4:
 		p.send(isup.NewRelease(cic, isup.ReleaseInfo{Cause: isup.CauseNoCircuit}))
 	case 6:
 		p.send(isup.Simple(isup.RSC, cic))
-	case 8: // says nothing: the attempt times out
+	case 8: // no answer: the attempt times out
 	default:
 		p.send(isup.Simple(isup.ACM, cic))
 		p.send(isup.Simple(isup.ANM, cic))
 	}
 }
 
-// playOn is the script: calls that stand, are refused, time out and are tried again, a lost connection, operators'
-// commands, a drain.
-func playOn(t *testing.T, s *Server) {
-	far, counters := dial(t, s, 102), dial(t, s, 2001)
-	ready(t, s, "b", far)
-	ready(t, s, "counters", counters)
+// runScript runs the script: calls that are established, refused, or time out and are attempted again; a lost connection;
+// console commands; a drain.
+func runScript(t *testing.T, s *Server) {
+	exchange, counters := connectPeer(t, s, 102), connectPeer(t, s, 2001)
+	waitForCircuits(t, s, "b", exchange)
+	waitForCircuits(t, s, "counters", counters)
 	console, err := textproto.Dial("tcp", s.ConsoleAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer console.Close()
 	_, _, _ = console.ReadCodeLine(200)
-	order := func(line string) {
+	execute := func(line string) {
 		if err := console.PrintfLine("%s", line); err != nil {
 			t.Fatal(err)
 		}
@@ -161,34 +165,36 @@
 			_, _ = console.ReadDotLines()
 		}
 	}
-	ended := far.behave()
+	ended := exchange.answerInBackground()
 	for i := range 60 {
 		cic := uint16(1 + i%8)
-		counters.got = nil
-		counters.call(cic, "5521")
-		counters.until("final answer", func() bool { return counters.has(isup.ANM, cic)() || counters.has(isup.REL, cic)() })
-		if !counters.has(isup.REL, cic)() {
+		counters.received = nil
+		counters.sendSetup(cic, "5521")
+		counters.readUntil("final answer", func() bool {
+			return counters.hasReceived(isup.ANM, cic)() || counters.hasReceived(isup.REL, cic)()
+		})
+		if !counters.hasReceived(isup.REL, cic)() {
 			counters.send(isup.NewRelease(cic, isup.ReleaseInfo{Cause: 16}))
-			counters.until("RLC", counters.has(isup.RLC, cic))
+			counters.readUntil("RLC", counters.hasReceived(isup.RLC, cic))
 		}
 		switch i {
 		case 10:
-			order("block b 1")
-			order("unblock b 1")
+			execute("block b 1")
+			execute("unblock b 1")
 		case 20:
-			order("list update b draining")
-			order("list update b ready 100ms")
+			execute("list update b draining")
+			execute("list update b ready 100ms")
 		}
 	}
-	far.conn.Close()
+	exchange.conn.Close()
 	<-ended
-	far = dial(t, s, 102)
-	ready(t, s, "b", far)
-	go func() { _, _ = io.Copy(io.Discard, far.conn) }()
-	order("drain")
-	counters.got = nil
-	counters.call(9, "5521")
-	counters.until("refusal", counters.has(isup.REL, 9))
-	order("show status")
-	time.Sleep(10 * time.Millisecond) // a few timers more
+	exchange = connectPeer(t, s, 102)
+	waitForCircuits(t, s, "b", exchange)
+	go func() { _, _ = io.Copy(io.Discard, exchange.conn) }()
+	execute("drain")
+	counters.received = nil
+	counters.sendSetup(9, "5521")
+	counters.readUntil("refusal", counters.hasReceived(isup.REL, 9))
+	execute("show status")
+	time.Sleep(10 * time.Millisecond) // so that a few more timers expire
 }
--- a/server/relay_test.go
+++ b/server/relay_test.go
@@ -13,53 +13,55 @@
 	"finchlatch/m3ua"
 )
 
-// The benchmarks here measure the daemon against a bare relay that copies bytes between the same two sockets: a
-// scripted counter offers whole calls (IAM, ACM, ANM, REL, RLC), a scripted exchange answers them at once.
+// The benchmarks compare the daemon with a relay that only copies bytes between the same two sockets. A scripted counter
+// offers complete calls (IAM, ACM, ANM, REL, RLC), and a scripted exchange answers them at once.
 
-// benchCircuits are enough for 350 calls a second that each last as long as their messages.
+// benchCircuits is the size of a trunk group: enough for 350 calls a second that are released as soon as they are answered.
 const benchCircuits = 186
 
-// endpoint is one raw end of a benchmark.
+// endpoint is one end of a benchmark, which sends and receives M3UA messages without an association.
 type endpoint struct {
-	conn     net.Conn
-	own, far uint32
+	conn            net.Conn
+	ownPointCode    uint32
+	remotePointCode uint32
 }
 
-func (e *endpoint) message(m *isup.Message) []byte {
-	b, err := m.Append(nil)
+// encode returns a message as an M3UA DATA message.
+func (e *endpoint) encode(message *isup.Message) []byte {
+	encoded, err := message.Append(nil)
 	if err != nil {
-		panic(err) // made by this file
+		panic(err) // all messages are built by the benchmarks
 	}
-	p := m3ua.ProtocolData{OPC: e.own, DPC: e.far, SI: 5, NI: 2, Data: b}
-	return p.Message().Append(nil)
+	data := m3ua.ProtocolData{OPC: e.ownPointCode, DPC: e.remotePointCode, SI: 5, NI: 2, Data: encoded}
+	return data.Message().Append(nil)
 }
 
-// each hands every ISUP message that comes to f, and writes what f gives back, once for each read.
-func (e *endpoint) each(f func(m *isup.Message) []byte) {
-	framer, buf := m3ua.Framer{}, make([]byte, 65536)
+// handleMessages passes each received ISUP message to handle and writes what it returns, with one write for each read.
+func (e *endpoint) handleMessages(handle func(m *isup.Message) []byte) {
+	framer, buffer := m3ua.Framer{}, make([]byte, 65536)
 	for {
-		n, err := e.conn.Read(buf)
-		framer.Write(buf[:n])
-		var out []byte
+		n, err := e.conn.Read(buffer)
+		framer.Write(buffer[:n])
+		var output []byte
 		for {
-			raw, bad := framer.Next()
-			if bad != nil || raw == nil {
+			frame, decodeErr := framer.Next()
+			if decodeErr != nil || frame == nil {
 				break
 			}
-			m, bad := m3ua.Decode(raw)
-			if bad != nil || m.Kind != m3ua.DATA {
+			message, decodeErr := m3ua.Decode(frame)
+			if decodeErr != nil || message.Kind != m3ua.DATA {
 				continue
 			}
-			p, bad := m3ua.ReadProtocolData(m)
-			if bad != nil {
+			data, decodeErr := m3ua.ReadProtocolData(message)
+			if decodeErr != nil {
 				continue
 			}
-			if i, bad := isup.Decode(p.Data); bad == nil {
-				out = append(out, f(i)...)
+			if isupMessage, isupErr := isup.Decode(data.Data); isupErr == nil {
+				output = append(output, handle(isupMessage)...)
 			}
 		}
-		if len(out) > 0 {
-			_, _ = e.conn.Write(out)
+		if len(output) > 0 {
+			_, _ = e.conn.Write(output)
 		}
 		if err != nil {
 			return
@@ -69,146 +71,150 @@
 
 // serveCalls answers every call at once.
 func (e *endpoint) serveCalls() {
-	e.each(func(m *isup.Message) []byte {
-		switch m.Type {
+	e.handleMessages(func(message *isup.Message) []byte {
+		switch message.Type {
 		case isup.IAM:
-			return append(e.message(isup.Simple(isup.ACM, m.CIC)), e.message(isup.Simple(isup.ANM, m.CIC))...)
+			return append(e.encode(isup.Simple(isup.ACM, message.CIC)), e.encode(isup.Simple(isup.ANM, message.CIC))...)
 		case isup.REL:
-			return e.message(isup.Simple(isup.RLC, m.CIC))
+			return e.encode(isup.Simple(isup.RLC, message.CIC))
 		}
 		return nil
 	})
 }
 
-// benchPath is a way from the counter to the exchange: through the daemon, or through a relay.
-func benchPath(b *testing.B, daemon bool) *endpoint {
-	counter, exchange := &endpoint{own: 2001, far: 101}, &endpoint{own: 102, far: 101}
+// connectCounter connects a counter and an exchange, through the daemon or through a relay, and returns the counter.
+func connectCounter(b *testing.B, daemon bool) *endpoint {
+	counter, exchange := &endpoint{ownPointCode: 2001, remotePointCode: 101},
+		&endpoint{ownPointCode: 102, remotePointCode: 101}
 	if daemon {
-		text := strings.ReplaceAll(strings.ReplaceAll(settings, "count: 4 ", "count: 186 "), "count: 31 ", "count: 186 ")
-		s := startWith(b, text)
-		far, near := benchDial(b, s, 102, "b"), benchDial(b, s, 2001, "counters")
+		settings := strings.ReplaceAll(strings.ReplaceAll(testSettings, "count: 4 ", "count: 186 "), "count: 31 ", "count: 186 ")
+		s := startServerWith(b, settings)
+		far, near := connectBenchPeer(b, s, 102, "b"), connectBenchPeer(b, s, 2001, "counters")
 		exchange.conn, counter.conn = far, near
 	} else {
-		exchange.conn, counter.conn = relayed(b)
+		exchange.conn, counter.conn = startRelay(b)
 	}
 	go exchange.serveCalls()
 	return counter
 }
 
-func benchDial(b *testing.B, s *Server, own uint32, name string) net.Conn {
+// connectBenchPeer connects a peer that has usable circuits, and returns its connection.
+func connectBenchPeer(b *testing.B, s *Server, pointCode uint32, name string) net.Conn {
 	t := &testing.T{}
-	p := dial(t, s, own)
-	ready(t, s, name, p)
+	p := connectPeer(t, s, pointCode)
+	waitForCircuits(t, s, name, p)
 	_ = p.conn.SetReadDeadline(time.Time{})
 	b.Cleanup(func() { p.conn.Close() })
 	return p.conn
 }
 
-// relayed is a pair of sockets joined by a process that only copies.
-func relayed(b *testing.B) (far, near net.Conn) {
-	pipe := func() (net.Conn, net.Conn) {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+// startRelay starts a relay that copies bytes between two connections, and returns the other ends of both.
+func startRelay(b *testing.B) (far, near net.Conn) {
+	connect := func() (net.Conn, net.Conn) {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer l.Close()
-		a, err := net.Dial("tcp", l.Addr().String())
+		defer listener.Close()
+		dialed, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			b.Fatal(err)
 		}
-		c, err := l.Accept()
+		accepted, err := listener.Accept()
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Cleanup(func() { a.Close(); c.Close() })
-		return a, c
+		b.Cleanup(func() { dialed.Close(); accepted.Close() })
+		return dialed, accepted
 	}
-	near, inside := pipe()
-	far, outside := pipe()
-	go func() { _, _ = io.Copy(outside, inside) }()
-	go func() { _, _ = io.Copy(inside, outside) }()
+	near, nearRelay := connect()
+	far, farRelay := connect()
+	go func() { _, _ = io.Copy(farRelay, nearRelay) }()
+	go func() { _, _ = io.Copy(nearRelay, farRelay) }()
 	return far, near
 }
 
-// calls offers n calls, each on a free circuit, at most window at once and at most rate a second (0: no limit),
-// and gives the set-up times in nanoseconds.
-func (e *endpoint) calls(b *testing.B, n, window int, rate float64) *hdrhistogram.Histogram {
-	times := hdrhistogram.New(1, int64(10*time.Second), 3)
-	free := make(chan uint16, benchCircuits)
-	for c := uint16(1); len(free) < min(window, benchCircuits); c++ {
-		if c%32 != 0 {
-			free <- c
+// offerCalls offers count calls, each on a free circuit, at most window at once and at most rate a second (0: no limit), and
+// returns the set-up times in nanoseconds.
+func (e *endpoint) offerCalls(b *testing.B, count, window int, rate float64) *hdrhistogram.Histogram {
+	setUpTimes := hdrhistogram.New(1, int64(10*time.Second), 3)
+	freeCircuits := make(chan uint16, benchCircuits)
+	for cic := uint16(1); len(freeCircuits) < min(window, benchCircuits); cic++ {
+		if cic%32 != 0 {
+			freeCircuits <- cic
 		}
 	}
-	sent := make([]time.Time, 4096)
-	done, over := make(chan struct{}), 0
+	sentAt := make([]time.Time, 4096)
+	done, ended := make(chan struct{}), 0
 	go func() {
-		e.each(func(m *isup.Message) []byte {
-			switch m.Type {
+		e.handleMessages(func(message *isup.Message) []byte {
+			switch message.Type {
 			case isup.ANM, isup.CON:
-				_ = times.RecordValue(time.Since(sent[m.CIC]).Nanoseconds())
-				return e.message(isup.NewRelease(m.CIC, isup.ReleaseInfo{Cause: 16}))
+				_ = setUpTimes.RecordValue(time.Since(sentAt[message.CIC]).Nanoseconds())
+				return e.encode(isup.NewRelease(message.CIC, isup.ReleaseInfo{Cause: 16}))
 			case isup.REL:
-				b.Errorf("circuit %d released with cause %d", m.CIC, m.Release().Cause)
-				over++
-				return e.message(isup.Simple(isup.RLC, m.CIC))
+				b.Errorf("circuit %d released with cause %d", message.CIC, message.Release().Cause)
+				ended++
+				return e.encode(isup.Simple(isup.RLC, message.CIC))
 			case isup.RLC:
-				free <- m.CIC
-				if over++; over == n {
+				freeCircuits <- message.CIC
+				if ended++; ended == count {
 					close(done)
 				}
 			}
 			return nil
 		})
 	}()
-	began := time.Now()
-	for i := range n {
-		cic := <-free
+	startedAt := time.Now()
+	for i := range count {
+		cic := <-freeCircuits
 		if rate > 0 {
-			time.Sleep(time.Until(began.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
+			time.Sleep(time.Until(startedAt.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
 		}
-		m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+		setup, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1},
+			Category: 10, Width: 1, Hops: -1})
 		if err != nil {
 			b.Fatal(err)
 		}
-		sent[cic] = time.Now()
-		if _, err := e.conn.Write(e.message(m)); err != nil {
+		sentAt[cic] = time.Now()
+		if _, err := e.conn.Write(e.encode(setup)); err != nil {
 			b.Fatal(err)
 		}
 	}
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		b.Fatalf("%d of %d calls ended", over, n)
+		b.Fatalf("%d of %d calls ended", ended, count)
 	}
-	return times
+	return setUpTimes
 }
 
-func paths(b *testing.B, f func(b *testing.B, e *endpoint)) {
-	for _, way := range []struct {
+// benchRelayAndDaemon runs a benchmark through the relay and through the daemon.
+func benchRelayAndDaemon(b *testing.B, run func(b *testing.B, e *endpoint)) {
+	for _, path := range []struct {
 		name   string
 		daemon bool
 	}{{"relay", false}, {"daemon", true}} {
-		b.Run(way.name, func(b *testing.B) { f(b, benchPath(b, way.daemon)) })
+		b.Run(path.name, func(b *testing.B) { run(b, connectCounter(b, path.daemon)) })
 	}
 }
 
-// BenchmarkThroughput is whole calls, as many at once as there are circuits.
+// BenchmarkThroughput measures complete calls, as many at once as there are circuits.
 func BenchmarkThroughput(b *testing.B) {
-	paths(b, func(b *testing.B, e *endpoint) {
+	benchRelayAndDaemon(b, func(b *testing.B, e *endpoint) {
 		b.ResetTimer()
-		e.calls(b, b.N, benchCircuits, 0)
+		e.offerCalls(b, b.N, benchCircuits, 0)
 		b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
 	})
 }
 
-// BenchmarkSetUpDelay is the time from IAM to ANM at 350 calls a second.
+// BenchmarkSetUpDelay measures the time from IAM to ANM at 350 calls a second.
 func BenchmarkSetUpDelay(b *testing.B) {
-	paths(b, func(b *testing.B, e *endpoint) {
+	benchRelayAndDaemon(b, func(b *testing.B, e *endpoint) {
 		b.ResetTimer()
-		h := e.calls(b, b.N, benchCircuits, 350)
-		b.ReportMetric(float64(h.ValueAtQuantile(50))/1e3, "p50-us")
-		b.ReportMetric(float64(h.ValueAtQuantile(99))/1e3, "p99-us")
-		b.ReportMetric(float64(h.ValueAtQuantile(99.9))/1e3, "p99.9-us")
+		setUpTimes := e.offerCalls(b, b.N, benchCircuits, 350)
+		b.ReportMetric(float64(setUpTimes.ValueAtQuantile(50))/1e3, "p50-us")
+		b.ReportMetric(float64(setUpTimes.ValueAtQuantile(99))/1e3, "p99-us")
+		b.ReportMetric(float64(setUpTimes.ValueAtQuantile(99.9))/1e3, "p99.9-us")
 	})
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -22,7 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const settings = `{
+// testSettings are valid settings, which tests change by replacing parts of the text.
+const testSettings = `{
   name: 'a', listen: '127.0.0.1:0', console: '127.0.0.1:0',
   exchanges: [{ name: 'a', number: 1, point_code: 101 }, { name: 'b', number: 2, point_code: 102 }],
   peers: [
@@ -36,12 +37,12 @@
   timers: { t1: '300ms', t5: '3s', t12: '300ms', t13: '3s' },
 }`
 
-func start(t *testing.T) *Server { return startWith(t, settings) }
+func startServer(t *testing.T) *Server { return startServerWith(t, testSettings) }
 
-// startWith runs a server on settings of its own.
-func startWith(t testing.TB, text string) *Server {
+// startServerWith starts a server with the settings and stops it at the end of the test.
+func startServerWith(t testing.TB, settings string) *Server {
 	t.Helper()
-	cfg, err := config.Evaluate("test.jsonnet", text, nil)
+	cfg, err := config.Evaluate("test.jsonnet", settings, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,102 +57,108 @@
 	return s
 }
 
-// peer is a raw M3UA end on a socket, driven by the test.
-type peer struct {
-	t     *testing.T
-	conn  net.Conn
-	assoc *m3ua.Assoc
-	own   uint32
-	got   []*isup.Message
+// testPeer is the M3UA endpoint of a peer on a TCP connection, driven by the test.
+type testPeer struct {
+	t         *testing.T
+	conn      net.Conn
+	assoc     *m3ua.Assoc
+	pointCode uint32
+	received  []*isup.Message
 }
 
-func dial(t *testing.T, s *Server, own uint32) *peer {
+// connectPeer connects a peer and waits until it is active.
+func connectPeer(t *testing.T, s *Server, pointCode uint32) *testPeer {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	p := &peer{t: t, conn: conn, own: own, assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, ASPID: own, Beat: -1})}
+	p := &testPeer{t: t, conn: conn, pointCode: pointCode,
+		assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, ASPID: pointCode, Beat: -1})}
 	p.assoc.Connected(0)
-	p.until("active", func() bool { return p.assoc.State() == m3ua.Active })
+	p.readUntil("active", func() bool { return p.assoc.State() == m3ua.Active })
 	return p
 }
 
-// until reads and answers until something holds.
-func (p *peer) until(what string, done func() bool) {
+// readUntil reads and acknowledges messages until done returns true.
+func (p *testPeer) readUntil(what string, done func() bool) {
 	p.t.Helper()
-	buf := make([]byte, 4096)
-	limit := time.Now().Add(10 * time.Second)
+	buffer := make([]byte, 4096)
+	deadline := time.Now().Add(10 * time.Second)
 	for !done() {
-		if time.Now().After(limit) {
-			p.t.Fatalf("%d: no %s in time", p.own, what)
+		if time.Now().After(deadline) {
+			p.t.Fatalf("%d: no %s in time", p.pointCode, what)
 		}
 		p.flush()
 		_ = p.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-		n, err := p.conn.Read(buf)
-		p.assoc.Receive(0, append([]byte(nil), buf[:n]...))
-		for _, i := range p.assoc.Indications() {
-			if i.Kind == m3ua.IndData {
-				m, err := isup.Decode(i.Data.Data)
+		n, err := p.conn.Read(buffer)
+		p.assoc.Receive(0, append([]byte(nil), buffer[:n]...))
+		for _, indication := range p.assoc.Indications() {
+			if indication.Kind == m3ua.IndData {
+				message, err := isup.Decode(indication.Data.Data)
 				if err != nil {
 					p.t.Fatal(err)
 				}
-				p.got = append(p.got, m)
-				p.answer(m)
+				p.received = append(p.received, message)
+				p.acknowledge(message)
 			}
 		}
-		if ne, ok := err.(net.Error); err != nil && !(ok && ne.Timeout()) {
+		if netErr, ok := err.(net.Error); err != nil && !(ok && netErr.Timeout()) {
 			if done() {
 				return
 			}
-			p.t.Fatalf("%d: waiting for %s: %v", p.own, what, err)
+			p.t.Fatalf("%d: waiting for %s: %v", p.pointCode, what, err)
 		}
 	}
 	p.flush()
 }
 
-func (p *peer) answer(m *isup.Message) {
-	switch m.Type {
+// acknowledge sends the acknowledgement that a message asks for.
+func (p *testPeer) acknowledge(message *isup.Message) {
+	switch message.Type {
 	case isup.GRS:
-		r, _ := m.RangeStatus()
-		p.send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: r.Range}))
+		status, _ := message.RangeStatus()
+		p.send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: status.Range}))
 	case isup.REL:
-		p.send(isup.Simple(isup.RLC, m.CIC))
+		p.send(isup.Simple(isup.RLC, message.CIC))
 	}
 }
 
-func (p *peer) send(m *isup.Message) {
-	b, err := m.Append(nil)
+// send queues a message; flush writes what is queued.
+func (p *testPeer) send(message *isup.Message) {
+	encoded, err := message.Append(nil)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	if err := p.assoc.Send(m3ua.ProtocolData{OPC: p.own, DPC: 101, SI: 5, NI: 2, Data: b}); err != nil {
+	if err := p.assoc.Send(m3ua.ProtocolData{OPC: p.pointCode, DPC: 101, SI: 5, NI: 2, Data: encoded}); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *peer) flush() {
-	if b := p.assoc.Output(); len(b) > 0 {
-		if _, err := p.conn.Write(b); err != nil {
-			p.t.Logf("%d: %v", p.own, err)
+func (p *testPeer) flush() {
+	if output := p.assoc.Output(); len(output) > 0 {
+		if _, err := p.conn.Write(output); err != nil {
+			p.t.Logf("%d: %v", p.pointCode, err)
 		}
 	}
 }
 
-func (p *peer) call(cic uint16, number string) {
-	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+// sendSetup queues the IAM of a call.
+func (p *testPeer) sendSetup(cic uint16, number string) {
+	setup, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1},
+		Category: 10, Width: 1, Hops: -1})
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.send(m)
+	p.send(setup)
 }
 
-// has tells whether a message of a type has come on a circuit.
-func (p *peer) has(t isup.Type, cic uint16) func() bool {
+// hasReceived returns a function that reports whether a message of the type has been received on the circuit.
+func (p *testPeer) hasReceived(messageType isup.Type, cic uint16) func() bool {
 	return func() bool {
-		for _, m := range p.got {
-			if m.Type == t && m.CIC == cic {
+		for _, message := range p.received {
+			if message.Type == messageType && message.CIC == cic {
 				return true
 			}
 		}
@@ -159,56 +166,56 @@
 	}
 }
 
-// ready waits until circuits toward a peer are reset and usable.
-func ready(t *testing.T, s *Server, name string, p *peer) {
+// waitForCircuits waits until circuits of a peer are reset and usable.
+func waitForCircuits(t *testing.T, s *Server, name string, p *testPeer) {
 	t.Helper()
-	p.until("circuits of "+name, func() bool {
-		spare := 0
+	p.readUntil("circuits of "+name, func() bool {
+		freeCircuits := 0
 		if err := s.Do(func(r *router.Router, _ time.Duration) {
 			id, _ := r.Peer(name)
-			spare = r.Groups()[id].Spare
+			freeCircuits = r.Groups()[id].Spare
 		}); err != nil {
 			t.Fatal(err)
 		}
-		return spare > 0
+		return freeCircuits > 0
 	})
 }
 
 func TestCallOverSockets(t *testing.T) {
-	s := start(t)
-	far, counters := dial(t, s, 102), dial(t, s, 2001)
-	ready(t, s, "b", far)
-	ready(t, s, "counters", counters)
-	counters.call(1, "5521")
+	s := startServer(t)
+	exchange, counters := connectPeer(t, s, 102), connectPeer(t, s, 2001)
+	waitForCircuits(t, s, "b", exchange)
+	waitForCircuits(t, s, "counters", counters)
+	counters.sendSetup(1, "5521")
 	counters.flush()
-	far.until("IAM", far.has(isup.IAM, 1))
-	far.send(isup.Simple(isup.ACM, 1))
-	far.send(isup.Simple(isup.ANM, 1))
-	far.flush()
-	counters.until("answer", counters.has(isup.ANM, 1))
+	exchange.readUntil("IAM", exchange.hasReceived(isup.IAM, 1))
+	exchange.send(isup.Simple(isup.ACM, 1))
+	exchange.send(isup.Simple(isup.ANM, 1))
+	exchange.flush()
+	counters.readUntil("answer", counters.hasReceived(isup.ANM, 1))
 	counters.send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
-	counters.until("RLC", counters.has(isup.RLC, 1))
-	far.until("REL", far.has(isup.REL, 1))
+	counters.readUntil("RLC", counters.hasReceived(isup.RLC, 1))
+	exchange.readUntil("REL", exchange.hasReceived(isup.REL, 1))
 }
 
-// Connections that make no sense are refused with the error that the RFC names, and harm nobody.
+// Connections with invalid messages are refused with the error code of RFC 4666, and other connections still work.
 func TestBadConnections(t *testing.T) {
-	s := start(t)
-	up := (&m3ua.Message{Kind: m3ua.ASPUP}).WithUint32(m3ua.TagASPID, 4711).Append(nil)
-	length := func(n uint32) []byte { return binary.BigEndian.AppendUint32([]byte{1, 0, 3, 1}, n) }
+	s := startServer(t)
+	unknownASPUP := (&m3ua.Message{Kind: m3ua.ASPUP}).WithUint32(m3ua.TagASPID, 4711).Append(nil)
+	header := func(length uint32) []byte { return binary.BigEndian.AppendUint32([]byte{1, 0, 3, 1}, length) }
 	for name, c := range map[string]struct {
 		send []byte
-		want m3ua.ErrorCode // 0: closed without a word
+		want m3ua.ErrorCode // 0: closed without an error message
 	}{
-		"unknown identifier":  {up, m3ua.ErrIDInvalid},
+		"unknown identifier":  {unknownASPUP, m3ua.ErrIDInvalid},
 		"no identifier":       {(&m3ua.Message{Kind: m3ua.ASPUP}).Append(nil), m3ua.ErrIDRequired},
 		"DATA first":          {(&m3ua.Message{Kind: m3ua.DATA}).Append(nil), m3ua.ErrUnexpected},
 		"unknown class":       {(&m3ua.Message{Kind: 0x0701}).Append(nil), m3ua.ErrClass},
-		"length 0":            {length(0), 0},
-		"length 7":            {length(7), 0},
-		"length 2^31":         {length(1 << 31), 0},
+		"length 0":            {header(0), 0},
+		"length 7":            {header(7), 0},
+		"length 2^31":         {header(1 << 31), 0},
 		"not M3UA":            {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
-		"half a message":      {up[:9], 0},
+		"half a message":      {unknownASPUP[:9], 0},
 		"nothing but a close": {nil, 0},
 	} {
 		conn, err := net.Dial("tcp", s.Addr().String())
@@ -218,7 +225,7 @@
 		_, _ = conn.Write(c.send)
 		_ = conn.(*net.TCPConn).CloseWrite()
 		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		reply, readErr := io.ReadAll(conn) // a reset is an end, too
+		reply, readErr := io.ReadAll(conn) // a TCP reset ends the connection, too
 		conn.Close()
 		if errors.Is(readErr, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: neither an answer nor an end in 10 s", name)
@@ -229,56 +236,56 @@
 			}
 			continue
 		}
-		m, err := m3ua.Decode(reply)
+		message, err := m3ua.Decode(reply)
 		if err != nil {
 			t.Errorf("%s: %x, %v", name, reply, err)
 			continue
 		}
-		if code, _ := m.Uint32(m3ua.TagErrorCode); m3ua.ErrorCode(code) != c.want {
+		if code, _ := message.Uint32(m3ua.TagErrorCode); m3ua.ErrorCode(code) != c.want {
 			t.Errorf("%s: error code 0x%02x, want 0x%02x", name, code, uint32(c.want))
 		}
 	}
-	p := dial(t, s, 2001)
-	ready(t, s, "counters", p)
+	counters := connectPeer(t, s, 2001)
+	waitForCircuits(t, s, "counters", counters)
 }
 
-// A peer that never reads is cut off when its queue is full; calls between the others go on.
+// A peer that never reads is disconnected when its write queue is full. The other peers get answers meanwhile.
 func TestPeerThatNeverReads(t *testing.T) {
-	s := start(t)
-	far, counters := dial(t, s, 102), dial(t, s, 2001)
-	ready(t, s, "b", far)
-	ready(t, s, "counters", counters)
-	beat := (&m3ua.Message{Kind: m3ua.BEAT}).With(m3ua.TagHeartbeat, make([]byte, 3000)).Append(nil)
-	_ = far.conn.SetWriteDeadline(time.Now().Add(20 * time.Second))
-	cut := false
-	for range 20000 { // each is answered with as much
-		if _, err := far.conn.Write(beat); err != nil {
-			cut = true
+	s := startServer(t)
+	exchange, counters := connectPeer(t, s, 102), connectPeer(t, s, 2001)
+	waitForCircuits(t, s, "b", exchange)
+	waitForCircuits(t, s, "counters", counters)
+	heartbeat := (&m3ua.Message{Kind: m3ua.BEAT}).With(m3ua.TagHeartbeat, make([]byte, 3000)).Append(nil)
+	_ = exchange.conn.SetWriteDeadline(time.Now().Add(20 * time.Second))
+	closed := false
+	for range 20000 { // the acknowledgement is as long as the heartbeat
+		if _, err := exchange.conn.Write(heartbeat); err != nil {
+			closed = true
 			break
 		}
 	}
-	if !cut {
-		t.Error("60 MB were answered to a peer that reads nothing")
+	if !closed {
+		t.Error("60 MB were sent to a peer that reads nothing")
 	}
-	counters.call(1, "5521")
-	counters.until("an answer", counters.has(isup.REL, 1))
-	far = dial(t, s, 102)
-	ready(t, s, "b", far)
+	counters.sendSetup(1, "5521")
+	counters.readUntil("an answer", counters.hasReceived(isup.REL, 1))
+	exchange = connectPeer(t, s, 102)
+	waitForCircuits(t, s, "b", exchange)
 }
 
-// SIGTERM with a call out: the caller is answered before the server ends.
+// A shutdown with an outstanding attempt: the caller gets its final answer before the server ends.
 func TestShutdownAnswers(t *testing.T) {
-	s := start(t)
-	far, counters := dial(t, s, 102), dial(t, s, 2001)
-	ready(t, s, "b", far)
-	ready(t, s, "counters", counters)
-	counters.call(1, "5521")
+	s := startServer(t)
+	exchange, counters := connectPeer(t, s, 102), connectPeer(t, s, 2001)
+	waitForCircuits(t, s, "b", exchange)
+	waitForCircuits(t, s, "counters", counters)
+	counters.sendSetup(1, "5521")
 	counters.flush()
-	far.until("IAM", far.has(isup.IAM, 1))
+	exchange.readUntil("IAM", exchange.hasReceived(isup.IAM, 1))
 	ended := make(chan error, 1)
 	go func() { ended <- s.Shutdown(5 * time.Second) }()
-	go func() { _, _ = io.Copy(io.Discard, far.conn) }()
-	counters.until("answer", counters.has(isup.REL, 1))
+	go func() { _, _ = io.Copy(io.Discard, exchange.conn) }()
+	counters.readUntil("answer", counters.hasReceived(isup.REL, 1))
 	counters.flush()
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -289,18 +296,18 @@
 }
 
 func TestConsole(t *testing.T) {
-	s := start(t)
-	far := dial(t, s, 102)
-	ready(t, s, "b", far)
-	c, err := textproto.Dial("tcp", s.ConsoleAddr().String())
+	s := startServer(t)
+	exchange := connectPeer(t, s, 102)
+	waitForCircuits(t, s, "b", exchange)
+	console, err := textproto.Dial("tcp", s.ConsoleAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if _, _, err := c.ReadCodeLine(200); err != nil {
+	defer console.Close()
+	if _, _, err := console.ReadCodeLine(200); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
+	for _, c := range []struct {
 		line string
 		code int
 		want string
@@ -332,23 +339,23 @@
 		{strings.Repeat("x", 2000), 500, "too long"},
 		{"quit", 205, "bye"},
 	} {
-		if err := c.PrintfLine("%s", x.line); err != nil {
+		if err := console.PrintfLine("%s", c.line); err != nil {
 			t.Fatal(err)
 		}
-		code, text, err := c.ReadCodeLine(x.code)
+		code, text, err := console.ReadCodeLine(c.code)
 		if err != nil {
-			t.Errorf("%.40s: %d %s", x.line, code, text)
+			t.Errorf("%.40s: %d %s", c.line, code, text)
 			continue
 		}
 		if code == 215 {
-			lines, err := c.ReadDotLines()
+			lines, err := console.ReadDotLines()
 			if err != nil {
 				t.Fatal(err)
 			}
 			text = strings.Join(lines, "\n")
 		}
-		if !strings.Contains(text, x.want) {
-			t.Errorf("%.40s: %q, want %q", x.line, text, x.want)
+		if !strings.Contains(text, c.want) {
+			t.Errorf("%.40s: %q, want %q", c.line, text, c.want)
 		}
 	}
 }
--- a/server/traffic_test.go
+++ b/server/traffic_test.go
@@ -11,8 +11,8 @@
 	"finchlatch/measure"
 )
 
-// The daemon keeps what its Router measures: after a drain all of it, and after a crash what was written last; a second
-// run adds its part of the same interval.
+// The daemon stores what its Router measures: after a drain all of it, and after a crash what was written last. A second run
+// adds its part of the same interval.
 func TestTrafficIsKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traffic.db")
 	cfg, err := config.Evaluate("t.jsonnet", `{
@@ -30,11 +30,11 @@
 		t.Errorf("%v", cfg.BlockingTargets)
 	}
 	for _, crash := range []bool{true, false} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := New(cfg, slog.New(slog.DiscardHandler), WithListeners(l, nil))
+		s, err := New(cfg, slog.New(slog.DiscardHandler), WithListeners(listener, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if _, err := New(cfg, slog.New(slog.DiscardHandler)); err == nil {
-			t.Error("two call servers share a store")
+			t.Error("two call servers opened the same store")
 		}
 		if crash {
 			s.writeTraffic()
@@ -51,16 +51,16 @@
 			t.Fatal(err)
 		}
 	}
-	db, err := measure.OpenStore(path, 0)
+	store, err := measure.OpenStore(path, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
-	got, err := db.Read(time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
-	if err != nil || len(got) == 0 || len(got) > 2 { // two where a quarter of an hour ended meanwhile
-		t.Fatalf("%+v, %v", got, err)
+	defer store.Close()
+	intervals, err := store.Read(time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
+	if err != nil || len(intervals) == 0 || len(intervals) > 2 { // two if an interval of 15 minutes ended during the test
+		t.Fatalf("%+v, %v", intervals, err)
 	}
-	if got[0].Home != 1 || got[0].Covered <= 0 || got[0].Groups[0].To != 2 || got[0].Groups[0].Circuits != 4 {
-		t.Errorf("%+v", got)
+	if intervals[0].Home != 1 || intervals[0].Covered <= 0 || intervals[0].Groups[0].To != 2 || intervals[0].Groups[0].Circuits != 4 {
+		t.Errorf("%+v", intervals)
 	}
 }
