--- a/enum/frontend.go
+++ b/enum/frontend.go
@@ -259,6 +259,7 @@
 // LookupCount returns the number of lookups that are kept.
 func (f *Frontend) LookupCount() int { return len(f.lookups) }
 
+// remove removes a lookup, whose key may belong to a newer one.
 func (f *Frontend) remove(lookup *routeLookup) {
 	delete(f.lookupsByID, lookup.id)
 	if f.lookups[lookup.key] == lookup {
@@ -266,6 +267,7 @@
 	}
 }
 
+// clientAt returns the first client with the address in its networks, or nil.
 func (f *Frontend) clientAt(from netip.Addr) *limitedClient {
 	for _, client := range f.clients {
 		if slices.ContainsFunc(client.Networks, func(network netip.Prefix) bool { return network.Contains(from) }) {
--- a/server/console.go
+++ b/server/console.go
@@ -34,6 +34,7 @@
 	run     func(s *Server, args []string) (lines []string, err error) // args[0] is the name
 }
 
+// commands holds the commands in the order in which help lists them.
 var commands []command
 
 func init() {
@@ -212,7 +213,7 @@
 // stateNames holds the states of an exchange as the console shows them.
 var stateNames = map[logic.OfficeState]string{logic.Ready: "ready", logic.Draining: "draining", logic.Gone: "gone"}
 
-// drainCommand starts or ends the drain of this call server or, with an argument, of another exchange.
+// drainCommand starts or ends the drain of this call server, or reports another exchange as draining or ready.
 func (s *Server) drainCommand(args []string) ([]string, error) {
 	draining := strings.ToLower(args[0]) == "drain"
 	if len(args) > 1 {
@@ -229,7 +230,7 @@
 	return nil, s.apply(router.Input{Kind: kind})
 }
 
-// listCommand updates the entry of an exchange in service discovery. The time of its start is given as an age, since clocks
+// listCommand applies an update of service discovery for one exchange. The time of its start is given as an age, since clocks
 // may differ.
 func (s *Server) listCommand(args []string) ([]string, error) {
 	if strings.ToLower(args[1]) != "update" || len(args) < 4 {
@@ -278,21 +279,21 @@
 }
 
 // parseAmount parses a number of circuits or calls, or a share of them such as 40%.
-func parseAmount(text string) (n int, share float64, err error) {
+func parseAmount(text string) (count int, share float64, err error) {
 	if percentage, ok := strings.CutSuffix(text, "%"); ok {
 		if share, err = strconv.ParseFloat(percentage, 64); err == nil && share >= 0 && share <= 100 {
 			return 0, share / 100, nil
 		}
-	} else if n, err = strconv.Atoi(text); err == nil && n > 0 {
-		return n, 0, nil
+	} else if count, err = strconv.Atoi(text); err == nil && count > 0 {
+		return count, 0, nil
 	}
 	return 0, 0, fmt.Errorf("%q is no number of circuits and no share such as 40%%", text)
 }
 
-// applyToPeer applies an input to the peer args[1] with the amount args[2]. A share is one of what total returns for the
-// trunk group of the peer.
+// applyToPeer applies an input to the peer args[1], with the amount args[2] as its count. A share refers to what total
+// returns for the trunk group of the peer.
 func (s *Server) applyToPeer(args []string, total func(g router.GroupView) int, input router.Input) ([]string, error) {
-	n, share, err := parseAmount(args[2])
+	count, share, err := parseAmount(args[2])
 	if err != nil {
 		return nil, err
 	}
@@ -303,10 +304,10 @@
 			return
 		}
 		found = true
-		if n == 0 {
-			n = int(share*float64(total(r.Groups()[peerID])) + 0.5)
+		if count == 0 {
+			count = int(share*float64(total(r.Groups()[peerID])) + 0.5)
 		}
-		input.At, input.Peer, input.Count = now, peerID, int64(n)
+		input.At, input.Peer, input.Count = now, peerID, int64(count)
 		changed = s.applyOnLoop(input)
 	})
 	if err == nil && !found {
--- a/server/server.go
+++ b/server/server.go
@@ -261,8 +261,8 @@
 	return s.router.Apply(input)
 }
 
-// Do runs f on the goroutine of the event loop and waits until that is done. f must only read the Router: changes go through
-// apply, so that an observer sees them.
+// Do runs f on the goroutine of the event loop and waits until that is done. f must not change the Router itself: changes go
+// through applyOnLoop, so that an observer sees them.
 func (s *Server) Do(f func(r *router.Router, now time.Duration)) error {
 	finished := make(chan struct{})
 	if !s.post(func(now time.Duration) { f(s.router, now); close(finished) }) {
@@ -384,6 +384,7 @@
 	s.log.LogAttrs(ctx, entry.Level, entry.Text, attrs...)
 }
 
+// closeLinks closes all connections to peers.
 func (s *Server) closeLinks() {
 	for _, peerLink := range s.links {
 		peerLink.Close()
@@ -544,6 +545,7 @@
 // readBufferSize is the most that one read returns, in bytes. Buffers are reused: the Router copies what it keeps.
 const readBufferSize = 16384
 
+// readBuffers holds free read buffers.
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
 // readLoop passes received bytes to the event loop. While the task queue is full it does not read, so that TCP flow control
