--- a/config/config.go
+++ b/config/config.go
@@ -332,7 +332,7 @@
 // convertExchanges adds the exchanges to cfg and returns them by name.
 func (f *File) convertExchanges(c *checker, cfg *Config) map[string]Exchange {
 	byName := map[string]Exchange{}
-	c.require(len(f.Exchanges) > 0, "exchanges", "must not be empty")
+	c.require(len(f.Exchanges) > 0, "exchanges", "none")
 	for i, exchange := range f.Exchanges {
 		path := fmt.Sprintf("exchanges[%d]", i)
 		c.require(exchange.Name != "" && !strings.ContainsAny(exchange.Name, " \t\r\n"), path+".name",
@@ -354,7 +354,7 @@
 // convertClasses adds the classes to cfg and returns their indexes by name.
 func (f *File) convertClasses(c *checker, cfg *Config) map[string]int {
 	indexes := map[string]int{}
-	c.require(len(f.Classes) > 0, "classes", "must not be empty")
+	c.require(len(f.Classes) > 0, "classes", "none")
 	for i, class := range f.Classes {
 		path := fmt.Sprintf("classes[%d]", i)
 		_, duplicate := indexes[class.Name]
@@ -446,7 +446,7 @@
 
 // convertNumbers adds the numbering plan.
 func (f *File) convertNumbers(c *checker, cfg *Config, exchanges map[string]Exchange, classIndexes map[string]int) {
-	c.require(len(f.Numbers) > 0, "numbers", "must not be empty")
+	c.require(len(f.Numbers) > 0, "numbers", "none")
 	for i, number := range f.Numbers {
 		path := fmt.Sprintf("numbers[%d]", i)
 		exchange, ok := exchanges[number.Exchange]
