--- a/dimension/loss.go
+++ b/dimension/loss.go
@@ -1,6 +1,10 @@
-// Package dimension turns offered traffic into circuits: the classic loss formulas, with their inverses, for random and
-// peaked traffic, for calls of several widths, for days that differ, and for groups that overflow into each other. It is
-// pure: no I/O, no clock, no random numbers.
+// Package dimension computes how many circuits trunk groups need for their offered traffic. It has the classic loss formulas
+// and their inverses: Erlang B, the equivalent random method and Hayward's approximation for peaked traffic, the
+// Kaufman-Roberts recursion for calls of several widths, day-to-day variation, and groups that overflow to a tandem. It does
+// no I/O and has no clock and no random numbers.
+//
+// In the formulas of its comments a is traffic in erlangs, n a whole and x a real number of circuits, B blocking and z
+// peakedness.
 package dimension
 
 import (
@@ -11,79 +15,87 @@
 	"gonum.org/v1/gonum/mathext"
 )
 
-// ErlangB is the blocking of n circuits that are offered a erlangs of random traffic (Erlang 1917), by the recursion
-// B(n) = a B(n-1) / (n + a B(n-1)). Absurd values give NaN.
-func ErlangB(n int, a float64) float64 { return ErlangBReal(float64(n), a) }
+// roundingTolerance is the largest rounding error of real numbers of circuits, and of peakedness.
+const roundingTolerance = 1e-9
 
-// ErlangBReal is ErlangB for any number of circuits x >= 0, by the analytic continuation of Fortet:
+// ErlangB is the blocking of circuits that are offered random traffic (Erlang 1917), by the recursion
+// B(n) = a B(n-1) / (n + a B(n-1)). It is NaN for invalid arguments.
+func ErlangB(circuits int, erlangs float64) float64 { return ErlangBReal(float64(circuits), erlangs) }
+
+// ErlangBReal is ErlangB for a real number of circuits, at least 0, by Fortet's analytic continuation:
 // 1/B(x, a) = a times the integral of e^(-a y) (1+y)^x over y >= 0. Hayward's approximation needs it.
-func ErlangBReal(x, a float64) float64 {
-	if !(x >= 0) || !(a >= 0) || math.IsInf(x, 0) || math.IsInf(a, 0) {
+func ErlangBReal(circuits, erlangs float64) float64 {
+	if !(circuits >= 0) || !(erlangs >= 0) || math.IsInf(circuits, 0) || math.IsInf(erlangs, 0) {
 		return math.NaN()
 	}
-	if a == 0 {
-		if x == 0 {
+	if erlangs == 0 {
+		if circuits == 0 {
 			return 1
 		}
 		return 0
 	}
-	f := x - math.Floor(x)
-	b := erlangBPart(f, a)
-	for i := f + 1; i <= x+1e-9; i++ {
-		b = a * b / (i + a*b)
-		if b == 0 {
+	fraction := circuits - math.Floor(circuits)
+	blocking := erlangBFraction(fraction, erlangs)
+	for i := fraction + 1; i <= circuits+roundingTolerance; i++ {
+		blocking = erlangs * blocking / (i + erlangs*blocking)
+		if blocking == 0 {
 			return 0
 		}
 	}
-	return b
+	return blocking
 }
 
-// farA is from where on the asymptotic series of the incomplete gamma function is as exact as its evaluation.
-const farA = 300
+// asymptoticErlangs is the traffic in erlangs above which the asymptotic series of the incomplete gamma function is as exact
+// as its evaluation.
+const asymptoticErlangs = 300
 
-// erlangBPart is B(f, a) for 0 <= f < 1: a^f e^-a over the upper incomplete gamma function of f+1.
-func erlangBPart(f, a float64) float64 {
-	if f == 0 {
+// erlangBFraction is B(f, a) for a fraction 0 <= f < 1 of a circuit: a^f e^-a over the upper incomplete gamma function of
+// f+1 at a.
+func erlangBFraction(fraction, erlangs float64) float64 {
+	if fraction == 0 {
 		return 1
 	}
-	if a > farA {
-		return 1 / (1 + f/a + f*(f-1)/(a*a) + f*(f-1)*(f-2)/(a*a*a))
+	if erlangs > asymptoticErlangs {
+		return 1 / (1 + fraction/erlangs + fraction*(fraction-1)/(erlangs*erlangs) + fraction*(fraction-1)*(fraction-2)/(erlangs*erlangs*erlangs))
 	}
-	g, _ := math.Lgamma(f + 1)
-	return math.Exp(f*math.Log(a)-a-g) / mathext.GammaIncRegComp(f+1, a)
+	logGamma, _ := math.Lgamma(fraction + 1)
+	return math.Exp(fraction*math.Log(erlangs)-erlangs-logGamma) / mathext.GammaIncRegComp(fraction+1, erlangs)
 }
 
-// Circuits is the least real number of circuits whose blocking by a erlangs is b or less.
-func Circuits(a, b float64) (float64, error) {
-	if !(a >= 0) || math.IsInf(a, 0) || !(b > 0 && b < 1) {
-		return 0, fmt.Errorf("dimension: %v erlangs at a blocking of %v: not 0 or more, and a share", a, b)
+// ErlangBCircuits is the least real number of circuits on which random traffic has at most the given blocking.
+func ErlangBCircuits(erlangs, blocking float64) (float64, error) {
+	if !(erlangs >= 0) || math.IsInf(erlangs, 0) || !(blocking > 0 && blocking < 1) {
+		return 0, fmt.Errorf("dimension: invalid traffic %v erlangs or blocking %v: want 0 or more, and between 0 and 1", erlangs, blocking)
 	}
-	if a == 0 {
+	if erlangs == 0 {
 		return 0, nil
 	}
 	low, high := 0.0, 1.0
-	for ErlangBReal(high, a) > b {
+	for ErlangBReal(high, erlangs) > blocking {
 		low, high = high, 2*high
 	}
-	return bisect(low, high, func(x float64) bool { return ErlangBReal(x, a) > b }), nil
+	return bisect(low, high, func(circuits float64) bool { return ErlangBReal(circuits, erlangs) > blocking }), nil
 }
 
-// Erlangs is the most random traffic that n circuits carry at a blocking of b.
-func Erlangs(n, b float64) (float64, error) {
-	if !(n > 0) || math.IsInf(n, 0) || !(b > 0 && b < 1) {
-		return 0, fmt.Errorf("dimension: %v circuits at a blocking of %v: not more than 0, and a share", n, b)
+// ErlangBTraffic is the largest random traffic in erlangs that circuits can be offered at the given blocking.
+func ErlangBTraffic(circuits, blocking float64) (float64, error) {
+	if !(circuits > 0) || math.IsInf(circuits, 0) || !(blocking > 0 && blocking < 1) {
+		return 0, fmt.Errorf("dimension: invalid number of circuits %v or blocking %v: want more than 0, and between 0 and 1", circuits, blocking)
 	}
-	high := n
-	for ErlangBReal(n, high) < b {
+	high := circuits
+	for ErlangBReal(circuits, high) < blocking {
 		high *= 2
 	}
-	return bisect(0, high, func(a float64) bool { return ErlangBReal(n, a) < b }), nil
+	return bisect(0, high, func(erlangs float64) bool { return ErlangBReal(circuits, erlangs) < blocking }), nil
 }
 
-// bisect finds where a condition that holds at low ends.
-func bisect(low, high float64, holds func(x float64) bool) float64 {
-	for high-low > 1e-9*math.Max(1, high) {
-		if mid := (low + high) / 2; holds(mid) {
+// bisectTolerance is the largest error of bisect, relative to results above 1.
+const bisectTolerance = 1e-9
+
+// bisect finds the value between low and high from which on a condition no longer holds; it must hold at low.
+func bisect(low, high float64, condition func(x float64) bool) float64 {
+	for high-low > bisectTolerance*math.Max(1, high) {
+		if mid := (low + high) / 2; condition(mid) {
 			low = mid
 		} else {
 			high = mid
@@ -92,114 +104,130 @@
 	return high
 }
 
-// Stream is a stream of calls by its mean and its peakedness: the variance over the mean of the circuits it would take if
-// there were no end of them. Random traffic has 1, an overflow more, what a group has carried less.
+// Stream describes a traffic stream by the mean number of circuits that it would occupy on an unlimited group, and by its
+// peakedness: the variance of that number over its mean. Random traffic has a peakedness of 1, overflow traffic more,
+// traffic carried by a group less.
 type Stream struct {
 	Mean, Peakedness float64
 }
 
-// Overflow is what a erlangs of random traffic leave over from x circuits: mean m = a B(x, a) and, by Riordan's formula (in
+// Overflow is the overflow of random traffic from a number of circuits: mean m = a B(x, a) and, by Riordan's formula (in
 // Wilkinson 1956), variance m (1 - m + a / (x + 1 + m - a)).
-func Overflow(x, a float64) Stream {
-	m := a * ErlangBReal(x, a)
-	if m <= 0 {
+func Overflow(circuits, erlangs float64) Stream {
+	mean := erlangs * ErlangBReal(circuits, erlangs)
+	if mean <= 0 {
 		return Stream{0, 1}
 	}
-	return Stream{m, math.Max(1, 1-m+a/(x+1+m-a))}
+	return Stream{mean, math.Max(1, 1-mean+erlangs/(circuits+1+mean-erlangs))}
 }
 
-// Sum is several independent streams together: means and variances add up.
+// Sum combines independent streams: their means and variances add up.
 func Sum(streams ...Stream) Stream {
-	m, v := 0.0, 0.0
-	for _, s := range streams {
-		m, v = m+s.Mean, v+s.Mean*s.Peakedness
+	mean, variance := 0.0, 0.0
+	for _, stream := range streams {
+		mean, variance = mean+stream.Mean, variance+stream.Mean*stream.Peakedness
 	}
-	if m == 0 {
+	if mean == 0 {
 		return Stream{0, 1}
 	}
-	return Stream{m, v / m}
+	return Stream{mean, variance / mean}
 }
 
-// ErrSmooth tells that a stream is smoother than random traffic, which no overflow is.
+// peakedTolerance is how far peakedness may exceed 1 for traffic to be treated as random.
+const peakedTolerance = 1e-6
+
+// Newton's method in EquivalentRandom.
+const (
+	maxNewtonSteps   = 60
+	newtonTolerance  = 1e-8 // error of the mean, relative to it, at which the iteration ends
+	newtonDerivative = 1e-6 // step of the difference quotient, relative to the traffic
+	maxNewtonError   = 1e-4 // largest error of the mean, relative to it, that a result may have
+)
+
+// ErrSmooth is returned for a stream that is smoother than random traffic: no overflow is.
 var ErrSmooth = errors.New("dimension: the traffic is smoother than random")
 
-// Equivalent finds the random traffic and circuits whose overflow has the mean and variance of a stream: Wilkinson's
-// equivalent random method (1956). It begins with Rapp's approximation (1964) and solves Riordan's formula by Newton's
-// method in a, circuits following from the variance.
-func Equivalent(s Stream) (a, x float64, err error) {
-	if !(s.Mean > 0) || math.IsInf(s.Mean, 0) || math.IsNaN(s.Peakedness) || s.Peakedness < 1-1e-9 {
-		return 0, 0, fmt.Errorf("%w: mean %v, peakedness %v", ErrSmooth, s.Mean, s.Peakedness)
-	}
-	z := math.Max(1, s.Peakedness)
-	if z < 1+1e-6 {
-		return s.Mean, 0, nil
-	}
-	circuits := func(a float64) float64 { return math.Max(0, a*(s.Mean+z)/(s.Mean+z-1)-s.Mean-1) }
-	miss := func(a float64) float64 { return a*ErlangBReal(circuits(a), a) - s.Mean }
-	a = s.Mean*z + 3*z*(z-1)
-	for range 60 {
-		d := miss(a)
-		if math.Abs(d) < 1e-8*s.Mean {
+// EquivalentRandom finds the random traffic and circuits whose overflow has the mean and variance of a stream: Wilkinson's
+// equivalent random method (1956). It starts from Rapp's approximation (1964) and solves Riordan's formula for the traffic
+// by Newton's method; the circuits follow from the variance.
+func EquivalentRandom(stream Stream) (erlangs, circuits float64, err error) {
+	if !(stream.Mean > 0) || math.IsInf(stream.Mean, 0) || math.IsNaN(stream.Peakedness) || stream.Peakedness < 1-roundingTolerance {
+		return 0, 0, fmt.Errorf("%w: mean %v, peakedness %v", ErrSmooth, stream.Mean, stream.Peakedness)
+	}
+	peakedness := math.Max(1, stream.Peakedness)
+	if peakedness < 1+peakedTolerance {
+		return stream.Mean, 0, nil
+	}
+	circuitsAt := func(erlangs float64) float64 {
+		return math.Max(0, erlangs*(stream.Mean+peakedness)/(stream.Mean+peakedness-1)-stream.Mean-1)
+	}
+	excess := func(erlangs float64) float64 { return erlangs*ErlangBReal(circuitsAt(erlangs), erlangs) - stream.Mean }
+	erlangs = stream.Mean*peakedness + 3*peakedness*(peakedness-1)
+	for range maxNewtonSteps {
+		difference := excess(erlangs)
+		if math.Abs(difference) < newtonTolerance*stream.Mean {
 			break
 		}
-		h := 1e-6 * a
-		slope := (miss(a+h) - d) / h
+		step := newtonDerivative * erlangs
+		slope := (excess(erlangs+step) - difference) / step
 		if slope == 0 || math.IsNaN(slope) {
 			break
 		}
-		a = math.Max(a-d/slope, a/2)
+		erlangs = math.Max(erlangs-difference/slope, erlangs/2)
 	}
-	if d := miss(a); math.IsNaN(d) || math.Abs(d) > 1e-4*s.Mean {
-		return 0, 0, fmt.Errorf("dimension: no equivalent random traffic found for mean %v, peakedness %v", s.Mean, s.Peakedness)
+	if difference := excess(erlangs); math.IsNaN(difference) || math.Abs(difference) > maxNewtonError*stream.Mean {
+		return 0, 0, fmt.Errorf("dimension: no equivalent random traffic found for mean %v, peakedness %v", stream.Mean, stream.Peakedness)
 	}
-	return a, circuits(a), nil
+	return erlangs, circuitsAt(erlangs), nil
 }
 
-// Wilkinson is the part of a stream that is lost on x circuits, by equivalent random traffic: what overflows from its x*
-// circuits and these together.
-func Wilkinson(x float64, s Stream) (float64, error) {
-	a, own, err := Equivalent(s)
+// Wilkinson is the blocking of a stream by the equivalent random method: the overflow of the equivalent random traffic from
+// its own circuits and the given ones together, over the mean of the stream.
+func Wilkinson(circuits float64, stream Stream) (float64, error) {
+	erlangs, ownCircuits, err := EquivalentRandom(stream)
 	if err != nil {
 		return 0, err
 	}
-	return a * ErlangBReal(own+x, a) / s.Mean, nil
+	return erlangs * ErlangBReal(ownCircuits+circuits, erlangs) / stream.Mean, nil
 }
 
-// Hayward is the same by Hayward's approximation (in Fredericks 1980): random traffic of mean/z on x/z circuits. It takes
-// smooth streams too.
-func Hayward(x float64, s Stream) float64 {
-	if !(s.Peakedness > 0) {
+// Hayward is the blocking of a stream by Hayward's approximation (in Fredericks 1980): that of random traffic with 1/z of
+// the mean on 1/z of the circuits. It is also valid for smooth streams.
+func Hayward(circuits float64, stream Stream) float64 {
+	if !(stream.Peakedness > 0) {
 		return math.NaN()
 	}
-	return ErlangBReal(x/s.Peakedness, s.Mean/s.Peakedness)
+	return ErlangBReal(circuits/stream.Peakedness, stream.Mean/stream.Peakedness)
 }
 
-// Loss is the part of a stream that is lost on x circuits: by Wilkinson's method where it is peaked, and by Hayward's
-// approximation where it is smooth.
-func Loss(x float64, s Stream) float64 {
-	if s.Peakedness > 1+1e-6 {
-		if b, err := Wilkinson(x, s); err == nil {
-			return b
+// Loss is the blocking of a stream: by Wilkinson's method where it is peaked, and by Hayward's approximation where it is
+// smooth or Wilkinson's method finds no equivalent traffic.
+func Loss(circuits float64, stream Stream) float64 {
+	if stream.Peakedness > 1+peakedTolerance {
+		if blocking, err := Wilkinson(circuits, stream); err == nil {
+			return blocking
 		}
 	}
-	return Hayward(x, s)
+	return Hayward(circuits, stream)
 }
 
-// CircuitsFor is the least real number of circuits on which at most the part b of a stream is lost.
-func CircuitsFor(s Stream, b float64) (float64, error) {
-	if !(s.Peakedness > 0) || math.IsInf(s.Peakedness, 0) {
-		return 0, fmt.Errorf("dimension: a peakedness of %v", s.Peakedness)
+// CircuitsForStream is the least real number of circuits on which a stream has at most the given blocking.
+func CircuitsForStream(stream Stream, blocking float64) (float64, error) {
+	if !(stream.Peakedness > 0) || math.IsInf(stream.Peakedness, 0) {
+		return 0, fmt.Errorf("dimension: invalid peakedness %v", stream.Peakedness)
 	}
-	if s.Peakedness > 1+1e-6 && s.Mean > 0 {
-		if a, own, err := Equivalent(s); err == nil && b > 0 && b < 1 {
+	if stream.Peakedness > 1+peakedTolerance && stream.Mean > 0 {
+		if erlangs, ownCircuits, err := EquivalentRandom(stream); err == nil && blocking > 0 && blocking < 1 {
 			high := 1.0
-			lost := func(x float64) bool { return a*ErlangBReal(own+x, a) > b*s.Mean }
-			for lost(high) {
+			losesMore := func(circuits float64) bool {
+				return erlangs*ErlangBReal(ownCircuits+circuits, erlangs) > blocking*stream.Mean
+			}
+			for losesMore(high) {
 				high *= 2
 			}
-			return bisect(0, high, lost), nil
+			return bisect(0, high, losesMore), nil
 		}
 	}
-	x, err := Circuits(s.Mean/s.Peakedness, b)
-	return x * s.Peakedness, err
+	circuits, err := ErlangBCircuits(stream.Mean/stream.Peakedness, blocking)
+	return circuits * stream.Peakedness, err
 }
--- a/dimension/network.go
+++ b/dimension/network.go
@@ -5,154 +5,164 @@
 	"math"
 )
 
-// Module rounds circuits up to whole systems: most carriers buy 30 or 31 circuits at a time. size 0 or 1 leaves whole
-// circuits.
-func Module(circuits float64, size int) int {
-	n := int(math.Ceil(circuits - 1e-9))
-	if size > 1 {
-		n = (n + size - 1) / size * size
+// RoundUpToSystems rounds circuits up to whole transmission systems: most carriers buy 30 or 31 circuits at a time. A system
+// size of 0 or 1 rounds to whole circuits.
+func RoundUpToSystems(circuits float64, systemSize int) int {
+	whole := int(math.Ceil(circuits - roundingTolerance))
+	if systemSize > 1 {
+		whole = (whole + systemSize - 1) / systemSize * systemSize
 	}
-	return max(0, n)
+	return max(0, whole)
 }
 
-// Economic is the number of circuits of a direct group that overflows to a tandem route at the least cost: the last
-// circuit must carry at least gamma/ratio erlangs that would else go over the tandem (Truitt's economic CCS, 1954). ratio
-// is the cost of a call's way over the tandem by that of a direct circuit; gamma is what one more circuit of the tandem
-// route carries at its grade of service, about 0.75 erlangs (27 CCS) on large groups.
-func Economic(a, ratio, gamma float64) (int, error) {
-	if !(a >= 0) || math.IsInf(a, 0) || !(ratio > 0) || !(gamma > 0) {
-		return 0, fmt.Errorf("dimension: %v erlangs, cost ratio %v, marginal capacity %v", a, ratio, gamma)
+// EconomicCircuits is the number of circuits at which a direct group with overflow to a tandem route costs least: the last
+// circuit must carry at least marginalCapacity/costRatio erlangs that would otherwise go over the tandem (Truitt's economic
+// CCS, 1954). costRatio is the cost of the circuits of a call over the tandem to that of a direct circuit. marginalCapacity
+// is the traffic that one more circuit of the tandem route carries at its grade of service, about 0.75 erlangs (27 CCS) on
+// large groups.
+func EconomicCircuits(erlangs, costRatio, marginalCapacity float64) (int, error) {
+	if !(erlangs >= 0) || math.IsInf(erlangs, 0) || !(costRatio > 0) || !(marginalCapacity > 0) {
+		return 0, fmt.Errorf("dimension: %v erlangs, cost ratio %v, marginal capacity %v", erlangs, costRatio, marginalCapacity)
 	}
-	worth := gamma / ratio
-	b := 1.0
+	threshold := marginalCapacity / costRatio
+	blocking := 1.0
 	for n := 1; ; n++ {
-		next := a * b / (float64(n) + a*b)
-		if a*(b-next) < worth {
+		next := erlangs * blocking / (float64(n) + erlangs*blocking)
+		if erlangs*(blocking-next) < threshold {
 			return n - 1, nil
 		}
-		b = next
+		blocking = next
 	}
 }
 
-// Mesh is a network of groups whose blocked calls try one tandem.
+// Mesh is a fully meshed network whose calls try one randomly chosen tandem if their direct group blocks them.
 type Mesh struct {
-	Circuits [][]float64 // between two exchanges; symmetric
-	Offered  [][]float64 // circuits' worth of traffic between two exchanges, both ways together; symmetric
-	Reserve  float64     // circuits that two-leg calls leave free on each group
-	Share    float64     // part of the blocked calls that look for a tandem; 0: direct only
+	Circuits    [][]float64 // of the group between two exchanges; symmetric
+	Offered     [][]float64 // traffic between two exchanges in circuits (erlangs times width), both directions together; symmetric
+	Reserve     float64     // trunk reservation: circuits that two-leg calls leave free on each group
+	TandemShare float64     // share of the blocked calls that try a tandem; 0: direct routes only
 }
 
-// Fixed is the blocking of the Erlang fixed point of a mesh (Kelly 1986; with trunk reservation as Akinpelu 1984): each
-// group is a loss system of its own, offered its direct traffic and the two-leg traffic of all pairs that may use it, thinned
-// by the blocking of the other leg. lost is the part of each pair's calls that neither way takes. It is found by repeated
-// substitution with damping; an error tells that it does not settle, as near the two stable points of a mesh without
-// reservation.
-func (m Mesh) Fixed() (direct, lost [][]float64, err error) {
+// FixedPoint is the blocking of a mesh by the Erlang fixed point approximation (Kelly 1986; with trunk reservation as in
+// Akinpelu 1984). Each group is an independent loss system that is offered its direct traffic and the two-leg traffic of
+// all pairs that may use it, reduced by the blocking of the other leg. direct is the blocking of direct calls on each group;
+// lost is the share of each pair's calls that neither the direct group nor a tandem carries. The solution is found by
+// repeated substitution with damping. An error means that the iteration did not converge, as it may near the two stable
+// states of a mesh without reservation.
+func (m Mesh) FixedPoint() (direct, lost [][]float64, err error) {
 	n := len(m.Circuits)
-	if n < 2 || len(m.Offered) != n || !(m.Reserve >= 0) || !(m.Share >= 0 && m.Share <= 1) {
-		return nil, nil, fmt.Errorf("dimension: a mesh of %d exchanges, reserve %v, share %v", n, m.Reserve, m.Share)
+	if n < 2 || len(m.Offered) != n || !(m.Reserve >= 0) || !(m.TandemShare >= 0 && m.TandemShare <= 1) {
+		return nil, nil, fmt.Errorf("dimension: a mesh of %d exchanges, reserve %v, share %v", n, m.Reserve, m.TandemShare)
 	}
-	direct, two := table(n), table(n)
-	for round := range mostRounds {
-		alt, moved := m.twoLegs(two, direct), 0.0
+	direct, twoLeg := squareMatrix(n), squareMatrix(n)
+	for round := range maxRounds {
+		twoLegOffered, change := m.twoLegTraffic(twoLeg, direct), 0.0
 		for a := range n {
 			for b := a + 1; b < n; b++ {
-				d, t := m.group(m.Circuits[a][b], m.Offered[a][b], alt[a][b])
-				moved = math.Max(moved, math.Max(math.Abs(d-direct[a][b]), math.Abs(t-two[a][b])))
-				direct[a][b] += damping * (d - direct[a][b])
-				two[a][b] += damping * (t - two[a][b])
-				direct[b][a], two[b][a] = direct[a][b], two[a][b]
+				directBlocking, twoLegBlocking := m.groupBlocking(m.Circuits[a][b], m.Offered[a][b], twoLegOffered[a][b])
+				change = math.Max(change, math.Max(math.Abs(directBlocking-direct[a][b]), math.Abs(twoLegBlocking-twoLeg[a][b])))
+				direct[a][b] += damping * (directBlocking - direct[a][b])
+				twoLeg[a][b] += damping * (twoLegBlocking - twoLeg[a][b])
+				direct[b][a], twoLeg[b][a] = direct[a][b], twoLeg[a][b]
 			}
 		}
-		if round > 0 && moved < 1e-6 {
-			return direct, m.lostPairs(direct, two), nil
+		if round > 0 && change < convergedChange {
+			return direct, m.pairLoss(direct, twoLeg), nil
 		}
 	}
-	return direct, m.lostPairs(direct, two), fmt.Errorf("dimension: the fixed point does not settle in %d rounds", mostRounds)
+	return direct, m.pairLoss(direct, twoLeg), fmt.Errorf("dimension: the fixed point iteration did not converge in %d rounds", maxRounds)
 }
 
+// Parameters of the fixed point iteration.
 const (
-	mostRounds = 400
-	damping    = 0.5
+	maxRounds = 400
+	damping   = 0.5 // share of the difference to the new values that a round adds
 )
 
-// twoLegs is the two-leg traffic that is offered to each group.
-func (m Mesh) twoLegs(two, direct [][]float64) [][]float64 {
+// convergedChange is the largest change of blocking in the last round of the fixed point iteration.
+const convergedChange = 1e-6
+
+// rescaleAbove is the sum of unnormalised state probabilities above which they are scaled down, against overflow.
+const rescaleAbove = 1e250
+
+// twoLegTraffic is the two-leg traffic that is offered to each group.
+func (m Mesh) twoLegTraffic(twoLeg, direct [][]float64) [][]float64 {
 	n := len(m.Circuits)
-	out := table(n)
-	if m.Share == 0 || n < 3 {
-		return out
+	offered := squareMatrix(n)
+	if m.TandemShare == 0 || n < 3 {
+		return offered
 	}
 	for a := range n {
 		for b := a + 1; b < n; b++ {
-			each := m.Share * m.Offered[a][b] * direct[a][b] / float64(n-2)
-			for t := range n {
-				if t == a || t == b || each == 0 {
+			perTandem := m.TandemShare * m.Offered[a][b] * direct[a][b] / float64(n-2)
+			for tandem := range n {
+				if tandem == a || tandem == b || perTandem == 0 {
 					continue
 				}
-				out[a][t] += each * (1 - two[t][b])
-				out[t][b] += each * (1 - two[a][t])
+				offered[a][tandem] += perTandem * (1 - twoLeg[tandem][b])
+				offered[tandem][b] += perTandem * (1 - twoLeg[a][tandem])
 			}
 		}
 	}
 	for a := range n {
 		for b := a + 1; b < n; b++ {
-			sum := out[a][b] + out[b][a]
-			out[a][b], out[b][a] = sum, sum
+			sum := offered[a][b] + offered[b][a]
+			offered[a][b], offered[b][a] = sum, sum
 		}
 	}
-	return out
+	return offered
 }
 
-// group is the blocking of direct and of two-leg calls on one group: a birth and death process whose two-leg part ends
-// Reserve circuits before the last.
-func (m Mesh) group(circuits, own, alt float64) (direct, two float64) {
-	c, edge := int(circuits), int(math.Max(0, circuits-m.Reserve))
-	p, sum, full, closed := 1.0, 0.0, 0.0, 0.0
-	for i := 0; i <= c; i++ {
+// groupBlocking is the blocking of direct and of two-leg calls on one group, by a birth and death process in which two-leg
+// calls are refused when only Reserve circuits are free.
+func (m Mesh) groupBlocking(circuits, directOffered, twoLegOffered float64) (direct, twoLeg float64) {
+	size, twoLegLimit := int(circuits), int(math.Max(0, circuits-m.Reserve))
+	weight, sum, fullWeight, closedWeight := 1.0, 0.0, 0.0, 0.0
+	for i := 0; i <= size; i++ {
 		if i > 0 {
-			rate := own
-			if i-1 < edge {
-				rate += alt
+			arrivals := directOffered
+			if i-1 < twoLegLimit {
+				arrivals += twoLegOffered
 			}
-			p *= rate / float64(i)
+			weight *= arrivals / float64(i)
 		}
-		if sum += p; i >= edge {
-			closed += p
+		if sum += weight; i >= twoLegLimit {
+			closedWeight += weight
 		}
-		full = p
-		if sum > 1e250 {
-			p, full, closed, sum = p/sum, full/sum, closed/sum, 1
+		fullWeight = weight
+		if sum > rescaleAbove {
+			weight, fullWeight, closedWeight, sum = weight/sum, fullWeight/sum, closedWeight/sum, 1
 		}
 	}
-	return full / sum, closed / sum
+	return fullWeight / sum, closedWeight / sum
 }
 
-// lostPairs is what neither way takes.
-func (m Mesh) lostPairs(direct, two [][]float64) [][]float64 {
+// pairLoss is the share of each pair's calls that neither the direct group nor a tandem carries.
+func (m Mesh) pairLoss(direct, twoLeg [][]float64) [][]float64 {
 	n := len(m.Circuits)
-	out := table(n)
+	lost := squareMatrix(n)
 	for a := range n {
 		for b := range n {
 			if a == b {
 				continue
 			}
-			way := 0.0
-			for t := range n {
-				if t != a && t != b && n > 2 {
-					way += (1 - two[a][t]) * (1 - two[t][b]) / float64(n-2)
+			tandemSuccess := 0.0
+			for tandem := range n {
+				if tandem != a && tandem != b && n > 2 {
+					tandemSuccess += (1 - twoLeg[a][tandem]) * (1 - twoLeg[tandem][b]) / float64(n-2)
 				}
 			}
-			out[a][b] = direct[a][b] * (1 - m.Share*way)
+			lost[a][b] = direct[a][b] * (1 - m.TandemShare*tandemSuccess)
 		}
 	}
-	return out
+	return lost
 }
 
-func table(n int) [][]float64 {
-	out := make([][]float64, n)
-	for i := range out {
-		out[i] = make([]float64, n)
+// squareMatrix returns a zero matrix of n rows and columns.
+func squareMatrix(n int) [][]float64 {
+	matrix := make([][]float64, n)
+	for i := range matrix {
+		matrix[i] = make([]float64, n)
 	}
-	return out
+	return matrix
 }
--- a/dimension/plan.go
+++ b/dimension/plan.go
@@ -8,128 +8,137 @@
 	"slices"
 )
 
-// Pair is the traffic between two exchanges, both ways together, and the group that carries it today.
+// DefaultMaxCircuits is the largest number of circuits of a group where Rules.MaxCircuits is not set.
+const DefaultMaxCircuits = 3900
+
+const (
+	defaultMarginalCapacity = 0.75 // erlangs; Rules.MarginalCapacity where none is set
+	minCostDivisor          = 1e-9 // replaces a smaller cost of a direct circuit in cost ratios
+)
+
+// Pair is the traffic between two exchanges, both directions together, and the size of the group between them.
 type Pair struct {
-	A, B  int
+	A, B  int    // numbers of the exchanges
 	Loads []Load // by class
-	Today int    // circuits
+	Today int    // circuits of the present group
 }
 
-// Rules of a plan.
+// Rules configures Plan.
 type Rules struct {
-	Targets   []float64               // blocking by class
-	Most      int                     // circuits of one group; 0: 3,900
-	System    int                     // circuits come in systems of so many; 0: singly
-	Cost      func(a, b int) float64  // of one circuit; nil: 1
-	Growth    []float64               // traffic by class as a multiple of what was measured; nil: 1
-	Variation Variation               // of busy hours from day to day, and
-	Holds     float64                 // the busy hour in mean hold times
-	Hub       int                     // number of the exchange that overflow goes over; 0: every group stands alone
-	Gamma     float64                 // erlangs that one more circuit toward the hub carries; 0: 0.75
-	Keep      bool                    // circuits that are there stay
-	Reason    func(a, b int) []string // what staff must know of a pair's figures; nil: nothing
+	Targets          []float64               // target blocking by class
+	MaxCircuits      int                     // largest size of a group; 0: DefaultMaxCircuits
+	SystemSize       int                     // circuits of a transmission system, by which groups grow; 0: 1
+	Cost             func(a, b int) float64  // cost of one circuit; nil: 1
+	Growth           []float64               // expected traffic over measured traffic, by class; nil: 1
+	Variation        Variation               // day-to-day variation of busy hour traffic
+	BusyHourHolds    float64                 // length of the busy hour in mean hold times
+	Hub              int                     // number of the tandem that takes overflow; 0: no overflow
+	MarginalCapacity float64                 // erlangs that one more circuit toward the hub carries; 0: 0.75
+	KeepSurplus      bool                    // groups that are larger than needed keep their size
+	Notes            func(a, b int) []string // further remarks for Row.Why; nil: none
 }
 
 // Row is one group of a plan.
 type Row struct {
-	A, B      int
-	Today     int
-	Needed    int
-	Offered   float64   // circuits' worth of traffic, overflow of other pairs among it
+	A, B      int       // numbers of the exchanges
+	Today     int       // circuits of the present group
+	Needed    int       // circuits of the planned group
+	Offered   float64   // offered traffic in circuits: erlangs times width; overflow from other pairs included
 	Now       []float64 // blocking by class with today's circuits; 1 where there are none
-	Predicted []float64 // and with the needed ones; of a group that overflows, before the overflow
-	Overflow  bool      // its blocked calls go over the hub
+	Predicted []float64 // blocking by class with the needed circuits; of a group with Overflow, before the overflow
+	Overflow  bool      // blocked calls overflow to the hub
 	Cost      float64   // of the circuits to buy
-	Why       []string
+	Why       []string  // reasons for the size
 }
 
-// Buy is how many circuits the group lacks; negative: it has more than it needs.
+// Buy is the number of circuits to buy; it is negative if the group has more than it needs.
 func (r Row) Buy() int { return r.Needed - r.Today }
 
-// Proposal is a plan.
+// Proposal is a plan for all groups.
 type Proposal struct {
 	Rows  []Row
-	Cost  float64 // of all circuits that are needed
-	Alone float64 // the same where every group stands alone
-	Least float64 // and if every circuit could be used all the time: no plan is cheaper
+	Cost  float64 // of all needed circuits
+	Alone float64 // cost of all needed circuits without overflow to a hub
+	Least float64 // lower bound of the cost of any plan: every circuit is always occupied
 }
 
-func (r Rules) check(pairs []Pair) (Rules, error) {
-	if r.Most == 0 {
-		r.Most = 3900
+// validate checks the rules and pairs and returns the rules with defaults filled in.
+func (r Rules) validate(pairs []Pair) (Rules, error) {
+	if r.MaxCircuits == 0 {
+		r.MaxCircuits = DefaultMaxCircuits
 	}
-	if r.Gamma == 0 {
-		r.Gamma = 0.75
+	if r.MarginalCapacity == 0 {
+		r.MarginalCapacity = defaultMarginalCapacity
 	}
 	if r.Cost == nil {
 		r.Cost = func(int, int) float64 { return 1 }
 	}
-	if len(r.Targets) == 0 || r.Growth != nil && len(r.Growth) != len(r.Targets) || r.Most < 1 || r.System < 0 || !(r.Holds >= 0) {
-		return r, fmt.Errorf("dimension: rules: %d targets, %d growths, at most %d circuits in systems of %d", len(r.Targets), len(r.Growth), r.Most, r.System)
+	if len(r.Targets) == 0 || r.Growth != nil && len(r.Growth) != len(r.Targets) || r.MaxCircuits < 1 || r.SystemSize < 0 || !(r.BusyHourHolds >= 0) {
+		return r, fmt.Errorf("dimension: invalid rules: %d targets, %d growth factors, at most %d circuits in systems of %d", len(r.Targets), len(r.Growth), r.MaxCircuits, r.SystemSize)
 	}
-	for c, g := range r.Growth {
-		if !(g >= 0) || math.IsInf(g, 0) {
-			return r, fmt.Errorf("dimension: rules: growth of class %d is %v", c, g)
+	for class, growth := range r.Growth {
+		if !(growth >= 0) || math.IsInf(growth, 0) {
+			return r, fmt.Errorf("dimension: invalid rules: growth of class %d is %v", class, growth)
 		}
 	}
 	seen := map[[2]int]bool{}
-	for _, p := range pairs {
-		k := [2]int{min(p.A, p.B), max(p.A, p.B)}
-		if p.A == p.B || seen[k] || len(p.Loads) != len(r.Targets) || p.Today < 0 {
-			return r, fmt.Errorf("dimension: pair %d-%d: it is no pair, stands twice, has %d classes or %d circuits", p.A, p.B, len(p.Loads), p.Today)
+	for _, pair := range pairs {
+		key := [2]int{min(pair.A, pair.B), max(pair.A, pair.B)}
+		if pair.A == pair.B || seen[key] || len(pair.Loads) != len(r.Targets) || pair.Today < 0 {
+			return r, fmt.Errorf("dimension: pair %d-%d: one exchange twice, a duplicate, or a wrong number of classes (%d) or circuits (%d)", pair.A, pair.B, len(pair.Loads), pair.Today)
 		}
-		seen[k] = true
-		if c := r.Cost(p.A, p.B); !(c >= 0) || math.IsInf(c, 0) {
-			return r, fmt.Errorf("dimension: pair %d-%d: a circuit costs %v", p.A, p.B, c)
+		seen[key] = true
+		if cost := r.Cost(pair.A, pair.B); !(cost >= 0) || math.IsInf(cost, 0) {
+			return r, fmt.Errorf("dimension: pair %d-%d: invalid cost of a circuit: %v", pair.A, pair.B, cost)
 		}
 	}
 	return r, nil
 }
 
-// Plan sizes all groups. With a hub, pairs get as many circuits as pay (Economic), what overflows goes over the hub, whose
-// groups are sized for their own traffic and all overflow with its peakedness; where that is dearer than every group alone,
-// every group stands alone.
+// Plan sizes all groups. With a hub, direct groups get their economic number of circuits (EconomicCircuits) and overflow to
+// the hub, whose groups are sized for their own traffic and all overflow with its peakedness. If that costs more than a plan
+// without overflow, Plan returns the latter.
 func Plan(pairs []Pair, rules Rules) (Proposal, error) {
-	rules, err := rules.check(pairs)
+	rules, err := rules.validate(pairs)
 	if err != nil {
 		return Proposal{}, err
 	}
 	grown := slices.Clone(pairs)
 	for i := range grown {
 		grown[i].Loads = slices.Clone(pairs[i].Loads)
-		for c := range grown[i].Loads {
+		for class := range grown[i].Loads {
 			if rules.Growth != nil {
-				grown[i].Loads[c].Erlangs *= rules.Growth[c]
+				grown[i].Loads[class].Erlangs *= rules.Growth[class]
 			}
 		}
 	}
-	alone, err := plan(grown, rules, nil)
+	alone, err := sizeGroups(grown, rules, nil)
 	if err != nil {
 		return alone, err
 	}
 	best := alone
 	if rules.Hub != 0 {
-		if with, err := planHub(grown, rules); err == nil && with.Cost < alone.Cost {
-			best = with
+		if withHub, err := planWithHub(grown, rules); err == nil && withHub.Cost < alone.Cost {
+			best = withHub
 		} else if err != nil && !errors.Is(err, ErrSmooth) {
 			return best, err
 		}
 	}
 	best.Alone = alone.Cost
-	for _, p := range grown {
-		c, _ := circuitsOf(p.Loads)
-		best.Least += c.Mean * rules.Cost(p.A, p.B)
+	for _, pair := range grown {
+		stream, _ := circuitStream(pair.Loads)
+		best.Least += stream.Mean * rules.Cost(pair.A, pair.B)
 	}
 	return best, nil
 }
 
-// circuitsOf is the stream of circuits that classes of several widths take together.
-func circuitsOf(loads []Load) (Stream, float64) {
+// circuitStream is the stream of circuits that classes of several widths occupy together, and its mean.
+func circuitStream(loads []Load) (Stream, float64) {
 	mean, variance := 0.0, 0.0
-	for _, l := range loads {
-		w := float64(l.Width)
-		mean += l.Erlangs * w
-		variance += l.Erlangs * w * w * max(1, l.Peaked)
+	for _, load := range loads {
+		width := float64(load.Width)
+		mean += load.Erlangs * width
+		variance += load.Erlangs * width * width * max(1, load.Peaked)
 	}
 	if mean == 0 {
 		return Stream{0, 1}, 0
@@ -137,112 +146,112 @@
 	return Stream{mean, variance / mean}, mean
 }
 
-// plan sizes each group for its own traffic; fixed gives the sizes of some.
-func plan(pairs []Pair, rules Rules, fixed map[[2]int]int) (Proposal, error) {
-	var out Proposal
-	for _, p := range pairs {
-		s, offered := circuitsOf(p.Loads)
-		needed, isFixed := fixed[[2]int{p.A, p.B}]
-		var why []string
+// sizeGroups sizes each group for its own traffic, except those whose size is in fixedSizes: they overflow to the hub.
+func sizeGroups(pairs []Pair, rules Rules, fixedSizes map[[2]int]int) (Proposal, error) {
+	var proposal Proposal
+	for _, pair := range pairs {
+		stream, offered := circuitStream(pair.Loads)
+		needed, isFixed := fixedSizes[[2]int{pair.A, pair.B}]
+		var reasons []string
 		if !isFixed {
 			var err error
-			if needed, why, err = rules.size(p.Loads, s); err != nil {
-				return out, fmt.Errorf("pair %d-%d: %w", p.A, p.B, err)
+			if needed, reasons, err = rules.groupSize(pair.Loads, stream); err != nil {
+				return proposal, fmt.Errorf("pair %d-%d: %w", pair.A, pair.B, err)
 			}
 		} else {
-			why = append(why, "as many as pay beside the hub")
+			reasons = append(reasons, "economic size, overflow goes to the hub")
 		}
-		row := Row{A: p.A, B: p.B, Today: p.Today, Needed: needed, Offered: offered, Overflow: isFixed, Why: why}
-		if rules.Keep && row.Needed < p.Today {
-			row.Needed, row.Why = p.Today, append(row.Why, "there are more than it needs: they stay")
+		row := Row{A: pair.A, B: pair.B, Today: pair.Today, Needed: needed, Offered: offered, Overflow: isFixed, Why: reasons}
+		if rules.KeepSurplus && row.Needed < pair.Today {
+			row.Needed, row.Why = pair.Today, append(row.Why, "more circuits than needed, none are removed")
 		}
-		row.Now, _ = Blocking(p.Today, p.Loads)
-		row.Predicted, _ = Blocking(row.Needed, p.Loads)
-		if rules.Reason != nil {
-			row.Why = append(row.Why, rules.Reason(p.A, p.B)...)
+		row.Now, _ = Blocking(pair.Today, pair.Loads)
+		row.Predicted, _ = Blocking(row.Needed, pair.Loads)
+		if rules.Notes != nil {
+			row.Why = append(row.Why, rules.Notes(pair.A, pair.B)...)
 		}
-		row.Cost = float64(max(0, row.Buy())) * rules.Cost(p.A, p.B)
-		out.Cost += float64(row.Needed) * rules.Cost(p.A, p.B)
-		out.Rows = append(out.Rows, row)
+		row.Cost = float64(max(0, row.Buy())) * rules.Cost(pair.A, pair.B)
+		proposal.Cost += float64(row.Needed) * rules.Cost(pair.A, pair.B)
+		proposal.Rows = append(proposal.Rows, row)
 	}
-	slices.SortFunc(out.Rows, func(a, b Row) int { return cmp.Or(cmp.Compare(a.A, b.A), cmp.Compare(a.B, b.B)) })
-	return out, nil
+	slices.SortFunc(proposal.Rows, func(a, b Row) int { return cmp.Or(cmp.Compare(a.A, b.A), cmp.Compare(a.B, b.B)) })
+	return proposal, nil
 }
 
-// size is the number of circuits for one group, with the reason.
-func (r Rules) size(loads []Load, s Stream) (int, []string, error) {
-	n, err := Size(loads, r.Targets, r.Most)
+// groupSize is the number of circuits for one group, with the reasons.
+func (r Rules) groupSize(loads []Load, stream Stream) (int, []string, error) {
+	circuits, err := Size(loads, r.Targets, r.MaxCircuits)
 	if err != nil {
 		return 0, nil, err
 	}
-	if n == 0 {
+	if circuits == 0 {
 		return 0, []string{"no traffic was measured"}, nil
 	}
-	why := []string{fmt.Sprintf("%.2f circuits offered, peakedness %.2f", s.Mean, s.Peakedness)}
-	if variance := r.Variation.Variance(s.Mean, r.Holds); variance > 0 { // days that differ: what one width alone would need more
+	reasons := []string{fmt.Sprintf("%.2f circuits offered, peakedness %.2f", stream.Mean, stream.Peakedness)}
+	if variance := r.Variation.Variance(stream.Mean, r.BusyHourHolds); variance > 0 { // adds what a single class of the same mean and peakedness would need more
 		target := slices.Max(r.Targets)
-		flat, err := CircuitsFor(s, target)
+		constantDays, err := CircuitsForStream(stream, target)
 		if err != nil {
 			return 0, nil, err
 		}
-		days, err := CircuitsOverDays(s, target, r.Variation, r.Holds)
+		varyingDays, err := CircuitsOverDays(stream, target, r.Variation, r.BusyHourHolds)
 		if err != nil {
 			return 0, nil, err
 		}
-		if more := int(math.Ceil(days - flat - 1e-9)); more > 0 {
-			n += more
-			why = append(why, fmt.Sprintf("%d for days that differ", more))
+		if extra := int(math.Ceil(varyingDays - constantDays - roundingTolerance)); extra > 0 {
+			circuits += extra
+			reasons = append(reasons, fmt.Sprintf("%d for day-to-day variation", extra))
 		}
 	}
-	if whole := Module(float64(n), r.System); whole > n {
-		why = append(why, fmt.Sprintf("%d to fill systems of %d", whole-n, r.System))
-		n = whole
+	if rounded := RoundUpToSystems(float64(circuits), r.SystemSize); rounded > circuits {
+		reasons = append(reasons, fmt.Sprintf("%d to fill systems of %d", rounded-circuits, r.SystemSize))
+		circuits = rounded
 	}
-	if n > r.Most {
-		return 0, nil, fmt.Errorf("dimension: %d circuits are more than %d", n, r.Most)
+	if circuits > r.MaxCircuits {
+		return 0, nil, fmt.Errorf("dimension: %d circuits are needed, a group may have %d", circuits, r.MaxCircuits)
 	}
-	return n, why, nil
+	return circuits, reasons, nil
 }
 
-// planHub sizes direct groups economically, and the hub's for what overflows.
-func planHub(pairs []Pair, rules Rules) (Proposal, error) {
-	fixed := map[[2]int]int{}
-	over := map[int][]Stream{} // toward the hub, by exchange
-	for _, p := range pairs {
-		if p.A == rules.Hub || p.B == rules.Hub {
+// planWithHub gives direct groups their economic size and sizes the groups of the hub for the overflow.
+func planWithHub(pairs []Pair, rules Rules) (Proposal, error) {
+	directSizes := map[[2]int]int{}
+	overflows := map[int][]Stream{} // toward the hub, by exchange
+	for _, pair := range pairs {
+		if pair.A == rules.Hub || pair.B == rules.Hub {
 			continue
 		}
-		s, _ := circuitsOf(p.Loads)
-		ratio := (rules.Cost(p.A, rules.Hub) + rules.Cost(rules.Hub, p.B)) / math.Max(rules.Cost(p.A, p.B), 1e-9)
-		n, err := Economic(s.Mean, ratio, rules.Gamma)
+		stream, _ := circuitStream(pair.Loads)
+		costRatio := (rules.Cost(pair.A, rules.Hub) + rules.Cost(rules.Hub, pair.B)) / math.Max(rules.Cost(pair.A, pair.B), minCostDivisor)
+		circuits, err := EconomicCircuits(stream.Mean, costRatio, rules.MarginalCapacity)
 		if err != nil {
 			return Proposal{}, err
 		}
-		n = Module(float64(n), rules.System)
-		lost := s.Mean * Loss(float64(n), s)
-		o := Overflow(float64(n), s.Mean)
-		o.Mean, o.Peakedness = lost, o.Peakedness*max(1, s.Peakedness)
-		if n == 0 {
-			o = s
+		circuits = RoundUpToSystems(float64(circuits), rules.SystemSize)
+		lost := stream.Mean * Loss(float64(circuits), stream)
+		overflow := Overflow(float64(circuits), stream.Mean)
+		overflow.Mean, overflow.Peakedness = lost, overflow.Peakedness*max(1, stream.Peakedness)
+		if circuits == 0 {
+			overflow = stream
 		}
-		fixed[[2]int{p.A, p.B}] = n
-		over[p.A], over[p.B] = append(over[p.A], o), append(over[p.B], o)
+		directSizes[[2]int{pair.A, pair.B}] = circuits
+		overflows[pair.A], overflows[pair.B] = append(overflows[pair.A], overflow), append(overflows[pair.B], overflow)
 	}
-	hubs := slices.Clone(pairs)
-	for i, p := range hubs {
-		if p.A != rules.Hub && p.B != rules.Hub {
+	withOverflow := slices.Clone(pairs)
+	for i, pair := range withOverflow {
+		if pair.A != rules.Hub && pair.B != rules.Hub {
 			continue
 		}
-		o := Sum(over[p.A+p.B-rules.Hub]...)
-		loads := slices.Clone(p.Loads)
-		if own, mean := circuitsOf(loads); mean > 0 { // the overflow joins the classes by their parts of the traffic
-			all := Sum(own, o)
-			for c := range loads {
-				loads[c].Erlangs *= (own.Mean + o.Mean) / own.Mean
-				loads[c].Peaked = max(1, loads[c].Peaked) * max(1, all.Peakedness/own.Peakedness)
+		overflow := Sum(overflows[pair.A+pair.B-rules.Hub]...)
+		loads := slices.Clone(pair.Loads)
+		if own, mean := circuitStream(loads); mean > 0 { // overflow is spread over the classes by their share of the traffic
+			total := Sum(own, overflow)
+			for class := range loads {
+				loads[class].Erlangs *= (own.Mean + overflow.Mean) / own.Mean
+				loads[class].Peaked = max(1, loads[class].Peaked) * max(1, total.Peakedness/own.Peakedness)
 			}
 		}
-		hubs[i].Loads = loads
+		withOverflow[i].Loads = loads
 	}
-	return plan(hubs, rules, fixed)
+	return sizeGroups(withOverflow, rules, directSizes)
 }
--- a/measure/advisor.go
+++ b/measure/advisor.go
@@ -7,96 +7,99 @@
 	"finchlatch/logic"
 )
 
-// Advisor tells when a group's traffic has outgrown it, interval by interval, slowly: a group must be over for several
-// intervals until it is told, and well under for as many until that is taken back. It changes nothing.
+// Advisor reports when the traffic of a trunk group has outgrown the group, with hysteresis: predicted blocking must exceed
+// its target in several consecutive intervals before a group is reported, and be well below the target in as many before
+// the report is withdrawn. It only reports and changes no routing.
 type Advisor struct {
 	Classes []logic.Class
-	Targets []float64 // blocking by class
+	Targets []float64 // target blocking by class; 0: not checked
 
-	state map[int]*advice
+	groups map[int]*adviceState
 }
 
-type advice struct {
-	run  int // intervals over, or, once told, under
-	told bool
+// adviceState is what the Advisor has found out about one group.
+type adviceState struct {
+	consecutive int  // consecutive intervals beyond the ratio that would change outgrown
+	outgrown    bool // the group is reported as outgrown
 }
 
-// The advisor's hysteresis: half of an hour, over the target by half, under it by half.
+// Hysteresis of the Advisor.
 const (
-	adviceRun   = 2
-	adviceOver  = 1.5
-	adviceUnder = 0.5
+	adviceIntervals = 2   // consecutive intervals that change what is reported
+	outgrownRatio   = 1.5 // predicted blocking over its target above which a group is too small
+	sufficientRatio = 0.5 // predicted blocking over its target below which a reported group is large enough again
 )
 
-// Advice is what the advisor has to say of the group toward an exchange.
+// Advice is a change in whether the group toward an exchange is large enough.
 type Advice struct {
-	To      int
-	Outgrew bool // false: it is enough again
-	Text    string
+	To      int    // number of the exchange
+	Outgrew bool   // the group has become too small; false: it is large enough again
+	Text    string // for operators
 }
 
-// Hear takes an interval of the own call server. The far end's calls are counted as many as the own ones: it is a hint,
-// and the plan of both ends' measurements decides.
-func (a *Advisor) Hear(i Interval) (out []Advice) {
-	if a.state == nil {
-		a.state = map[int]*advice{}
+// Hear evaluates an interval of the own call server and returns what has changed. Calls from the far end are assumed to be
+// as many as the own ones, so advice is only a hint: a plan uses measurements of both ends.
+func (a *Advisor) Hear(interval Interval) (out []Advice) {
+	if a.groups == nil {
+		a.groups = map[int]*adviceState{}
 	}
-	if i.Jumped || i.fault(len(a.Classes)) != "" || float64(i.Covered) < leastCovered*float64(Length) {
+	if interval.Jumped || interval.invalidReason(len(a.Classes)) != "" || float64(interval.Covered) < minCoverage*float64(IntervalLength) {
 		return nil
 	}
 	loads := map[int][]dimension.Load{}
-	for _, c := range i.Counts {
-		if loads[c.To] == nil {
-			loads[c.To] = make([]dimension.Load, len(a.Classes))
-			for k, class := range a.Classes {
-				loads[c.To][k].Width = max(1, class.Width)
+	for _, count := range interval.Counts {
+		if loads[count.To] == nil {
+			loads[count.To] = make([]dimension.Load, len(a.Classes))
+			for i, class := range a.Classes {
+				loads[count.To][i].Width = max(1, class.Width)
 			}
 		}
-		loads[c.To][c.Class].Erlangs += 2 * float64(c.Fresh) / i.Covered.Seconds() * a.Classes[c.Class].Hold.Seconds()
+		loads[count.To][count.Class].Erlangs += 2 * float64(count.Fresh) / interval.Covered.Seconds() * a.Classes[count.Class].Hold.Seconds()
 	}
-	for _, g := range i.Groups {
-		l := loads[g.To]
-		if l == nil || g.Circuits == 0 {
+	for _, group := range interval.Groups {
+		load := loads[group.To]
+		if load == nil || group.Circuits == 0 {
 			continue
 		}
-		b, err := dimension.Blocking(g.Circuits, l)
+		blocking, err := dimension.Blocking(group.Circuits, load)
 		if err != nil {
 			continue
 		}
-		worst, times := 0, 0.0
-		for k := range a.Classes {
-			if a.Targets[k] > 0 && l[k].Erlangs > 0 && b[k]/a.Targets[k] > times {
-				worst, times = k, b[k]/a.Targets[k]
+		worst, ratio := 0, 0.0
+		for class := range a.Classes {
+			if a.Targets[class] > 0 && load[class].Erlangs > 0 && blocking[class]/a.Targets[class] > ratio {
+				worst, ratio = class, blocking[class]/a.Targets[class]
 			}
 		}
-		if says := a.weigh(g.To, times); says != nil {
-			needed, _ := dimension.Size(l, a.Targets, 3900)
-			says.Text = fmt.Sprintf("group toward exchange %d has %d circuits, about %d are needed: %s would lose %.1f%%, its target is %.1f%%", g.To, g.Circuits,
-				needed, a.Classes[worst].Name, 100*b[worst], 100*a.Targets[worst])
-			if !says.Outgrew {
-				says.Text = fmt.Sprintf("group toward exchange %d with %d circuits is enough again", g.To, g.Circuits)
+		if advice := a.update(group.To, ratio); advice != nil {
+			needed, _ := dimension.Size(load, a.Targets, dimension.DefaultMaxCircuits)
+			advice.Text = fmt.Sprintf("group toward exchange %d has %d circuits, about %d are needed: %s would lose %.1f%%, its target is %.1f%%", group.To, group.Circuits,
+				needed, a.Classes[worst].Name, 100*blocking[worst], 100*a.Targets[worst])
+			if !advice.Outgrew {
+				advice.Text = fmt.Sprintf("group toward exchange %d with %d circuits is large enough again", group.To, group.Circuits)
 			}
-			out = append(out, *says)
+			out = append(out, *advice)
 		}
 	}
 	return out
 }
 
-// weigh takes how many times its target the worst class of a group loses.
-func (a *Advisor) weigh(to int, times float64) *Advice {
-	s := a.state[to]
-	if s == nil {
-		s = &advice{}
-		a.state[to] = s
+// update records the ratio of predicted blocking to its target of a group's worst class. It returns nil if the report on
+// the group stays as it is.
+func (a *Advisor) update(exchange int, ratio float64) *Advice {
+	state := a.groups[exchange]
+	if state == nil {
+		state = &adviceState{}
+		a.groups[exchange] = state
 	}
-	if s.told && times < adviceUnder || !s.told && times > adviceOver {
-		s.run++
+	if state.outgrown && ratio < sufficientRatio || !state.outgrown && ratio > outgrownRatio {
+		state.consecutive++
 	} else {
-		s.run = 0
+		state.consecutive = 0
 	}
-	if s.run < adviceRun {
+	if state.consecutive < adviceIntervals {
 		return nil
 	}
-	s.run, s.told = 0, !s.told
-	return &Advice{To: to, Outgrew: s.told}
+	state.consecutive, state.outgrown = 0, !state.outgrown
+	return &Advice{To: exchange, Outgrew: state.outgrown}
 }
--- a/measure/base.go
+++ b/measure/base.go
@@ -11,304 +11,308 @@
 	"finchlatch/logic"
 )
 
-// Judge says what of the intervals is a base to size groups by.
-type Judge struct {
-	Classes []logic.Class
-	Hours   int                    // slots of Length that the busy period has; 0: 4, an hour
-	Keep    func(t time.Time) bool // intervals that staff keep whatever the pattern says; nil: none
-	Leave   func(t time.Time) bool // and those that they leave out; nil: none
+// Analyzer selects the intervals that trunk groups can be sized by and derives the Base from them.
+type Analyzer struct {
+	Classes   []logic.Class
+	BusySlots int                    // length of the busy period in intervals; 0: 4, an hour
+	Keep      func(t time.Time) bool // intervals that planners keep although they look unusual; nil: none
+	Exclude   func(t time.Time) bool // intervals that planners exclude; nil: none
 }
 
-// Figures of the judgement.
+// defaultBusySlots is Analyzer.BusySlots where none is set.
+const defaultBusySlots = 4
+
+// Limits between usual, unusual and invalid intervals.
 const (
-	leastCovered = 0.9 // part of an interval that must be covered
-	crowdTimes   = 6.0 // a crowd is so many times the usual largest count toward one destination in a fine interval,
-	crowdLeast   = 20  // and at least so many calls
-	lostPart     = 0.8 // a group that kept less than this of its circuits was lost in part
-	lostGroups   = 0.2 // as many groups of one exchange must have been, in parts of all, to count as a lost region
-	leastPeaked  = 1.1 // traffic with a lower peakedness counts as random: so much comes by chance
-	absurdCount  = 1e9 // no exchange counts more in a quarter of an hour
+	minCoverage      = 0.9 // least measured share of an interval
+	massCallingRatio = 6.0 // mass calling: largest count toward one destination in a fine interval, over its median
+	massCallingMin   = 20  // mass calling: least number of calls in that fine interval
+	circuitLossRatio = 0.8 // a group has lost circuits if it had less than this share of its largest size
+	lossGroupShare   = 0.2 // share of an exchange's groups that have lost circuits from which on a region was lost
+	minPeakedness    = 1.1 // traffic with a lower peakedness counts as random: chance alone explains this much
+	maxCount         = 1e9 // largest plausible number of calls in an interval; times its seconds, largest plausible sum
 )
 
-// Left is an interval that is no part of the base, and why.
-type Left struct {
-	Home  int // 0: of all exchanges
+// ExcludedInterval is an interval that is not used, and the reason.
+type ExcludedInterval struct {
+	Home  int // number of the exchange; 0: all exchanges
 	Start time.Time
 	Why   string
 }
 
-// Base is what sizing begins with.
+// Base is the measured traffic that trunk groups are sized by.
 type Base struct {
-	From, To   time.Duration // the busy period, since midnight UTC
-	Slots      int           // intervals in it, over all days
-	Days       int
-	Pairs      []dimension.Pair // traffic and circuits of each two exchanges; both ends together
-	Hold       []float64        // mean hold time in seconds by class
-	Variation  []float64        // squared variation of hold times by class
-	Peakedness float64          // of overflow, over all
-	Peaked     []float64        // of fresh calls of one pair and class, over all pairs, by class
-	Daily      [][2]float64     // busy period's traffic of all exchanges, by day: days since 1970, circuits' worth
-	Left       []Left
-	Faults     []string // figures that make no sense; their intervals are left out
+	From, To        time.Duration    // busy period, since midnight UTC
+	Slots           int              // number of intervals in the busy period, over all days and exchanges
+	Days            int              // number of days that were measured
+	Pairs           []dimension.Pair // traffic and circuits between two exchanges, both directions together
+	Hold            []float64        // mean hold time in seconds by class
+	HoldVariation   []float64        // squared coefficient of variation of hold times by class
+	Peakedness      float64          // of overflow, over all pairs and classes
+	FreshPeakedness []float64        // of the fresh calls of one pair and class, averaged over all pairs, by class
+	Daily           [][2]float64     // busy period traffic of all exchanges: days since 1970, circuits (erlangs times width)
+	Left            []ExcludedInterval
+	Faults          []string // values that are invalid; their intervals are not used
 }
 
-// Base finds the time-consistent busy period of the intervals of all call servers (E.500's read-out of the same hour over
-// days), and the traffic that was offered in it: fresh calls times hold time, since what is carried is cut off by blocking.
-func (j Judge) Base(all []Interval) (Base, error) {
-	var b Base
-	good := j.sound(all, &b)
-	good = j.usual(good, &b)
-	if len(good) == 0 {
-		return b, fmt.Errorf("measure: none of %d intervals is a base: %d left out, %d with faults", len(all), len(b.Left), len(b.Faults))
+// Base finds the time-consistent busy period of the intervals of all call servers (ITU-T E.500: the same hour over several
+// days) and the traffic offered in it: fresh calls times hold time, because carried traffic is limited by blocking.
+func (a Analyzer) Base(intervals []Interval) (Base, error) {
+	var base Base
+	usable := a.dropInvalid(intervals, &base)
+	usable = a.dropUnusual(usable, &base)
+	if len(usable) == 0 {
+		return base, fmt.Errorf("measure: none of %d intervals is usable: %d left out, %d invalid", len(intervals), len(base.Left), len(base.Faults))
 	}
-	busy := j.busy(good, &b)
-	j.holds(good, &b)
-	j.daily(busy, &b)
-	j.pairs(busy, &b)
-	return b, nil
+	busy := a.findBusyPeriod(usable, &base)
+	a.estimateHoldAndPeakedness(usable, &base)
+	a.sumByDay(busy, &base)
+	a.sumPairs(busy, &base)
+	return base, nil
 }
 
-// sound takes out what makes no sense, and names it.
-func (j Judge) sound(all []Interval, b *Base) (good []Interval) {
-	for _, i := range all {
-		if why := i.fault(len(j.Classes)); why != "" {
-			b.Faults = append(b.Faults, fmt.Sprintf("exchange %d, %s: %s", i.Home, i.Start.UTC().Format(time.RFC3339), why))
+// dropInvalid removes intervals with invalid values and adds a line for each to base.Faults.
+func (a Analyzer) dropInvalid(intervals []Interval, base *Base) (valid []Interval) {
+	for _, interval := range intervals {
+		if reason := interval.invalidReason(len(a.Classes)); reason != "" {
+			base.Faults = append(base.Faults, fmt.Sprintf("exchange %d, %s: %s", interval.Home, interval.Start.UTC().Format(time.RFC3339), reason))
 			continue
 		}
-		good = append(good, i)
+		valid = append(valid, interval)
 	}
-	return good
+	return valid
 }
 
-// fault names the first figure of an interval that makes no sense.
-func (i Interval) fault(classes int) string {
-	bad := func(x float64) bool { return !(x >= 0) || x > absurdCount*Length.Seconds() }
-	if i.Covered < 0 || i.Covered > Length {
-		return fmt.Sprintf("covered %v of %v", i.Covered, Length)
+// invalidReason describes the first invalid value of an interval; it is empty if there is none.
+func (i Interval) invalidReason(classCount int) string {
+	invalid := func(value float64) bool { return !(value >= 0) || value > maxCount*IntervalLength.Seconds() }
+	if i.Covered < 0 || i.Covered > IntervalLength {
+		return fmt.Sprintf("covered %v of %v", i.Covered, IntervalLength)
 	}
-	for _, c := range i.Counts {
-		for _, n := range []int{c.Tries, c.Fresh, c.Direct, c.TwoLeg, c.Overflow, c.Lost, c.Failed, c.Ended} {
-			if n < 0 || n > absurdCount {
-				return fmt.Sprintf("class %d toward %d counts %d", c.Class, c.To, n)
+	for _, count := range i.Counts {
+		for _, n := range []int{count.Tries, count.Fresh, count.Direct, count.TwoLeg, count.Overflow, count.Lost, count.Failed, count.Ended} {
+			if n < 0 || n > maxCount {
+				return fmt.Sprintf("class %d toward %d counts %d", count.Class, count.To, n)
 			}
 		}
-		if c.Class < 0 || c.Class >= classes || c.Fresh > c.Tries || bad(c.Usage) || bad(c.Hold) || bad(c.Hold2) || bad(c.Peak) || bad(c.Peak2) || bad(c.Burst) || bad(c.Burst2) {
-			return fmt.Sprintf("class %d toward %d: %+v", c.Class, c.To, c)
+		if count.Class < 0 || count.Class >= classCount || count.Fresh > count.Tries || invalid(count.Usage) || invalid(count.Hold) || invalid(count.Hold2) || invalid(count.Peak) || invalid(count.Peak2) || invalid(count.Burst) || invalid(count.Burst2) {
+			return fmt.Sprintf("class %d toward %d: %+v", count.Class, count.To, count)
 		}
 	}
-	for _, g := range i.Groups {
-		if g.Circuits < 0 || g.Least < 0 || g.Least > g.Circuits || bad(g.Usage) || g.Seized < 0 {
-			return fmt.Sprintf("group toward %d: %+v", g.To, g)
+	for _, group := range i.Groups {
+		if group.Circuits < 0 || group.Least < 0 || group.Least > group.Circuits || invalid(group.Usage) || group.Seized < 0 {
+			return fmt.Sprintf("group toward %d: %+v", group.To, group)
 		}
 	}
 	return ""
 }
 
-// usual leaves out what was no usual traffic, unless staff keep it.
-func (j Judge) usual(all []Interval, b *Base) (good []Interval) {
-	crowds := map[int][]float64{}
-	sizes := map[[2]int]int{}
-	for _, i := range all {
-		crowds[i.Home] = append(crowds[i.Home], float64(i.Crowd))
-		for _, g := range i.Groups {
-			k := [2]int{i.Home, g.To}
-			sizes[k] = max(sizes[k], g.Circuits)
+// dropUnusual removes intervals with unusual traffic, unless planners keep them, and adds them to base.Left.
+func (a Analyzer) dropUnusual(intervals []Interval, base *Base) (usual []Interval) {
+	largestCounts := map[int][]float64{}
+	groupSizes := map[[2]int]int{}
+	for _, interval := range intervals {
+		largestCounts[interval.Home] = append(largestCounts[interval.Home], float64(interval.Crowd))
+		for _, group := range interval.Groups {
+			key := [2]int{interval.Home, group.To}
+			groupSizes[key] = max(groupSizes[key], group.Circuits)
 		}
 	}
-	common := map[int]float64{}
-	for home, c := range crowds {
-		slices.Sort(c)
-		common[home] = c[len(c)/2]
+	medianCounts := map[int]float64{}
+	for home, counts := range largestCounts {
+		slices.Sort(counts)
+		medianCounts[home] = counts[len(counts)/2]
 	}
-	everywhere := map[time.Time]string{} // what one exchange saw and all felt
-	for _, i := range all {
-		lost := 0
-		for _, g := range i.Groups {
-			if float64(g.Least) < lostPart*float64(sizes[[2]int{i.Home, g.To}]) {
-				lost++
+	unusual := map[time.Time]string{} // events that affect all exchanges although one of them reports them
+	for _, interval := range intervals {
+		reduced := 0
+		for _, group := range interval.Groups {
+			if float64(group.Least) < circuitLossRatio*float64(groupSizes[[2]int{interval.Home, group.To}]) {
+				reduced++
 			}
 		}
 		switch {
-		case i.Crowd >= crowdLeast && float64(i.Crowd) > crowdTimes*math.Max(1, common[i.Home]):
-			everywhere[i.Start] = fmt.Sprintf("mass calling: %d fresh calls in %v from exchange %d toward %d, %.0f are usual", i.Crowd, Fine, i.Home, i.CrowdTo, common[i.Home])
-		case lost > 0 && float64(lost) >= lostGroups*float64(len(i.Groups)):
-			everywhere[i.Start] = fmt.Sprintf("circuits lost: %d of %d groups of exchange %d", lost, len(i.Groups), i.Home)
+		case interval.Crowd >= massCallingMin && float64(interval.Crowd) > massCallingRatio*math.Max(1, medianCounts[interval.Home]):
+			unusual[interval.Start] = fmt.Sprintf("mass calling: %d fresh calls in %v from exchange %d toward %d, %.0f are usual", interval.Crowd, Fine, interval.Home, interval.CrowdTo, medianCounts[interval.Home])
+		case reduced > 0 && float64(reduced) >= lossGroupShare*float64(len(interval.Groups)):
+			unusual[interval.Start] = fmt.Sprintf("circuits lost: %d of %d groups of exchange %d", reduced, len(interval.Groups), interval.Home)
 		}
 	}
-	told := map[time.Time]bool{}
-	for _, i := range all {
-		why, home := "", i.Home
+	listed := map[time.Time]bool{}
+	for _, interval := range intervals {
+		reason, home := "", interval.Home
 		switch {
-		case j.Keep != nil && j.Keep(i.Start):
-		case j.Leave != nil && j.Leave(i.Start):
-			why, home = "left out by staff", 0
-		case everywhere[i.Start] != "":
-			why, home = everywhere[i.Start], 0
-		case i.Jumped:
-			why = "the clock was set"
-		case float64(i.Covered) < leastCovered*float64(Length):
-			why = fmt.Sprintf("only %v of %v were measured: a restart, or the call server was down", i.Covered.Round(time.Second), Length)
+		case a.Keep != nil && a.Keep(interval.Start):
+		case a.Exclude != nil && a.Exclude(interval.Start):
+			reason, home = "left out by planners", 0
+		case unusual[interval.Start] != "":
+			reason, home = unusual[interval.Start], 0
+		case interval.Jumped:
+			reason = "the clock was set"
+		case float64(interval.Covered) < minCoverage*float64(IntervalLength):
+			reason = fmt.Sprintf("only %v of %v were measured: the call server was restarted or down", interval.Covered.Round(time.Second), IntervalLength)
 		}
-		if why == "" {
-			good = append(good, i)
-		} else if home != 0 || !told[i.Start] {
-			told[i.Start] = told[i.Start] || home == 0
-			b.Left = append(b.Left, Left{home, i.Start, why})
+		if reason == "" {
+			usual = append(usual, interval)
+		} else if home != 0 || !listed[interval.Start] {
+			listed[interval.Start] = listed[interval.Start] || home == 0
+			base.Left = append(base.Left, ExcludedInterval{home, interval.Start, reason})
 		}
 	}
-	return good
+	return usual
 }
 
-// slot is the place of an interval in its day.
-func slot(t time.Time) int {
+// daySlot is the index of an interval within its day.
+func daySlot(t time.Time) int {
 	t = t.UTC()
-	return (t.Hour()*60 + t.Minute()) / int(Length/time.Minute)
+	return (t.Hour()*60 + t.Minute()) / int(IntervalLength/time.Minute)
 }
 
-const slotsOfDay = int(24 * time.Hour / Length)
+const slotsPerDay = int(24 * time.Hour / IntervalLength)
 
-// busy finds the consecutive slots of the day that have most traffic, on the mean of the days that they were measured on.
-func (j Judge) busy(all []Interval, b *Base) (out []Interval) {
-	wide := cmp.Or(j.Hours, 4)
-	var load, measured [slotsOfDay]float64
+// findBusyPeriod finds the consecutive slots of the day that have most traffic, as a mean over the intervals measured in each
+// slot, and returns their intervals.
+func (a Analyzer) findBusyPeriod(intervals []Interval, base *Base) (busy []Interval) {
+	periodSlots := cmp.Or(a.BusySlots, defaultBusySlots)
+	var load, measured [slotsPerDay]float64
 	days := map[string]bool{}
 	homes := map[int]bool{}
-	for _, i := range all {
-		s := slot(i.Start)
-		for _, c := range i.Counts {
-			load[s] += float64(c.Fresh) * j.Classes[c.Class].Hold.Seconds() * float64(max(1, j.Classes[c.Class].Width)) / i.Covered.Seconds()
+	for _, interval := range intervals {
+		slot := daySlot(interval.Start)
+		for _, count := range interval.Counts {
+			load[slot] += float64(count.Fresh) * a.Classes[count.Class].Hold.Seconds() * float64(max(1, a.Classes[count.Class].Width)) / interval.Covered.Seconds()
 		}
-		measured[s]++
-		homes[i.Home] = true
-		days[i.Start.UTC().Format(time.DateOnly)] = true
+		measured[slot]++
+		homes[interval.Home] = true
+		days[interval.Start.UTC().Format(time.DateOnly)] = true
 	}
-	b.Days = len(days)
-	best, at := -1.0, 0
-	for s := range slotsOfDay {
+	base.Days = len(days)
+	bestLoad, firstSlot := -1.0, 0
+	for first := range slotsPerDay {
 		sum, n := 0.0, 0.0
-		for w := range wide {
-			if x := (s + w) % slotsOfDay; measured[x] > 0 {
-				sum, n = sum+load[x]/measured[x], n+1
+		for offset := range periodSlots {
+			if slot := (first + offset) % slotsPerDay; measured[slot] > 0 {
+				sum, n = sum+load[slot]/measured[slot], n+1
 			}
 		}
-		// A period that was measured in part counts for what was measured of it.
-		if sum > best && n > 0 {
-			best, at = sum, s
+		// Of a period that was measured in part, only the measured slots count.
+		if sum > bestLoad && n > 0 {
+			bestLoad, firstSlot = sum, first
 		}
 	}
-	b.From = time.Duration(at) * Length
-	b.To = b.From + time.Duration(wide)*Length
-	for _, i := range all {
-		if (slot(i.Start)-at+slotsOfDay)%slotsOfDay < wide {
-			out = append(out, i)
+	base.From = time.Duration(firstSlot) * IntervalLength
+	base.To = base.From + time.Duration(periodSlots)*IntervalLength
+	for _, interval := range intervals {
+		if (daySlot(interval.Start)-firstSlot+slotsPerDay)%slotsPerDay < periodSlots {
+			busy = append(busy, interval)
 		}
 	}
-	b.Slots = len(out)
-	return out
+	base.Slots = len(busy)
+	return busy
 }
 
-// holds finds hold times and the peakedness of overflow over all good intervals.
-func (j Judge) holds(all []Interval, b *Base) {
-	n, sum, squares := make([]float64, len(j.Classes)), make([]float64, len(j.Classes)), make([]float64, len(j.Classes))
-	weighted, overflow := 0.0, 0.0
-	bursts, begun := make([]float64, len(j.Classes)), make([]float64, len(j.Classes))
-	for _, i := range all {
-		samples := math.Max(1, math.Floor(float64(i.Covered)/float64(Fine)))
-		for _, c := range i.Counts {
-			n[c.Class], sum[c.Class], squares[c.Class] = n[c.Class]+float64(c.Ended), sum[c.Class]+c.Hold, squares[c.Class]+c.Hold2
-			if mean := c.Peak / samples; mean > 0 {
-				variance := c.Peak2/samples - mean*mean
-				weighted += variance
-				overflow += mean
+// estimateHoldAndPeakedness estimates hold times, and the peakedness of overflow and of fresh calls, from usable intervals.
+func (a Analyzer) estimateHoldAndPeakedness(intervals []Interval, base *Base) {
+	ended, holdSum, holdSquares := make([]float64, len(a.Classes)), make([]float64, len(a.Classes)), make([]float64, len(a.Classes))
+	overflowVariance, overflowMean := 0.0, 0.0
+	freshVariance, freshMean := make([]float64, len(a.Classes)), make([]float64, len(a.Classes))
+	for _, interval := range intervals {
+		samples := math.Max(1, math.Floor(float64(interval.Covered)/float64(Fine)))
+		for _, count := range interval.Counts {
+			ended[count.Class], holdSum[count.Class], holdSquares[count.Class] = ended[count.Class]+float64(count.Ended), holdSum[count.Class]+count.Hold, holdSquares[count.Class]+count.Hold2
+			if mean := count.Peak / samples; mean > 0 {
+				variance := count.Peak2/samples - mean*mean
+				overflowVariance += variance
+				overflowMean += mean
 			}
-			mean := c.Burst / samples
-			bursts[c.Class] += c.Burst2/samples - mean*mean
-			begun[c.Class] += mean
+			mean := count.Burst / samples
+			freshVariance[count.Class] += count.Burst2/samples - mean*mean
+			freshMean[count.Class] += mean
 		}
 	}
-	for k := range j.Classes {
-		mean, c2 := j.Classes[k].Hold.Seconds(), 1.0
-		if n[k] > 0 {
-			mean = sum[k] / n[k]
+	for class := range a.Classes {
+		mean, variation := a.Classes[class].Hold.Seconds(), 1.0
+		if ended[class] > 0 {
+			mean = holdSum[class] / ended[class]
 		}
-		if n[k] > 1 && mean > 0 {
-			c2 = math.Max(0, squares[k]/n[k]/(mean*mean)-1)
+		if ended[class] > 1 && mean > 0 {
+			variation = math.Max(0, holdSquares[class]/ended[class]/(mean*mean)-1)
 		}
-		peaked := 1.0
-		if begun[k] > 0 && bursts[k] > leastPeaked*begun[k] {
-			peaked = bursts[k] / begun[k]
+		peakedness := 1.0
+		if freshMean[class] > 0 && freshVariance[class] > minPeakedness*freshMean[class] {
+			peakedness = freshVariance[class] / freshMean[class]
 		}
-		b.Hold, b.Variation, b.Peaked = append(b.Hold, mean), append(b.Variation, c2), append(b.Peaked, peaked)
+		base.Hold, base.HoldVariation, base.FreshPeakedness = append(base.Hold, mean), append(base.HoldVariation, variation), append(base.FreshPeakedness, peakedness)
 	}
-	if b.Peakedness = 1; overflow > 0 {
-		b.Peakedness = math.Max(1, weighted/overflow)
+	if base.Peakedness = 1; overflowMean > 0 {
+		base.Peakedness = math.Max(1, overflowVariance/overflowMean)
 	}
 }
 
-// daily sums the busy period up, day by day: the sum over exchanges of the mean traffic of their intervals.
-func (j Judge) daily(busy []Interval, b *Base) {
-	type place struct{ day, home int }
-	load, covered := map[place]float64{}, map[place]float64{}
-	for _, i := range busy {
-		at := place{int(i.Start.Unix() / int64(24*time.Hour/time.Second)), i.Home}
-		covered[at] += i.Covered.Seconds()
-		for _, c := range i.Counts {
-			load[at] += float64(c.Fresh) * b.Hold[c.Class] * float64(max(1, j.Classes[c.Class].Width))
+// sumByDay computes the busy period traffic of each day: the sum over exchanges of the mean traffic of their intervals.
+func (a Analyzer) sumByDay(busy []Interval, base *Base) {
+	type homeDay struct{ day, home int }
+	circuitSeconds, covered := map[homeDay]float64{}, map[homeDay]float64{}
+	for _, interval := range busy {
+		key := homeDay{int(interval.Start.Unix() / int64(24*time.Hour/time.Second)), interval.Home}
+		covered[key] += interval.Covered.Seconds()
+		for _, count := range interval.Counts {
+			circuitSeconds[key] += float64(count.Fresh) * base.Hold[count.Class] * float64(max(1, a.Classes[count.Class].Width))
 		}
 	}
 	days := map[int]float64{}
-	for at, l := range load {
-		if covered[at] > 0 {
-			days[at.day] += l / covered[at]
+	for key, seconds := range circuitSeconds {
+		if covered[key] > 0 {
+			days[key.day] += seconds / covered[key]
 		}
 	}
-	for day, l := range days {
-		b.Daily = append(b.Daily, [2]float64{float64(day), l})
+	for day, traffic := range days {
+		base.Daily = append(base.Daily, [2]float64{float64(day), traffic})
 	}
-	slices.SortFunc(b.Daily, func(x, y [2]float64) int { return cmp.Compare(x[0], y[0]) })
+	slices.SortFunc(base.Daily, func(x, y [2]float64) int { return cmp.Compare(x[0], y[0]) })
 }
 
-// pairs adds both ends up.
-func (j Judge) pairs(busy []Interval, b *Base) {
+// sumPairs adds up the traffic that both ends of each pair of exchanges measured.
+func (a Analyzer) sumPairs(busy []Interval, base *Base) {
 	covered := map[int]float64{}
-	type traffic struct {
-		fresh [][2]float64 // by class, of the lower and of the higher exchange
-		today int
+	type pairTraffic struct {
+		fresh [][2]float64 // fresh calls by class, from the exchange with the lower and with the higher number
+		today int          // circuits
 	}
-	of := map[[2]int]*traffic{}
-	get := func(x, y int) *traffic {
-		k := [2]int{min(x, y), max(x, y)}
-		if of[k] == nil {
-			of[k] = &traffic{fresh: make([][2]float64, len(j.Classes))}
+	traffic := map[[2]int]*pairTraffic{}
+	trafficBetween := func(first, second int) *pairTraffic {
+		key := [2]int{min(first, second), max(first, second)}
+		if traffic[key] == nil {
+			traffic[key] = &pairTraffic{fresh: make([][2]float64, len(a.Classes))}
 		}
-		return of[k]
+		return traffic[key]
 	}
-	for _, i := range busy {
-		covered[i.Home] += i.Covered.Seconds()
-		for _, g := range i.Groups {
-			t := get(i.Home, g.To)
-			t.today = max(t.today, g.Circuits)
+	for _, interval := range busy {
+		covered[interval.Home] += interval.Covered.Seconds()
+		for _, group := range interval.Groups {
+			t := trafficBetween(interval.Home, group.To)
+			t.today = max(t.today, group.Circuits)
 		}
-		for _, c := range i.Counts {
+		for _, count := range interval.Counts {
 			side := 0
-			if i.Home > c.To {
+			if interval.Home > count.To {
 				side = 1
 			}
-			get(i.Home, c.To).fresh[c.Class][side] += float64(c.Fresh)
+			trafficBetween(interval.Home, count.To).fresh[count.Class][side] += float64(count.Fresh)
 		}
 	}
-	for k, t := range of {
-		p := dimension.Pair{A: k[0], B: k[1], Today: t.today}
-		for class, f := range t.fresh {
+	for key, t := range traffic {
+		pair := dimension.Pair{A: key[0], B: key[1], Today: t.today}
+		for class, bySide := range t.fresh {
 			erlangs := 0.0
-			for side, n := range f {
-				if c := covered[k[side]]; c > 0 {
-					erlangs += n / c * b.Hold[class]
+			for side, fresh := range bySide {
+				if seconds := covered[key[side]]; seconds > 0 {
+					erlangs += fresh / seconds * base.Hold[class]
 				}
 			}
-			p.Loads = append(p.Loads, dimension.Load{Erlangs: erlangs, Width: max(1, j.Classes[class].Width), Peaked: b.Peaked[class]})
+			pair.Loads = append(pair.Loads, dimension.Load{Erlangs: erlangs, Width: max(1, a.Classes[class].Width), Peaked: base.FreshPeakedness[class]})
 		}
-		b.Pairs = append(b.Pairs, p)
+		base.Pairs = append(base.Pairs, pair)
 	}
-	slices.SortFunc(b.Pairs, func(x, y dimension.Pair) int { return cmp.Or(cmp.Compare(x.A, y.A), cmp.Compare(x.B, y.B)) })
+	slices.SortFunc(base.Pairs, func(x, y dimension.Pair) int { return cmp.Or(cmp.Compare(x.A, y.A), cmp.Compare(x.B, y.B)) })
 }
--- a/measure/store.go
+++ b/measure/store.go
@@ -9,61 +9,69 @@
 	"go.etcd.io/bbolt"
 )
 
-// Store keeps intervals in a file, those of one or of many call servers. It is safe for concurrent use; one process has it
-// open at a time. What Put has returned for, a crash does not lose.
+// Store keeps the intervals of one or more call servers in a file. It is safe for concurrent use. Only one process can have
+// the file open. Intervals are durable once Put has returned.
 type Store struct {
-	db   *bbolt.DB
-	keep time.Duration
+	db        *bbolt.DB
+	retention time.Duration
 }
 
-var bucket = []byte("intervals")
+// intervalBucket is the name of the only bucket: its keys are those of storeKey, its values are intervals in CBOR.
+var intervalBucket = []byte("intervals")
 
-// OpenStore opens a store, and makes it where there is none. Intervals older than keep, before the newest, are dropped; 0
-// keeps 35 days.
-func OpenStore(path string, keep time.Duration) (*Store, error) {
-	if keep <= 0 {
-		keep = 35 * 24 * time.Hour
+const (
+	defaultRetention = 35 * 24 * time.Hour
+	lockTimeout      = 2 * time.Second // how long OpenStore waits for another process to close the file
+)
+
+// OpenStore opens a store and creates its file if there is none. Intervals that are older than the newest one by more than
+// retention are deleted; 0 stands for 35 days.
+func OpenStore(path string, retention time.Duration) (*Store, error) {
+	if retention <= 0 {
+		retention = defaultRetention
 	}
-	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: 2 * time.Second})
+	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("measure: store %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		_, err := tx.CreateBucketIfNotExists(bucket)
+		_, err := tx.CreateBucketIfNotExists(intervalBucket)
 		return err
 	})
 	if err != nil {
 		db.Close()
 		return nil, fmt.Errorf("measure: store %s: %w", path, err)
 	}
-	return &Store{db, keep}, nil
+	return &Store{db, retention}, nil
 }
 
-// Close closes the store.
+// Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// storeKey orders by time, then by exchange. covers tells two parts of one interval apart, as before and after a restart.
-func storeKey(start time.Time, home int, part uint64) []byte {
-	k := binary.BigEndian.AppendUint64(nil, uint64(start.Unix()))
-	k = binary.BigEndian.AppendUint32(k, uint32(home))
-	return binary.BigEndian.AppendUint64(k, part)
+// storeKey is the key of an interval. Keys sort by time, then by exchange; run distinguishes the parts of an interval from
+// before and after a restart.
+func storeKey(start time.Time, home int, run uint64) []byte {
+	key := binary.BigEndian.AppendUint64(nil, uint64(start.Unix()))
+	key = binary.BigEndian.AppendUint32(key, uint32(home))
+	return binary.BigEndian.AppendUint64(key, run)
 }
 
-// Put keeps intervals of one run of a call server. The same interval of the same run is replaced: the open one is put
-// again and again, so that a crash loses what came since. run is any number that differs from run to run.
-func (s *Store) Put(run uint64, list ...Interval) error {
+// Put stores intervals of one run of a call server. It replaces an interval of the same run and start: the open interval is
+// stored repeatedly, so that a crash loses only the traffic since the latest Put. run is any number that differs between
+// runs.
+func (s *Store) Put(run uint64, intervals ...Interval) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
-		for _, i := range list {
-			value, err := cbor.Marshal(i)
+		bucket := tx.Bucket(intervalBucket)
+		for _, interval := range intervals {
+			value, err := cbor.Marshal(interval)
 			if err != nil {
 				return err
 			}
-			if err := b.Put(storeKey(i.Start, i.Home, run), value); err != nil {
+			if err := bucket.Put(storeKey(interval.Start, interval.Home, run), value); err != nil {
 				return err
 			}
 		}
-		return s.prune(b)
+		return s.prune(bucket)
 	})
 	if err != nil {
 		return fmt.Errorf("measure: store: %w", err)
@@ -71,82 +79,82 @@
 	return nil
 }
 
-// prune drops what is too old.
-func (s *Store) prune(b *bbolt.Bucket) error {
-	c := b.Cursor()
-	last, _ := c.Last()
+// prune deletes the intervals that are older than the newest one by more than the retention.
+func (s *Store) prune(bucket *bbolt.Bucket) error {
+	cursor := bucket.Cursor()
+	last, _ := cursor.Last()
 	if last == nil {
 		return nil
 	}
-	oldest := binary.BigEndian.Uint64(last) - uint64(s.keep/time.Second)
-	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < oldest; k, _ = c.First() {
-		if err := b.Delete(k); err != nil {
+	oldest := binary.BigEndian.Uint64(last) - uint64(s.retention/time.Second)
+	for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) < oldest; key, _ = cursor.First() {
+		if err := bucket.Delete(key); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Read gives the intervals that begin from one time to before another, in the order of time; parts of one interval, from
-// before and after a restart, are one.
-func (s *Store) Read(from, to time.Time) (out []Interval, err error) {
+// Read returns the intervals that begin at from or later and before to, in the order of time. The parts of an interval from
+// before and after a restart are merged into one.
+func (s *Store) Read(from, to time.Time) (intervals []Interval, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(bucket).Cursor()
-		for k, v := c.Seek(storeKey(from, 0, 0)); k != nil && binary.BigEndian.Uint64(k) < uint64(to.Unix()); k, v = c.Next() {
-			var i Interval
-			if err := cbor.Unmarshal(v, &i); err != nil {
-				return fmt.Errorf("interval of %s: %w", time.Unix(int64(binary.BigEndian.Uint64(k)), 0).UTC().Format(time.RFC3339), err)
+		cursor := tx.Bucket(intervalBucket).Cursor()
+		for key, value := cursor.Seek(storeKey(from, 0, 0)); key != nil && binary.BigEndian.Uint64(key) < uint64(to.Unix()); key, value = cursor.Next() {
+			var interval Interval
+			if err := cbor.Unmarshal(value, &interval); err != nil {
+				return fmt.Errorf("interval of %s: %w", time.Unix(int64(binary.BigEndian.Uint64(key)), 0).UTC().Format(time.RFC3339), err)
 			}
-			if n := len(out); n > 0 && out[n-1].Home == i.Home && out[n-1].Start.Equal(i.Start) {
-				out[n-1] = out[n-1].with(i)
+			if n := len(intervals); n > 0 && intervals[n-1].Home == interval.Home && intervals[n-1].Start.Equal(interval.Start) {
+				intervals[n-1] = intervals[n-1].merge(interval)
 				continue
 			}
-			out = append(out, i)
+			intervals = append(intervals, interval)
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, fmt.Errorf("measure: store: %w", err)
 	}
-	return out, nil
+	return intervals, nil
 }
 
-// with adds another part of the same interval.
-func (i Interval) with(x Interval) Interval {
-	i.Covered += x.Covered
-	i.Jumped = i.Jumped || x.Jumped
-	if x.Crowd > i.Crowd {
-		i.Crowd, i.CrowdTo = x.Crowd, x.CrowdTo
+// merge adds another part of the same interval.
+func (i Interval) merge(other Interval) Interval {
+	i.Covered += other.Covered
+	i.Jumped = i.Jumped || other.Jumped
+	if other.Crowd > i.Crowd {
+		i.Crowd, i.CrowdTo = other.Crowd, other.CrowdTo
 	}
-	counts := map[key]int{}
-	for n, c := range i.Counts {
-		counts[key{c.Class, c.To}] = n
+	counts := map[countKey]int{}
+	for n, count := range i.Counts {
+		counts[countKey{count.Class, count.To}] = n
 	}
-	for _, c := range x.Counts {
-		n, ok := counts[key{c.Class, c.To}]
+	for _, count := range other.Counts {
+		n, ok := counts[countKey{count.Class, count.To}]
 		if !ok {
-			i.Counts = append(i.Counts, c)
+			i.Counts = append(i.Counts, count)
 			continue
 		}
-		y := &i.Counts[n]
-		y.Tries, y.Fresh, y.Direct, y.TwoLeg = y.Tries+c.Tries, y.Fresh+c.Fresh, y.Direct+c.Direct, y.TwoLeg+c.TwoLeg
-		y.Overflow, y.Lost, y.Failed, y.Ended = y.Overflow+c.Overflow, y.Lost+c.Lost, y.Failed+c.Failed, y.Ended+c.Ended
-		y.Usage, y.Hold, y.Hold2, y.Peak, y.Peak2 = y.Usage+c.Usage, y.Hold+c.Hold, y.Hold2+c.Hold2, y.Peak+c.Peak, y.Peak2+c.Peak2
-		y.Burst, y.Burst2 = y.Burst+c.Burst, y.Burst2+c.Burst2
+		sum := &i.Counts[n]
+		sum.Tries, sum.Fresh, sum.Direct, sum.TwoLeg = sum.Tries+count.Tries, sum.Fresh+count.Fresh, sum.Direct+count.Direct, sum.TwoLeg+count.TwoLeg
+		sum.Overflow, sum.Lost, sum.Failed, sum.Ended = sum.Overflow+count.Overflow, sum.Lost+count.Lost, sum.Failed+count.Failed, sum.Ended+count.Ended
+		sum.Usage, sum.Hold, sum.Hold2, sum.Peak, sum.Peak2 = sum.Usage+count.Usage, sum.Hold+count.Hold, sum.Hold2+count.Hold2, sum.Peak+count.Peak, sum.Peak2+count.Peak2
+		sum.Burst, sum.Burst2 = sum.Burst+count.Burst, sum.Burst2+count.Burst2
 	}
 	groups := map[int]int{}
-	for n, g := range i.Groups {
-		groups[g.To] = n
+	for n, group := range i.Groups {
+		groups[group.To] = n
 	}
-	for _, g := range x.Groups {
-		n, ok := groups[g.To]
+	for _, group := range other.Groups {
+		n, ok := groups[group.To]
 		if !ok {
-			i.Groups = append(i.Groups, g)
+			i.Groups = append(i.Groups, group)
 			continue
 		}
-		y := &i.Groups[n]
-		y.Circuits, y.Least = max(y.Circuits, g.Circuits), min(y.Least, g.Least)
-		y.Usage, y.Seized = y.Usage+g.Usage, y.Seized+g.Seized
+		sum := &i.Groups[n]
+		sum.Circuits, sum.Least = max(sum.Circuits, group.Circuits), min(sum.Least, group.Least)
+		sum.Usage, sum.Seized = sum.Usage+group.Usage, sum.Seized+group.Seized
 	}
 	return i
 }
--- a/planning/report.go
+++ b/planning/report.go
@@ -16,22 +16,24 @@
 	"finchlatch/dimension"
 )
 
+// reportTemplate is the template of the page that WriteReport writes.
+//
 //go:embed report.html
-var reportText string
+var reportTemplate string
 
-// WriteReport writes a page with the plan, its what-if cases and plots.
-func (r Rules) WriteReport(w io.Writer, t Traffic, p dimension.Proposal, cases []Case) error {
-	sizes, err := r.plotSizes(p)
+// WriteReport writes an HTML page with the plan, its what-if cases and a plot.
+func (r Rules) WriteReport(w io.Writer, traffic Traffic, proposal dimension.Proposal, cases []Case) error {
+	sizes, err := r.plotSizes(proposal)
 	if err != nil {
 		return err
 	}
 	page, err := template.New("plan").Funcs(template.FuncMap{
-		"name":    func(n int) string { return r.exchange(n).Name },
-		"percent": func(x float64) string { return fmt.Sprintf("%.2f%%", 100*x) },
-		"png": func(b []byte) template.URL {
-			return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(b))
+		"name":    func(number int) string { return r.exchange(number).Name },
+		"percent": func(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) },
+		"png": func(image []byte) template.URL {
+			return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(image))
 		},
-	}).Parse(reportText)
+	}).Parse(reportTemplate)
 	if err != nil {
 		return fmt.Errorf("planning: report: %w", err)
 	}
@@ -41,27 +43,27 @@
 		Proposal dimension.Proposal
 		Cases    []Case
 		Sizes    []byte
-	}{r, t, p, cases, sizes})
+	}{r, traffic, proposal, cases, sizes})
 }
 
-// plotSizes draws circuits needed and there today over the traffic of each group.
-func (r Rules) plotSizes(p dimension.Proposal) ([]byte, error) {
-	pic := plot.New()
-	pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = "Groups", "circuits' worth of traffic offered", "circuits"
-	pic.Legend.Top, pic.Legend.Left = true, true
+// plotSizes draws needed and present circuits over the offered traffic of each group, as a PNG image.
+func (r Rules) plotSizes(proposal dimension.Proposal) ([]byte, error) {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = "Groups", "offered traffic (circuits)", "circuits"
+	chart.Legend.Top, chart.Legend.Left = true, true
 	var needed, today plotter.XYs
-	for _, row := range p.Rows {
+	for _, row := range proposal.Rows {
 		needed = append(needed, plotter.XY{X: row.Offered, Y: float64(row.Needed)})
 		today = append(today, plotter.XY{X: row.Offered, Y: float64(row.Today)})
 	}
-	if err := plotutil.AddScatters(pic, "needed", needed, "today", today); err != nil {
+	if err := plotutil.AddScatters(chart, "needed", needed, "today", today); err != nil {
 		return nil, fmt.Errorf("planning: plot: %w", err)
 	}
-	out, err := pic.WriterTo(18*vg.Centimeter, 11*vg.Centimeter, "png")
+	image, err := chart.WriterTo(18*vg.Centimeter, 11*vg.Centimeter, "png")
 	if err != nil {
 		return nil, fmt.Errorf("planning: plot: %w", err)
 	}
-	var b bytes.Buffer
-	_, err = out.WriteTo(&b)
-	return b.Bytes(), err
+	var buffer bytes.Buffer
+	_, err = image.WriteTo(&buffer)
+	return buffer.Bytes(), err
 }
