--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -225,8 +225,8 @@
 	}
 	intervals := dailyIntervals(5, 90)
 	intervalAt := func(day, slot, home int) *Interval { return &intervals[(day*slotsPerDay+slot)*2+home-1] }
-	crowd := intervalAt(1, 41, 1)
-	crowd.Crowd, crowd.Counts[0].Fresh, crowd.Counts[0].Tries = 500, 9000, 20000
+	massCalling := intervalAt(1, 41, 1)
+	massCalling.Crowd, massCalling.Counts[0].Fresh, massCalling.Counts[0].Tries = 500, 9000, 20000
 	intervalAt(2, 42, 2).Groups[0].Least = 5
 	intervalAt(3, 40, 1).Covered = 7 * time.Minute
 	intervalAt(3, 43, 1).Jumped = true
--- a/measure/store.go
+++ b/measure/store.go
@@ -25,7 +25,7 @@
 )
 
 // OpenStore opens a store and creates its file if there is none. Intervals that are older than the newest one by more than
-// retention are deleted; 0 stands for 35 days.
+// retention are deleted; 0 means 35 days.
 func OpenStore(path string, retention time.Duration) (*Store, error) {
 	if retention <= 0 {
 		retention = defaultRetention
