--- a/bound/bound.go
+++ b/bound/bound.go
@@ -1,5 +1,6 @@
-// Package bound gives upper bounds on the worth that any routing policy can carry in a mesh of trunk groups. They see
-// everything, decide without delay, and are not policies. No I/O, no clock.
+// Package bound computes upper bounds on the worth that any routing policy can carry in a mesh of trunk groups. The bounds
+// assume complete information and decisions without delay, so no policy need reach them. The package does no I/O and reads
+// no clock.
 package bound
 
 import (
@@ -10,167 +11,174 @@
 
 // Class is a class of calls.
 type Class struct {
-	Worth float64 // of a call that stands in time
+	Worth float64 // of a call that is established in time
 	Width float64 // circuits on each group
-	Hold  float64 // mean seconds that a call holds them
+	Hold  float64 // mean hold time in seconds
 }
 
-// Network is a mesh of groups, each shared by its two ends.
+// Network is a mesh of trunk groups, each shared by its two ends.
 type Network struct {
-	Circuits [][]float64   // between two exchanges; symmetric
-	Classes  []Class       //
-	Rate     [][][]float64 // calls a second by class, from and to
+	Circuits [][]float64 // of the group between two exchanges; symmetric
+	Classes  []Class
+	Rate     [][][]float64 // calls per second, by class, originating and terminating exchange
 }
 
-// Check names what makes no sense.
-func (n Network) Check() error {
+// Validate returns an error if the network is inconsistent or a value is out of range.
+func (n Network) Validate() error {
 	if len(n.Rate) != len(n.Classes) || len(n.Circuits) < 2 {
-		return errors.New("bound: rates are wanted for each class, and two exchanges")
+		return errors.New("bound: a network needs rates for each class, and at least two exchanges")
 	}
 	for i, row := range n.Circuits {
 		if len(row) != len(n.Circuits) {
 			return fmt.Errorf("bound: circuits: row %d has %d entries", i, len(row))
 		}
-		for j, c := range row {
-			if !(c >= 0) || c != n.Circuits[j][i] {
-				return fmt.Errorf("bound: circuits between %d and %d: %v and %v", i, j, c, n.Circuits[j][i])
+		for j, circuits := range row {
+			if !(circuits >= 0) || circuits != n.Circuits[j][i] {
+				return fmt.Errorf("bound: circuits between %d and %d: %v in one direction, %v in the other", i, j, circuits, n.Circuits[j][i])
 			}
 		}
 	}
-	for c, k := range n.Classes {
-		if !(k.Worth >= 0) || !(k.Width > 0) || !(k.Hold > 0) || len(n.Rate[c]) != len(n.Circuits) {
-			return fmt.Errorf("bound: class %d: %+v", c, k)
+	for c, class := range n.Classes {
+		if !(class.Worth >= 0) || !(class.Width > 0) || !(class.Hold > 0) || len(n.Rate[c]) != len(n.Circuits) {
+			return fmt.Errorf("bound: class %d is invalid: %+v", c, class)
 		}
 	}
 	return nil
 }
 
-// pair is the demand between two exchanges, both ways together.
+// pair is the traffic between two exchanges, first and second, in both directions together.
 type pair struct {
-	a, b  int
-	rates []float64 // by class
+	first, second int
+	rates         []float64 // calls per second, by class
 }
 
-func (n Network) pairs() (out []pair) {
-	for a := range n.Circuits {
-		for b := a + 1; b < len(n.Circuits); b++ {
-			p := pair{a: a, b: b, rates: make([]float64, len(n.Classes))}
+// pairs returns the traffic of each pair of exchanges, with first < second.
+func (n Network) pairs() (pairs []pair) {
+	for first := range n.Circuits {
+		for second := first + 1; second < len(n.Circuits); second++ {
+			p := pair{first: first, second: second, rates: make([]float64, len(n.Classes))}
 			for c := range n.Classes {
-				p.rates[c] = n.Rate[c][a][b] + n.Rate[c][b][a]
+				p.rates[c] = n.Rate[c][first][second] + n.Rate[c][second][first]
 			}
-			out = append(out, p)
+			pairs = append(pairs, p)
 		}
 	}
-	return out
+	return pairs
 }
 
-// Offered is the worth a second that is offered.
-func (n Network) Offered() (sum float64) {
+// Offered is the offered worth per second.
+func (n Network) Offered() (total float64) {
 	for _, p := range n.pairs() {
-		for c, k := range n.Classes {
-			sum += p.rates[c] * k.Worth
+		for c, class := range n.Classes {
+			total += p.rates[c] * class.Worth
 		}
 	}
-	return sum
+	return total
 }
 
-// Fluid is the most worth a second that can be carried over direct and two-leg routes where traffic is a fluid: the value
-// of the linear programme over the group capacities. It is found from its dual, whose variables are prices of a
-// circuit-second on each group (the implied costs of Kelly 1988), by subgradients: each price gives an upper bound, so the
-// result is one after any number of rounds, and the least of all found.
+// initialStep scales the steps of the subgradient method, relative to the largest initial price.
+const initialStep = 0.3
+
+// Fluid is the most worth per second that can be carried over direct and two-leg routes where traffic is a fluid: the value
+// of the linear programme over the group capacities. It is computed from the dual programme, whose variables are the prices
+// of a circuit-second on each group (the implied costs of Kelly 1988), by the subgradient method. Any prices give an upper
+// bound, so the result, the lowest one found, is an upper bound after any number of rounds.
 func (n Network) Fluid(rounds int) (float64, error) {
-	if err := n.Check(); err != nil {
+	if err := n.Validate(); err != nil {
 		return 0, err
 	}
 	pairs, size := n.pairs(), len(n.Circuits)
-	price := square(size)
-	top := 0.0
+	prices := zeroMatrix(size)
+	maxPrice := 0.0
 	for _, p := range pairs {
-		price[p.a][p.b] = n.directPrice(p)
-		price[p.b][p.a] = price[p.a][p.b]
-		top = max(top, price[p.a][p.b])
+		prices[p.first][p.second] = n.directPrice(p)
+		prices[p.second][p.first] = prices[p.first][p.second]
+		maxPrice = max(maxPrice, prices[p.first][p.second])
 	}
-	use := square(size)
-	best := math.Inf(1)
+	usage := zeroMatrix(size)
+	lowest := math.Inf(1)
 	for round := range max(1, rounds) {
-		value, norm := n.dual(pairs, price, use), 0.0
-		best = min(best, value)
+		value, normSquared := n.dual(pairs, prices, usage), 0.0
+		lowest = min(lowest, value)
 		for _, p := range pairs {
-			d := use[p.a][p.b] - n.Circuits[p.a][p.b]
-			norm += d * d
+			excess := usage[p.first][p.second] - n.Circuits[p.first][p.second]
+			normSquared += excess * excess
 		}
-		if norm == 0 || top == 0 {
+		if normSquared == 0 || maxPrice == 0 {
 			break
 		}
-		// The classic diminishing step, in parts of the largest price.
-		step := 0.3 * top * math.Sqrt(float64(len(pairs))) / math.Sqrt(norm) / math.Sqrt(1+float64(round))
+		// The classic diminishing step size, relative to the largest initial price.
+		step := initialStep * maxPrice * math.Sqrt(float64(len(pairs))) / math.Sqrt(normSquared) / math.Sqrt(1+float64(round))
 		for _, p := range pairs {
-			x := max(0, price[p.a][p.b]+step*(use[p.a][p.b]-n.Circuits[p.a][p.b]))
-			price[p.a][p.b], price[p.b][p.a] = x, x
+			updated := max(0, prices[p.first][p.second]+step*(usage[p.first][p.second]-n.Circuits[p.first][p.second]))
+			prices[p.first][p.second], prices[p.second][p.first] = updated, updated
 		}
 	}
-	return best, nil
+	return lowest, nil
 }
 
-// directPrice is the worth a circuit-second of the last call that a group carries of its own direct traffic; 0: all of it.
+// directPrice is the initial price of a pair's group. The group is filled with the pair's direct calls in the order of their
+// worth per circuit-second, and the price is that of the class which no longer fits whole; 0 if all calls fit.
 func (n Network) directPrice(p pair) float64 {
 	load, price := 0.0, 0.0
-	done := make([]bool, len(n.Classes))
+	taken := make([]bool, len(n.Classes))
 	for range n.Classes {
-		best := -1
-		for c, k := range n.Classes {
-			if !done[c] && (best < 0 || k.density() > n.Classes[best].density()) {
-				best = c
+		densest := -1
+		for c, class := range n.Classes {
+			if !taken[c] && (densest < 0 || class.density() > n.Classes[densest].density()) {
+				densest = c
 			}
 		}
-		done[best] = true
-		k := n.Classes[best]
-		if load += p.rates[best] * k.Width * k.Hold; load > n.Circuits[p.a][p.b] {
-			return k.density()
+		taken[densest] = true
+		class := n.Classes[densest]
+		if load += p.rates[densest] * class.Width * class.Hold; load > n.Circuits[p.first][p.second] {
+			return class.density()
 		}
 	}
 	return price
 }
 
+// density is the worth that a call earns per circuit-second.
 func (k Class) density() float64 { return k.Worth / (k.Width * k.Hold) }
 
-// dual is the value of prices: what the circuits are worth at them, and what calls gain on their cheapest route. use gets
-// the circuits that those calls would take.
-func (n Network) dual(pairs []pair, price, use [][]float64) (value float64) {
-	for i := range use {
-		clear(use[i])
+// dual is the value of the dual programme at given prices: the worth of all circuits at these prices, plus what calls earn
+// beyond the price of their cheapest route. It sets usage to the circuits that those calls would hold.
+func (n Network) dual(pairs []pair, prices, usage [][]float64) (value float64) {
+	for i := range usage {
+		clear(usage[i])
 	}
 	for _, p := range pairs {
-		value += price[p.a][p.b] * n.Circuits[p.a][p.b]
-		least, via := price[p.a][p.b], -1
-		pa, pb := price[p.a], price[p.b]
-		for t := range pa {
-			if two := pa[t] + pb[t]; two < least && t != p.a && t != p.b {
-				least, via = two, t
+		value += prices[p.first][p.second] * n.Circuits[p.first][p.second]
+		cheapest, via := prices[p.first][p.second], -1
+		firstPrices, secondPrices := prices[p.first], prices[p.second]
+		for tandem := range firstPrices {
+			if twoLeg := firstPrices[tandem] + secondPrices[tandem]; twoLeg < cheapest && tandem != p.first && tandem != p.second {
+				cheapest, via = twoLeg, tandem
 			}
 		}
-		for c, k := range n.Classes {
-			gain := k.Worth - k.Width*k.Hold*least
+		for c, class := range n.Classes {
+			gain := class.Worth - class.Width*class.Hold*cheapest
 			if gain <= 0 {
 				continue
 			}
 			value += p.rates[c] * gain
-			load := p.rates[c] * k.Width * k.Hold
+			load := p.rates[c] * class.Width * class.Hold
 			if via < 0 {
-				use[p.a][p.b] += load
+				usage[p.first][p.second] += load
 				continue
 			}
-			use[min(p.a, via)][max(p.a, via)] += load
-			use[min(p.b, via)][max(p.b, via)] += load
+			usage[min(p.first, via)][max(p.first, via)] += load
+			usage[min(p.second, via)][max(p.second, via)] += load
 		}
 	}
 	return value
 }
 
-func square(n int) [][]float64 {
-	out := make([][]float64, n)
-	for i := range out {
-		out[i] = make([]float64, n)
+// zeroMatrix returns a square matrix of zeros.
+func zeroMatrix(size int) [][]float64 {
+	rows := make([][]float64, size)
+	for i := range rows {
+		rows[i] = make([]float64, size)
 	}
-	return out
+	return rows
 }
--- a/bound/bound_test.go
+++ b/bound/bound_test.go
@@ -10,105 +10,107 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-func random(seed uint64, size int) Network {
+// randomNetwork draws a network with two classes of calls.
+func randomNetwork(seed uint64, size int) Network {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	n := Network{Circuits: square(size), Classes: []Class{{1, 1, 4}, {3, 2, 4}}, Rate: [][][]float64{square(size), square(size)}}
-	for a := range size {
-		for b := range size {
-			if a < b {
-				n.Circuits[a][b] = math.Round(2 + 8*rng.Float64())
-				n.Circuits[b][a] = n.Circuits[a][b]
+	network := Network{Circuits: zeroMatrix(size), Classes: []Class{{1, 1, 4}, {3, 2, 4}}, Rate: [][][]float64{zeroMatrix(size), zeroMatrix(size)}}
+	for from := range size {
+		for to := range size {
+			if from < to {
+				network.Circuits[from][to] = math.Round(2 + 8*rng.Float64())
+				network.Circuits[to][from] = network.Circuits[from][to]
 			}
-			if a != b {
-				n.Rate[0][a][b], n.Rate[1][a][b] = 2*rng.Float64(), 0.4*rng.Float64()
+			if from != to {
+				network.Rate[0][from][to], network.Rate[1][from][to] = 2*rng.Float64(), 0.4*rng.Float64()
 			}
 		}
 	}
-	return n
+	return network
 }
 
-// primal is the linear programme itself, by the simplex method: a variable for each pair, class and route.
-func primal(t *testing.T, n Network) float64 {
-	size, pairs := len(n.Circuits), n.pairs()
-	group := map[[2]int]int{}
+// primal solves the fluid bound's linear programme by the simplex method, with a variable for each pair, class and route.
+func primal(t *testing.T, network Network) float64 {
+	size, pairs := len(network.Circuits), network.pairs()
+	groupIndex := map[[2]int]int{}
 	for i, p := range pairs {
-		group[[2]int{p.a, p.b}], group[[2]int{p.b, p.a}] = i, i
+		groupIndex[[2]int{p.first, p.second}], groupIndex[[2]int{p.second, p.first}] = i, i
 	}
-	rows := len(pairs) * (1 + len(n.Classes))
-	var cost []float64
+	rows := len(pairs) * (1 + len(network.Classes))
+	var costs []float64
 	var columns [][]int
-	var width []float64
+	var usage []float64
 	for i, p := range pairs {
-		for c, k := range n.Classes {
-			demand := len(pairs) + i*len(n.Classes) + c
-			for t := range size {
+		for c, class := range network.Classes {
+			demand := len(pairs) + i*len(network.Classes) + c
+			for tandem := range size {
 				legs := []int{demand, i}
-				if t == p.b {
+				if tandem == p.second {
 					continue
-				} else if t != p.a {
-					legs = []int{demand, group[[2]int{p.a, t}], group[[2]int{t, p.b}]}
+				} else if tandem != p.first {
+					legs = []int{demand, groupIndex[[2]int{p.first, tandem}], groupIndex[[2]int{tandem, p.second}]}
 				}
-				cost, columns, width = append(cost, -k.Worth), append(columns, legs), append(width, k.Width*k.Hold)
+				costs, columns, usage = append(costs, -class.Worth), append(columns, legs), append(usage, class.Width*class.Hold)
 			}
 		}
 	}
-	a, b := mat.NewDense(rows, len(cost)+rows, nil), make([]float64, rows)
+	a, b := mat.NewDense(rows, len(costs)+rows, nil), make([]float64, rows)
 	for v, legs := range columns {
 		a.Set(legs[0], v, 1)
 		for _, g := range legs[1:] {
-			a.Set(g, v, width[v])
+			a.Set(g, v, usage[v])
 		}
 	}
 	for i, p := range pairs {
-		b[i] = n.Circuits[p.a][p.b]
-		for c := range n.Classes {
-			b[len(pairs)+i*len(n.Classes)+c] = p.rates[c]
+		b[i] = network.Circuits[p.first][p.second]
+		for c := range network.Classes {
+			b[len(pairs)+i*len(network.Classes)+c] = p.rates[c]
 		}
 	}
-	for r, first := 0, len(cost); r < rows; r++ {
+	for r, first := 0, len(costs); r < rows; r++ {
 		a.Set(r, first+r, 1)
-		cost = append(cost, 0)
+		costs = append(costs, 0)
 	}
-	value, _, err := lp.Simplex(cost, a, b, 1e-9, nil)
+	value, _, err := lp.Simplex(costs, a, b, 1e-9, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return -value
 }
 
-// The dual's bound is never under the linear programme's value, and within 1% of it.
+// The bound from the dual programme is never below the linear programme's value, and exceeds it by at most 1%.
 func TestFluidIsTheLinearProgramme(t *testing.T) {
 	for seed := range uint64(8) {
-		n := random(seed, 3+int(seed%4))
-		want := primal(t, n)
-		got, err := n.Fluid(3000)
+		network := randomNetwork(seed, 3+int(seed%4))
+		want := primal(t, network)
+		got, err := network.Fluid(3000)
 		if err != nil || got < want-1e-6 || got > 1.01*want {
 			t.Errorf("seed %d: %.4f, the linear programme gives %.4f (%v)", seed, got, want, err)
 		}
 	}
 }
 
-// Where all groups are alike and full, direct calls of the densest class are best, and the first prices say so.
+// Where all groups are alike and full, it is best to carry only direct calls of the class with the most worth per
+// circuit-second, and the initial prices give that value.
 func TestFluidOfAnOverload(t *testing.T) {
-	n := random(1, 6)
-	for a := range 6 {
-		for b := range 6 {
-			if a != b {
-				n.Circuits[a][b], n.Rate[0][a][b], n.Rate[1][a][b] = 8, 4, 0.5
+	network := randomNetwork(1, 6)
+	for from := range 6 {
+		for to := range 6 {
+			if from != to {
+				network.Circuits[from][to], network.Rate[0][from][to], network.Rate[1][from][to] = 8, 4, 0.5
 			}
 		}
 	}
-	// 15 groups: 1 call of class 1 a second takes 8 circuits of 8 with its 2 x 4 circuit-seconds, and earns 3.
-	got, err := n.Fluid(1)
+	// Each of the 15 groups gets one call of class 1 per second: it uses 2 x 4 circuit-seconds, all 8 circuits, and earns 3.
+	got, err := network.Fluid(1)
 	if want := 15 * 3.0; err != nil || math.Abs(got-want) > 1e-9 {
 		t.Errorf("%.4f, want %.4f (%v)", got, want, err)
 	}
 	if _, err := (Network{}).Fluid(1); err == nil {
-		t.Error("an empty network was taken")
+		t.Error("an empty network was accepted")
 	}
 }
 
-// One class without two-leg calls is Erlang's loss system; with them, the bound lies between that and the fluid.
+// With one class, the bound lies between Erlang's loss formula, which has no two-leg calls, and the fluid bound.
 func TestAtOnce(t *testing.T) {
 	for _, circuits := range []int{3, 10, 30} {
 		for _, load := range []float64{0.7, 1, 1.5} {
@@ -122,19 +124,20 @@
 			}
 		}
 	}
-	began := time.Now()
-	g := Group{Circuits: 24, Classes: []Class{{1, 1, 4}, {3, 2, 4}}, Rates: []float64{5, 0.7}}
-	got, err := g.AtOnce()
-	if most := 5 + 3*0.7; err != nil || got <= 0 || got > most {
-		t.Errorf("%.4f of %.4f (%v)", got, most, err)
+	startedAt := time.Now()
+	group := Group{Circuits: 24, Classes: []Class{{1, 1, 4}, {3, 2, 4}}, Rates: []float64{5, 0.7}}
+	got, err := group.AtOnce()
+	if offered := 5 + 3*0.7; err != nil || got <= 0 || got > offered {
+		t.Errorf("%.4f of %.4f (%v)", got, offered, err)
 	}
-	t.Logf("two widths on 24 circuits: %.4f in %v", got, time.Since(began))
+	t.Logf("two widths on 24 circuits: %.4f in %v", got, time.Since(startedAt))
 }
 
-func erlangB(n int, a float64) float64 {
-	b := 1.0
-	for i := 1; i <= n; i++ {
-		b = a * b / (float64(i) + a*b)
+// erlangB is the blocking of so many circuits that are offered so many erlangs (Erlang's B formula).
+func erlangB(circuits int, offered float64) float64 {
+	blocking := 1.0
+	for i := 1; i <= circuits; i++ {
+		blocking = offered * blocking / (float64(i) + offered*blocking)
 	}
-	return b
+	return blocking
 }
--- a/bound/group.go
+++ b/bound/group.go
@@ -7,143 +7,152 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Group is one group of a symmetric mesh, whose groups are all alike.
+// Group is one trunk group of a symmetric mesh, in which all groups are alike.
 type Group struct {
 	Circuits int
 	Classes  []Class
-	Rates    []float64 // direct calls a second, of both ends together, by class
+	Rates    []float64 // direct calls per second of both ends together, by class
 }
 
-// AtOnce is the most worth a second, counted for each group, that a policy can carry which decides on each call when it
-// comes, where callers do not dial again, arrivals are Poisson and hold times exponential. It is Kelly's bound (Bounds on
-// the performance of dynamic routing schemes for highly connected networks, 1994) with several widths: a linear programme
-// in the long-run frequencies of one group's states, in which a blocked direct call may come back as a two-leg call that
-// takes half of its worth on each of two groups. A fluid bound does not see that traffic comes in lumps; this one does.
+// variablesPerClass counts the variables of a state and a class: calls, direct calls and two-leg calls.
+const variablesPerClass = 3
+
+// AtOnce is an upper bound on the worth per second and group of policies that decide on each call when it arrives, where
+// callers do not redial, arrivals are Poisson and hold times exponential. It is Kelly's bound (Bounds on the performance of
+// dynamic routing schemes for highly connected networks, 1994), extended to classes of several widths: a linear programme in
+// the long-run frequencies of one group's states, in which a blocked direct call may return as a two-leg call that earns half
+// of its worth on each of two groups. Unlike the fluid bound, it takes the randomness of arrivals into account.
 //
-// The variables, for each number n of circuits in use and each class: the part of the time, and, within it, the mean
-// number of calls, the accepted direct calls and the accepted two-leg calls a second.
+// The variables are, for each number n of circuits in use, the fraction of time, and for each n and class, within that time,
+// the mean number of calls and the accepted direct and two-leg calls per second.
 func (g Group) AtOnce() (float64, error) {
 	states, classes := g.Circuits+1, len(g.Classes)
 	if g.Circuits < 1 || classes == 0 || len(g.Rates) != classes {
 		return 0, fmt.Errorf("bound: a group of %d circuits with %d classes and %d rates", g.Circuits, classes, len(g.Rates))
 	}
-	time := func(n int) int { return n }
-	calls := func(n, c int) int { return states + (n*classes+c)*3 }
-	direct := func(n, c int) int { return calls(n, c) + 1 }
-	two := func(n, c int) int { return calls(n, c) + 2 }
-	p := program{vars: states + 3*states*classes}
-	goal := make([]float64, p.vars)
-	whole := p.row(1)
+	// These functions give the index of a variable.
+	timeIndex := func(n int) int { return n }
+	callsIndex := func(n, c int) int { return states + (n*classes+c)*variablesPerClass }
+	directIndex := func(n, c int) int { return callsIndex(n, c) + 1 }
+	twoLegIndex := func(n, c int) int { return callsIndex(n, c) + 2 }
+	program := linearProgram{variables: states + variablesPerClass*states*classes}
+	objective := make([]float64, program.variables)
+	total := program.equality(1)
 	for n := range states {
-		whole[time(n)] = 1
-		var full []float64 // the circuits of the calls are n
+		total[timeIndex(n)] = 1
+		var occupancy []float64 // the calls in progress use n circuits together
 		if n > 0 {
-			full = p.row(0)
-			full[time(n)] = -float64(n)
+			occupancy = program.equality(0)
+			occupancy[timeIndex(n)] = -float64(n)
 		}
-		for c, k := range g.Classes {
-			w := int(k.Width)
-			if n < w {
-				p.zero(calls(n, c))
+		for c, class := range g.Classes {
+			width := int(class.Width)
+			if n < width {
+				program.fixAtZero(callsIndex(n, c))
 			} else {
-				full[calls(n, c)] = k.Width
+				occupancy[callsIndex(n, c)] = class.Width
 			}
-			goal[direct(n, c)], goal[two(n, c)] = -k.Worth, -k.Worth/2
-			if n+w > g.Circuits { // nothing fits
-				p.zero(direct(n, c))
-				p.zero(two(n, c))
+			objective[directIndex(n, c)], objective[twoLegIndex(n, c)] = -class.Worth, -class.Worth/2
+			if n+width > g.Circuits { // too few circuits are free for another call
+				program.fixAtZero(directIndex(n, c))
+				program.fixAtZero(twoLegIndex(n, c))
 				continue
 			}
-			some := p.atMost(0) // direct calls find the group as it is (PASTA)
-			some[direct(n, c)], some[time(n)] = 1, -g.Rates[c]
+			arrivals := program.inequality(0) // direct calls arrive at the same rate in every state (PASTA)
+			arrivals[directIndex(n, c)], arrivals[timeIndex(n)] = 1, -g.Rates[c]
 		}
 	}
-	for n := range g.Circuits { // what crosses from n to n+1 circuits comes back
-		cut := p.row(0)
-		for c, k := range g.Classes {
-			w := int(k.Width)
-			for m := max(0, n-w+1); m <= n; m++ {
-				cut[direct(m, c)] += 1
-				cut[two(m, c)] += 1
+	for n := range g.Circuits { // transitions across the cut between n and n+1 circuits balance
+		balance := program.equality(0)
+		for c, class := range g.Classes {
+			width := int(class.Width)
+			for m := max(0, n-width+1); m <= n; m++ {
+				balance[directIndex(m, c)] += 1
+				balance[twoLegIndex(m, c)] += 1
 			}
-			for m := n + 1; m <= min(g.Circuits, n+w); m++ {
-				cut[calls(m, c)] -= 1 / k.Hold
+			for m := n + 1; m <= min(g.Circuits, n+width); m++ {
+				balance[callsIndex(m, c)] -= 1 / class.Hold
 			}
 		}
 	}
-	for c, k := range g.Classes {
-		flow := make([]float64, p.vars)
-		if c > 0 { // of each class as many calls begin as end; for the first one the cuts say so
-			flow = p.row(0)
+	for c, class := range g.Classes {
+		flow := make([]float64, program.variables)
+		if c > 0 { // of each class, as many calls begin as end; for the first one this follows from the balance
+			flow = program.equality(0)
 		}
-		blocked := p.atMost(2 * g.Rates[c]) // each two-leg call was blocked, and counts on two groups
+		blocked := program.inequality(2 * g.Rates[c]) // each two-leg call is a blocked direct call, and counts on two groups
 		for n := range states {
-			flow[direct(n, c)], flow[two(n, c)], flow[calls(n, c)] = 1, 1, -1/k.Hold
-			blocked[two(n, c)], blocked[direct(n, c)] = 1, 2
+			flow[directIndex(n, c)], flow[twoLegIndex(n, c)], flow[callsIndex(n, c)] = 1, 1, -1/class.Hold
+			blocked[twoLegIndex(n, c)], blocked[directIndex(n, c)] = 1, 2
 		}
 	}
-	return p.solve(goal)
+	return program.solve(objective)
 }
 
-// program collects the rows of a linear programme in variables that are not negative.
-type program struct {
-	vars   int
-	rows   [][]float64
-	right  []float64
-	slack  []bool
-	zeroed map[int]bool
+// linearProgram collects the rows of a linear programme whose variables are not negative.
+type linearProgram struct {
+	variables  int          // their number
+	rows       [][]float64  // coefficients of the constraints
+	rightSides []float64    // by row
+	hasSlack   []bool       // by row: an inequality
+	zeroed     map[int]bool // variables that are fixed at 0
 }
 
-func (p *program) row(right float64) []float64 {
-	r := make([]float64, p.vars)
-	p.rows, p.right, p.slack = append(p.rows, r), append(p.right, right), append(p.slack, false)
-	return r
+// equality adds a row whose value is rightSide, and returns its coefficients to be filled in.
+func (p *linearProgram) equality(rightSide float64) []float64 {
+	row := make([]float64, p.variables)
+	p.rows, p.rightSides, p.hasSlack = append(p.rows, row), append(p.rightSides, rightSide), append(p.hasSlack, false)
+	return row
 }
 
-func (p *program) atMost(right float64) []float64 {
-	r := p.row(right)
-	p.slack[len(p.slack)-1] = true
-	return r
+// inequality adds a row whose value is at most rightSide, and returns its coefficients to be filled in.
+func (p *linearProgram) inequality(rightSide float64) []float64 {
+	row := p.equality(rightSide)
+	p.hasSlack[len(p.hasSlack)-1] = true
+	return row
 }
 
-// zero takes a variable out.
-func (p *program) zero(v int) {
+// fixAtZero removes a variable from the programme.
+func (p *linearProgram) fixAtZero(variable int) {
 	if p.zeroed == nil {
 		p.zeroed = map[int]bool{}
 	}
-	p.zeroed[v] = true
+	p.zeroed[variable] = true
 }
 
-// solve finds the least value of the goal and gives it with the other sign.
-func (p *program) solve(goal []float64) (float64, error) {
-	keep := make([]int, 0, p.vars)
-	for v := range p.vars {
-		if !p.zeroed[v] {
-			keep = append(keep, v)
+// simplexTolerance is the tolerance of the simplex method.
+const simplexTolerance = 1e-9
+
+// solve minimises the objective by the simplex method and returns the negated minimum.
+func (p *linearProgram) solve(objective []float64) (float64, error) {
+	kept := make([]int, 0, p.variables)
+	for variable := range p.variables {
+		if !p.zeroed[variable] {
+			kept = append(kept, variable)
 		}
 	}
 	slacks := 0
-	for _, s := range p.slack {
-		if s {
+	for _, slack := range p.hasSlack {
+		if slack {
 			slacks++
 		}
 	}
-	width := len(keep) + slacks
-	a, c := mat.NewDense(len(p.rows), width, nil), make([]float64, width)
-	for i, v := range keep {
-		c[i] = goal[v]
+	columns := len(kept) + slacks
+	coefficients, costs := mat.NewDense(len(p.rows), columns, nil), make([]float64, columns)
+	for i, variable := range kept {
+		costs[i] = objective[variable]
 		for r, row := range p.rows {
-			a.Set(r, i, row[v])
+			coefficients.Set(r, i, row[variable])
 		}
 	}
-	at := len(keep)
-	for r, s := range p.slack {
-		if s {
-			a.Set(r, at, 1)
-			at++
+	column := len(kept)
+	for r, slack := range p.hasSlack {
+		if slack {
+			coefficients.Set(r, column, 1)
+			column++
 		}
 	}
-	value, _, err := lp.Simplex(c, a, p.right, 1e-9, nil)
+	value, _, err := lp.Simplex(costs, coefficients, p.rightSides, simplexTolerance, nil)
 	if err != nil {
 		return 0, fmt.Errorf("bound: linear programme of %d rows: %w", len(p.rows), err)
 	}
--- a/cmd/finchlatch/lab.go
+++ b/cmd/finchlatch/lab.go
@@ -12,64 +12,65 @@
 	"finchlatch/lab"
 )
 
+// labCommand runs an experiment in simulated time.
 func labCommand() *cobra.Command {
-	var store, out, commit string
+	var storePath, outDir, commit string
 	var jobs int
-	c := &cobra.Command{Use: "lab [EXPERIMENT]", Short: "Run an experiment on fleets in simulated time, and report it",
-		Long: "Plays every combination of an experiment (Jsonnet; without one, an embedded comparison of policies by load), some at\n" +
-			"a time. Results are kept in a store: what is there already, from the same settings and commit, is not played again,\n" +
-			"so a run that was stopped goes on. Prints a table, and with --out writes a page with plots.",
+	c := &cobra.Command{Use: "lab [EXPERIMENT]", Short: "Run an experiment on fleets in simulated time and report its results",
+		Long: "Runs every combination of an experiment (Jsonnet; without one, an embedded comparison of policies by load), several at\n" +
+			"a time. Results are stored, and a combination that has one for the same settings and commit is not run again, so an\n" +
+			"interrupted experiment resumes. Prints a table; with --out, also writes a page with plots.",
 		Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			name, text := "", []byte(nil)
 			if len(args) > 0 {
 				var err error
 				if name = args[0]; name == "" {
-					return fmt.Errorf("the experiment has no name")
+					return fmt.Errorf("the name of the experiment's file is empty")
 				}
 				if text, err = os.ReadFile(name); err != nil {
 					return err
 				}
 			}
-			e, err := lab.Read(name, string(text))
+			experiment, err := lab.Read(name, string(text))
 			if err != nil {
 				return err
 			}
-			s, err := lab.Open(store)
+			store, err := lab.Open(storePath)
 			if err != nil {
 				return err
 			}
-			defer s.Close()
+			defer store.Close()
 			if commit == "" {
 				commit = lab.Commit()
 			}
-			all, err := e.All(cmd.Context(), s, commit, jobs, progress(len(e.Cells())))
+			results, err := experiment.RunAll(cmd.Context(), store, commit, jobs, newProgress(len(experiment.Cells())))
 			if err != nil {
 				return err
 			}
-			if err := lab.WriteTable(cmd.OutOrStdout(), e, e.Summary(all)); err != nil {
+			if err := lab.WriteTable(cmd.OutOrStdout(), experiment, experiment.Summary(results)); err != nil {
 				return err
 			}
-			if out == "" {
+			if outDir == "" {
 				return nil
 			}
-			return e.Report(out, all)
+			return experiment.WriteReportDir(outDir, results)
 		}}
-	c.Flags().StringVar(&store, "store", "lab.db", "file that keeps the results")
-	c.Flags().StringVar(&out, "out", "", "folder for the report; empty: none")
-	c.Flags().IntVar(&jobs, "jobs", runtime.GOMAXPROCS(0), "runs at a time; each takes a core, and memory for its fleet")
-	c.Flags().StringVar(&commit, "commit", "", "what results are kept under; empty: the commit that this program was built from")
+	c.Flags().StringVar(&storePath, "store", "lab.db", "file that results are stored in")
+	c.Flags().StringVar(&outDir, "out", "", "directory for the report; empty: none")
+	c.Flags().IntVar(&jobs, "jobs", runtime.GOMAXPROCS(0), "number of parallel runs; each takes a core, and memory for its fleet")
+	c.Flags().StringVar(&commit, "commit", "", "commit that results are stored under; empty: the one that this program was built from")
 	return c
 }
 
-// progress shows how far an experiment is, on a terminal.
-func progress(cells int) func(r lab.Result, kept bool) {
+// newProgress returns a callback that shows the progress of an experiment; nil if standard error is not a terminal.
+func newProgress(cells int) func(result lab.Result, stored bool) {
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
 		return nil
 	}
 	bar := progressbar.NewOptions(cells, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionShowCount(),
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
-	return func(r lab.Result, _ bool) {
-		bar.Describe(r.Cell.String())
+	return func(result lab.Result, _ bool) {
+		bar.Describe(result.Cell.String())
 		_ = bar.Add(1)
 	}
 }
--- a/experiments/troubles.jsonnet
+++ b/experiments/troubles.jsonnet
@@ -1,5 +1,5 @@
-// How long each kind of trouble is felt, at the plan's 90%: one trouble a run would be cleaner and takes eight times as long,
-// so they strike half a minute and more apart.
+// Time until service recovers from each kind of fault, at 90% of the planned load. One run per fault would separate them
+// better, but takes eight times as long; instead, the faults start at least half a minute apart.
 (import 'users.libsonnet') {
   name: 'troubles', seeds: 2, exchanges: [40], loads: [0.9], length: '330s', warmup: '40s', policies: ['module', 'direct'],
   steps: [
--- a/experiments/users.libsonnet
+++ b/experiments/users.libsonnet
@@ -1,4 +1,4 @@
-// The users' classes as their briefs state them, for experiments.
+// The classes of calls as the users specify them, for import by experiments.
 {
   rate: 9,
   max_wait: '800ms',
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds textbook policies to compare the module with. None of them is part of the product. They keep
-// rules 1, 2, 3 and 5 by doing little: at most one direct and one two-leg attempt, neither after one that may have run.
-// They know nothing of cold exchanges.
+// Package baseline holds textbook routing policies that the product's own one, package logic, is compared with. They are not
+// part of the product. They keep rules 1, 2, 3 and 5 because they try little: at most one direct and one two-leg attempt of
+// a call, neither after an attempt that may have taken effect. They take no account of cold exchanges, which rule 4 protects.
 package baseline
 
 import (
@@ -13,247 +13,267 @@
 	"finchlatch/router"
 )
 
-// Maker makes a policy for one call server, as router.Config.Baseline.
-type Maker func(s logic.Settings, seed int64) (router.Policy, error)
+// Maker creates the policy of one call server. It has the type of router.Config.Baseline.
+type Maker func(settings logic.Settings, seed int64) (router.Policy, error)
 
-// rule is what a textbook has to say.
-type rule struct {
-	limit   int // calls that may wait for an answer; 0: no limit
-	reserve int // circuits that two-leg calls leave free on each leg
-	choose  func(p *policy, dest *office, width int) *office
-	sticky  bool // keep the tandem of a destination while it works
+// variant holds what distinguishes the policies.
+type variant struct {
+	maxOutstanding int                                                   // attempts that may be outstanding; 0: no limit
+	reserved       int                                                   // circuits that two-leg calls leave free on each leg (trunk reservation)
+	chooseTandem   func(policy *policy, dest *office, width int) *office // returns nil if none is usable; nil: no two-leg calls
+	sticky         bool                                                  // keep the tandem of a destination while it is usable and calls over it succeed
 }
 
-// AdmitAll sends every call direct, once.
-func AdmitAll(s logic.Settings, seed int64) (router.Policy, error) {
-	return newPolicy(s, seed, rule{}), nil
+// AdmitAll tries every call once, over its direct route, whatever the load.
+func AdmitAll(settings logic.Settings, seed int64) (router.Policy, error) {
+	return newPolicy(settings, seed, variant{}), nil
 }
 
-// AtMost sends a call direct while fewer than limit wait for an answer.
+// AtMost tries a call over its direct route while fewer than limit attempts are outstanding, and refuses it otherwise.
 func AtMost(limit int) Maker {
-	return func(s logic.Settings, seed int64) (router.Policy, error) {
-		return newPolicy(s, seed, rule{limit: limit}), nil
+	return func(settings logic.Settings, seed int64) (router.Policy, error) {
+		return newPolicy(settings, seed, variant{maxOutstanding: limit}), nil
 	}
 }
 
-// RandomTandem tries a blocked call over one tandem drawn from those with a free circuit on the first leg.
-func RandomTandem(s logic.Settings, seed int64) (router.Policy, error) {
-	return newPolicy(s, seed, rule{choose: (*policy).random}), nil
+// RandomTandem is random alternative routing: a call that is blocked on its direct route is tried over one tandem, drawn at
+// random from those with enough free circuits on the first leg.
+func RandomTandem(settings logic.Settings, seed int64) (router.Policy, error) {
+	return newPolicy(settings, seed, variant{chooseTandem: (*policy).drawTandem}), nil
 }
 
-// Reservation is RandomTandem with trunk reservation: two-leg calls leave r circuits free on each of their groups.
-func Reservation(r int) Maker {
-	return func(s logic.Settings, seed int64) (router.Policy, error) {
-		return newPolicy(s, seed, rule{reserve: r, choose: (*policy).random}), nil
+// TrunkReservation is RandomTandem with trunk reservation: two-leg calls leave so many circuits free on each of their groups.
+func TrunkReservation(reserved int) Maker {
+	return func(settings logic.Settings, seed int64) (router.Policy, error) {
+		return newPolicy(settings, seed, variant{reserved: reserved, chooseTandem: (*policy).drawTandem}), nil
 	}
 }
 
-// LeastLoadedOfTwo looks at two tandems drawn by lot and takes the one with more free circuits on the first leg, with
-// trunk reservation (Mitra and Gibbens 1992; the power of two choices).
-func LeastLoadedOfTwo(r int) Maker {
-	return func(s logic.Settings, seed int64) (router.Policy, error) {
-		return newPolicy(s, seed, rule{reserve: r, choose: (*policy).better}), nil
+// LeastLoadedOfTwo draws two tandems at random and takes the one with more free circuits on the first leg, with trunk
+// reservation (Mitra and Gibbens 1992; the power of two choices).
+func LeastLoadedOfTwo(reserved int) Maker {
+	return func(settings logic.Settings, seed int64) (router.Policy, error) {
+		return newPolicy(settings, seed, variant{reserved: reserved, chooseTandem: (*policy).drawLessLoaded}), nil
 	}
 }
 
-// Sticky is dynamic alternative routing: the tandem of a destination is kept as long as it works, and drawn anew by lot
-// when it fails, with trunk reservation (Gibbens, Kelly and Key 1988).
-func Sticky(r int) Maker {
-	return func(s logic.Settings, seed int64) (router.Policy, error) {
-		return newPolicy(s, seed, rule{reserve: r, choose: (*policy).random, sticky: true}), nil
+// DynamicAlternativeRouting is sticky random routing (Gibbens, Kelly and Key 1988): the tandem of a destination is kept as
+// long as calls over it succeed, and drawn anew at random when one fails, with trunk reservation.
+func DynamicAlternativeRouting(reserved int) Maker {
+	return func(settings logic.Settings, seed int64) (router.Policy, error) {
+		return newPolicy(settings, seed, variant{reserved: reserved, chooseTandem: (*policy).drawTandem, sticky: true}), nil
 	}
 }
 
-// policy carries a rule out.
+const (
+	timerPrefix  = "b" // of timer marks; the call's number follows
+	randomStream = 5   // of the generator that draws tandems
+	noteModulus  = 16  // the kind of a note is its remainder: some processors add a wait in multiples of 16
+)
+
+// policy implements router.Policy for a variant.
 type policy struct {
-	rule
-	host    logic.Host
-	home    int
-	tick    time.Duration
-	rng     *rand.Rand
-	offices map[int]*office // by exchange
-	order   []*office
-	byName  map[string]*office
-	widths  []int
-	calls   map[uint64]*call
-	waiting int
+	variant
+	host         logic.Host
+	homeExchange int
+	tick         time.Duration
+	rng          *rand.Rand
+	offices      map[int]*office // by number of the exchange
+	candidates   []*office       // offices that tandems are drawn from, in the order of their discovery
+	officesByID  map[string]*office
+	classWidths  []int // circuits of a call on each group, by class
+	calls        map[uint64]*call
+	outstanding  int // attempts that have neither been answered nor ended
 }
 
+// office is the process that serves an exchange.
 type office struct {
-	id       string
-	exchange int
-	ready    bool
-	free     int
-	tandem   *office // of a sticky rule
+	id           string
+	exchange     int
+	ready        bool
+	freeCircuits int     // of the group to this office, as last reported
+	tandem       *office // kept for two-leg calls to this office; nil: none
 }
 
+// call is a call that has not ended.
 type call struct {
 	logic.Call
 	width       int
-	due         time.Duration
-	via         *office // the tandem that it went over
-	out, stands bool
-	sent        int
+	deadline    time.Duration
+	tandem      *office // of its two-leg attempt; nil: none was made
+	inProgress  bool    // its attempt has not ended
+	established bool
+	attempts    int // started so far
 }
 
-func newPolicy(s logic.Settings, seed int64, r rule) *policy {
-	p := &policy{rule: r, host: s.Host, home: s.Home, tick: s.Tick, rng: rand.New(rand.NewPCG(uint64(seed), 5)),
-		offices: map[int]*office{}, byName: map[string]*office{}, calls: map[uint64]*call{}}
-	for _, k := range s.Classes {
-		p.widths = append(p.widths, max(1, k.Width))
+// newPolicy creates a policy from settings, a seed and a variant.
+func newPolicy(settings logic.Settings, seed int64, v variant) *policy {
+	p := &policy{variant: v, host: settings.Host, homeExchange: settings.Home, tick: settings.Tick,
+		rng:     rand.New(rand.NewPCG(uint64(seed), randomStream)),
+		offices: map[int]*office{}, officesByID: map[string]*office{}, calls: map[uint64]*call{}}
+	for _, class := range settings.Classes {
+		p.classWidths = append(p.classWidths, max(1, class.Width))
 	}
 	return p
 }
 
-// List takes the exchanges as they are.
-func (p *policy) List(_ time.Duration, _ logic.ListKind, list []logic.Office) {
-	for _, x := range list {
-		o := p.offices[x.Exchange]
-		if o == nil {
-			o = &office{exchange: x.Exchange}
-			p.offices[x.Exchange], p.order = o, append(p.order, o)
+// List updates the offices by service discovery.
+func (p *policy) List(_ time.Duration, _ logic.ListKind, offices []logic.Office) {
+	for _, announced := range offices {
+		known := p.offices[announced.Exchange]
+		if known == nil {
+			known = &office{exchange: announced.Exchange}
+			p.offices[announced.Exchange], p.candidates = known, append(p.candidates, known)
 		}
-		o.id, o.ready = x.ID, x.State == logic.Ready
-		p.byName[x.ID] = o
+		known.id, known.ready = announced.ID, announced.State == logic.Ready
+		p.officesByID[announced.ID] = known
 	}
 }
 
-// Report takes the free circuits of an own group.
-func (p *policy) Report(_ time.Duration, r logic.Report) {
-	if o := p.byName[r.Office]; o != nil && len(r.Load) > 0 {
-		o.free = int(r.Load[0])
+// Report updates the free circuits of the group to an office.
+func (p *policy) Report(_ time.Duration, report logic.Report) {
+	if reporter := p.officesByID[report.Office]; reporter != nil && len(report.Load) > 0 {
+		reporter.freeCircuits = int(report.Load[0])
 	}
 }
 
-// Offered sends a call, or refuses it.
-func (p *policy) Offered(now time.Duration, in logic.Call) {
-	c := &call{Call: in, due: now + in.TimeLeft - 2*p.tick - time.Millisecond}
-	dest := p.offices[in.Dest]
-	if in.Class < 0 || in.Class >= len(p.widths) || dest == nil || !dest.ready || c.due <= now || p.limit > 0 && p.waiting >= p.limit {
-		p.host.Refuse(in.ID, 0)
+// Offered starts the first attempt of a call, or refuses the call.
+func (p *policy) Offered(now time.Duration, offered logic.Call) {
+	c := &call{Call: offered, deadline: now + offered.TimeLeft - 2*p.tick - time.Millisecond}
+	dest := p.offices[offered.Dest]
+	if offered.Class < 0 || offered.Class >= len(p.classWidths) || dest == nil || !dest.ready || c.deadline <= now ||
+		p.maxOutstanding > 0 && p.outstanding >= p.maxOutstanding {
+		p.host.Refuse(offered.ID, 0)
 		return
 	}
-	c.width = max(in.Width, p.widths[in.Class])
-	p.calls[in.ID] = c
-	p.host.Timer(c.due-now, "b"+strconv.FormatUint(in.ID, 10))
+	c.width = max(offered.Width, p.classWidths[offered.Class])
+	p.calls[offered.ID] = c
+	p.host.Timer(c.deadline-now, timerPrefix+strconv.FormatUint(offered.ID, 10))
 	switch {
-	case in.Transit && dest.free < c.width+p.reserve:
+	case offered.Transit && dest.freeCircuits < c.width+p.reserved:
 		p.refuse(c)
-	case in.Transit || p.choose == nil || dest.free >= c.width:
+	case offered.Transit || p.chooseTandem == nil || dest.freeCircuits >= c.width:
 		p.send(now, c, dest)
 	default:
-		p.alternative(now, c)
+		p.tryAlternative(now, c)
 	}
 }
 
-func (p *policy) send(now time.Duration, c *call, o *office) {
-	c.out, c.sent = true, c.sent+1
-	p.waiting++
-	o.free = max(0, o.free-c.width)
-	p.host.Send(c.ID, o.id, c.due-now)
+// send starts an attempt at an office.
+func (p *policy) send(now time.Duration, c *call, target *office) {
+	c.inProgress, c.attempts = true, c.attempts+1
+	p.outstanding++
+	target.freeCircuits = max(0, target.freeCircuits-c.width)
+	p.host.Send(c.ID, target.id, c.deadline-now)
 }
 
+// refuse gives the final answer of a call.
 func (p *policy) refuse(c *call) {
 	delete(p.calls, c.ID)
 	p.host.Refuse(c.ID, 0)
 }
 
-// alternative tries a call over a tandem, once.
-func (p *policy) alternative(now time.Duration, c *call) {
+// tryAlternative tries a call over a tandem, or refuses it where that is not possible or has been tried.
+func (p *policy) tryAlternative(now time.Duration, c *call) {
 	dest := p.offices[c.Dest]
-	if p.choose == nil || c.Transit || c.via != nil || now >= c.due || !dest.ready {
+	if p.chooseTandem == nil || c.Transit || c.tandem != nil || now >= c.deadline || !dest.ready {
 		p.refuse(c)
 		return
 	}
-	t := dest.tandem
-	if !p.sticky || !p.usable(t, dest, c.width) {
-		t = p.choose(p, dest, c.width)
+	tandem := dest.tandem
+	if !p.sticky || !p.usable(tandem, dest, c.width) {
+		tandem = p.chooseTandem(p, dest, c.width)
 	}
-	if t == nil {
+	if tandem == nil {
 		p.refuse(c)
 		return
 	}
 	if p.sticky {
-		dest.tandem = t
+		dest.tandem = tandem
 	}
-	c.via = t
-	p.send(now, c, t)
+	c.tandem = tandem
+	p.send(now, c, tandem)
 }
 
-func (p *policy) usable(t, dest *office, width int) bool {
-	return t != nil && t != dest && t.ready && t.exchange != p.home && t.free >= width+p.reserve
+// usable reports whether a two-leg call to dest may go over tandem, which may be nil.
+func (p *policy) usable(tandem, dest *office, width int) bool {
+	return tandem != nil && tandem != dest && tandem.ready && tandem.exchange != p.homeExchange && tandem.freeCircuits >= width+p.reserved
 }
 
-// looks is how many draws find a usable tandem, or none is taken.
-const looks = 8
+// maxDraws is how many tandems are drawn in search of a usable one; after that the call is refused.
+const maxDraws = 8
 
-func (p *policy) random(dest *office, width int) *office {
-	for range looks {
-		if t := p.order[p.rng.IntN(len(p.order))]; p.usable(t, dest, width) {
-			return t
+// drawTandem draws a usable tandem; nil: none was found.
+func (p *policy) drawTandem(dest *office, width int) *office {
+	for range maxDraws {
+		if tandem := p.candidates[p.rng.IntN(len(p.candidates))]; p.usable(tandem, dest, width) {
+			return tandem
 		}
 	}
 	return nil
 }
 
-func (p *policy) better(dest *office, width int) *office {
-	a, b := p.order[p.rng.IntN(len(p.order))], p.order[p.rng.IntN(len(p.order))]
-	if !p.usable(a, dest, width) || p.usable(b, dest, width) && b.free > a.free {
-		a = b
+// drawLessLoaded draws two tandems and returns the usable one with more free circuits; nil: neither is usable.
+func (p *policy) drawLessLoaded(dest *office, width int) *office {
+	chosen, other := p.candidates[p.rng.IntN(len(p.candidates))], p.candidates[p.rng.IntN(len(p.candidates))]
+	if !p.usable(chosen, dest, width) || p.usable(other, dest, width) && other.freeCircuits > chosen.freeCircuits {
+		chosen = other
 	}
-	if !p.usable(a, dest, width) {
+	if !p.usable(chosen, dest, width) {
 		return nil
 	}
-	return a
+	return chosen
 }
 
-// Stands notes an answer.
-func (p *policy) Stands(_ time.Duration, o logic.Outcome) {
-	if c := p.calls[o.Call]; c != nil && !c.stands {
-		c.stands = true
-		p.waiting--
+// Stands records that a call is established.
+func (p *policy) Stands(_ time.Duration, outcome logic.Outcome) {
+	if c := p.calls[outcome.Call]; c != nil && !c.established {
+		c.established = true
+		p.outstanding--
 	}
 }
 
-// Outcome tries the other way where the attempt never ran, and refuses the rest.
-func (p *policy) Outcome(now time.Duration, o logic.Outcome) {
-	c := p.calls[o.Call]
+// Outcome handles the end of an attempt. A call that is not established is tried over a tandem if the attempt certainly did
+// not take effect, and is refused otherwise.
+func (p *policy) Outcome(now time.Duration, outcome logic.Outcome) {
+	c := p.calls[outcome.Call]
 	if c == nil {
 		return
 	}
-	c.out = false
-	if x := p.byName[o.Office]; x != nil && len(o.Load) > 0 {
-		x.free = int(o.Load[0])
+	c.inProgress = false
+	if reporter := p.officesByID[outcome.Office]; reporter != nil && len(outcome.Load) > 0 {
+		reporter.freeCircuits = int(outcome.Load[0])
 	}
-	if !c.stands {
-		p.waiting--
-		if c.via != nil {
+	if !c.established {
+		p.outstanding--
+		if c.tandem != nil {
 			p.offices[c.Dest].tandem = nil
 		}
 	}
-	never := o.Status == logic.Full && o.Note%16 != logic.NoteProcessor || o.Status == logic.NotSent && o.Note == logic.NoteCircuit
+	blocked := outcome.Status == logic.Full && outcome.Note%noteModulus != logic.NoteProcessor || outcome.Status == logic.NotSent && outcome.Note == logic.NoteCircuit
 	switch {
-	case o.Over || c.stands:
-		delete(p.calls, o.Call)
-	case never:
-		p.alternative(now, c)
+	case outcome.Over || c.established:
+		delete(p.calls, outcome.Call)
+	case blocked:
+		p.tryAlternative(now, c)
 	default:
 		p.refuse(c)
 	}
 }
 
-// HungUp calls an attempt off.
-func (p *policy) HungUp(_ time.Duration, id uint64) { p.end(id) }
+// HungUp cancels the attempt of a caller who hung up.
+func (p *policy) HungUp(_ time.Duration, id uint64) { p.cancelUnanswered(id) }
 
-// Timer ends a call that has no answer in time.
+// Timer cancels the attempt of a call whose deadline has passed.
 func (p *policy) Timer(_ time.Duration, mark string) {
-	if id, err := strconv.ParseUint(strings.TrimPrefix(mark, "b"), 10, 64); err == nil {
-		p.end(id)
+	if id, err := strconv.ParseUint(strings.TrimPrefix(mark, timerPrefix), 10, 64); err == nil {
+		p.cancelUnanswered(id)
 	}
 }
 
-func (p *policy) end(id uint64) {
-	if c := p.calls[id]; c != nil && !c.stands && c.out {
-		p.host.Cancel(id, c.sent-1)
+// cancelUnanswered cancels the attempt of a call that is not established.
+func (p *policy) cancelUnanswered(id uint64) {
+	if c := p.calls[id]; c != nil && !c.established && c.inProgress {
+		p.host.Cancel(id, c.attempts-1)
 	}
 }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -1,6 +1,7 @@
-// Package lab runs experiments on fleets in simulated time: parameters swept, seeds, policies and sizes as a file says,
-// in parallel, each result kept as soon as it is there. It sums them up with confidence intervals and paired differences
-// on common random numbers, and makes reports with plots. Runs are package model's, bounds are package bound's.
+// Package lab runs experiments on fleets in simulated time. A file gives fleet sizes, loads, policies and seeds; every
+// combination is run, several at a time, and each result is stored as soon as it is known. The package summarises results
+// with confidence intervals and with paired differences on common random numbers, and writes reports with plots. Package
+// model simulates the fleets, package bound computes the upper bounds.
 package lab
 
 import (
@@ -20,109 +21,115 @@
 	"finchlatch/model"
 )
 
-// Experiment is what a file declares. Every list is swept: one run for each combination and seed.
+// Experiment is the content of an experiment file. Exchanges, Loads and Policies are swept: each combination of them is run
+// once per seed.
 type Experiment struct {
 	Name      string
-	Length    time.Duration // callers begin within it
-	Warmup    time.Duration // callers who begin before its end are not counted
-	Seeds     int           // runs of each combination, with seeds from First on
+	Length    time.Duration // callers make their first set-ups within it
+	Warmup    time.Duration // callers whose first set-up comes earlier are not counted
+	Seeds     int           // runs of each combination, with the seeds First, First+1 and so on
 	First     uint64
 	Exchanges []int
-	Loads     []float64 // rate as a part of the plan's
-	Policies  []string  // names that Policies lists
-	Rate      float64   // planned first tries a second of one exchange
+	Loads     []float64 // offered rates, as multiples of Rate
+	Policies  []string  // names as in the function Policies
+	Rate      float64   // planned set-ups per second of one exchange, without redials
 	Regions   int
-	Group     int // circuits between two exchanges; 0: for the plan
-	MaxWait   time.Duration
-	Classes   []plant.Class // empty: the default ones
+	Group     int           // circuits between two exchanges; 0: sized for Rate
+	MaxWait   time.Duration // a set-up that waits longer for a processor is refused; 0: none is
+	Classes   []plant.Class // empty: the default classes
 	Habits    plant.Habits
 	Traffic   model.Traffic
-	Steps     []plant.Step // troubles
-	Rules     bool         // judge the rules too: it takes memory for every message
+	Steps     []plant.Step // fault schedule
+	Rules     bool         // also check the five rules; this keeps every message in memory
 }
 
+// defaultExperiment is run where no file is named.
+//
 //go:embed overload.jsonnet
-var overload string
+var defaultExperiment string
 
-// Read reads an experiment from Jsonnet; an empty name stands for the embedded one.
+// Read parses an experiment in Jsonnet. name is the file's name in errors; an empty one selects the embedded experiment.
 func Read(name, text string) (Experiment, error) {
 	if name == "" {
-		name, text = "overload.jsonnet", overload
+		name, text = "overload.jsonnet", defaultExperiment
 	}
-	e := Experiment{Habits: plant.DefaultHabits(), Classes: nil, First: 1, Regions: 2}
-	if err := plant.Read(name, text, &e); err != nil {
-		return e, err
+	experiment := Experiment{Habits: plant.DefaultHabits(), Classes: nil, First: 1, Regions: 2}
+	if err := plant.Read(name, text, &experiment); err != nil {
+		return experiment, err
 	}
-	if len(e.Classes) == 0 {
-		e.Classes = plant.DefaultClasses()
+	if len(experiment.Classes) == 0 {
+		experiment.Classes = plant.DefaultClasses()
 	}
-	return e, e.check(name)
+	return experiment, experiment.validate(name)
 }
 
-func (e Experiment) check(name string) error {
-	fault := func(field, format string, args ...any) error {
-		return fmt.Errorf("%s: %s: %s", name, field, fmt.Sprintf(format, args...))
+// validate returns an error that names the first invalid field, prefixed with the name of the file.
+func (e Experiment) validate(file string) error {
+	invalid := func(field, format string, args ...any) error {
+		return fmt.Errorf("%s: %s: %s", file, field, fmt.Sprintf(format, args...))
 	}
 	switch {
 	case e.Name == "":
-		return fault("name", "is missing")
+		return invalid("name", "is missing")
 	case e.Length <= 0 || e.Length > 25*time.Hour:
-		return fault("length", "%v is not more than 0 and at most 25h", e.Length)
+		return invalid("length", "%v must be more than 0 and at most 25h", e.Length)
 	case e.Warmup < 0 || e.Warmup >= e.Length:
-		return fault("warmup", "%v is not 0 to the length", e.Warmup)
+		return invalid("warmup", "%v must be at least 0 and less than the length", e.Warmup)
 	case e.Seeds < 1 || e.Seeds > 10000:
-		return fault("seeds", "%d is not 1 to 10000", e.Seeds)
+		return invalid("seeds", "%d must be 1 to 10000", e.Seeds)
 	case len(e.Exchanges) == 0 || len(e.Loads) == 0 || len(e.Policies) == 0:
-		return fault("exchanges, loads, policies", "each needs an entry")
+		return invalid("exchanges, loads, policies", "each needs at least one entry")
 	case !(e.Rate > 0) || math.IsInf(e.Rate, 0):
-		return fault("rate", "%v is not more than 0", e.Rate)
+		return invalid("rate", "%v must be more than 0", e.Rate)
 	case e.Regions < 1:
-		return fault("regions", "%d is not 1 or more", e.Regions)
+		return invalid("regions", "%d must be at least 1", e.Regions)
 	case e.Group < 0 || e.Group > 3900:
-		return fault("group", "%d is not 0 to 3900", e.Group)
+		return invalid("group", "%d must be 0 to 3900", e.Group)
 	}
-	for i, n := range e.Exchanges {
-		if n < 3 || n > 4000 || n < e.Regions {
-			return fault(fmt.Sprintf("exchanges[%d]", i), "%d is not 3 to 4000, and the regions or more", n)
+	for i, exchanges := range e.Exchanges {
+		if exchanges < 3 || exchanges > 4000 || exchanges < e.Regions {
+			return invalid(fmt.Sprintf("exchanges[%d]", i), "%d must be 3 to 4000 and at least the number of regions", exchanges)
 		}
 	}
-	for i, l := range e.Loads {
-		if !(l > 0 && l <= 100) {
-			return fault(fmt.Sprintf("loads[%d]", i), "%v is not more than 0 and at most 100", l)
+	for i, load := range e.Loads {
+		if !(load > 0 && load <= 100) {
+			return invalid(fmt.Sprintf("loads[%d]", i), "%v must be more than 0 and at most 100", load)
 		}
 	}
-	for i, p := range e.Policies {
-		if _, err := maker(p); err != nil {
-			return fault(fmt.Sprintf("policies[%d]", i), "%v", err)
+	for i, policy := range e.Policies {
+		if _, err := policyMaker(policy); err != nil {
+			return invalid(fmt.Sprintf("policies[%d]", i), "%v", err)
 		}
 	}
-	share := 0.0
-	for i, c := range e.Classes {
-		if !(c.Share > 0) || c.Width < 1 || c.Width > 30 || c.Hold <= 0 || c.Patience <= 0 || !(c.Worth >= 0) {
-			return fault(fmt.Sprintf("classes[%d]", i), "share, width, hold, patience or worth makes no sense: %+v", c)
+	totalShare := 0.0
+	for i, class := range e.Classes {
+		if !(class.Share > 0) || class.Width < 1 || class.Width > 30 || class.Hold <= 0 || class.Patience <= 0 || !(class.Worth >= 0) {
+			return invalid(fmt.Sprintf("classes[%d]", i), "share, width, hold, patience or worth is out of range: %+v", class)
 		}
-		share += c.Share
+		totalShare += class.Share
 	}
-	if math.Abs(share-1) > 0.001 {
-		return fault("classes", "their shares sum up to %v", share)
+	if math.Abs(totalShare-1) > 0.001 {
+		return invalid("classes", "the shares sum up to %v, not to 1", totalShare)
 	}
-	return e.script().Check(name)
+	return e.script().Check(file)
 }
 
+// script returns the fault schedule of a run.
 func (e Experiment) script() plant.Script {
 	return plant.Script{Len: config.Span(e.Length), Steps: e.Steps}
 }
 
-// Module is the name of the product's own policy.
+// Module is the policy name of the product's decision module, package logic.
 const Module = "module"
 
-// Policies lists the names of policies. Where one ends in a number, any whole number may stand there.
+// Policies lists the policy names. A number at the end of a name is a parameter: any whole number from 0 to 3999 may take
+// its place.
 func Policies() []string {
 	return []string{Module, "direct", "at-most-8", "random", "reservation-1", "two-choices-1", "sticky-1"}
 }
 
-// maker finds a policy by its name; nil is the module.
-func maker(name string) (baseline.Maker, error) {
+// policyMaker returns the constructor of the baseline policy of that name; nil stands for the module.
+func policyMaker(name string) (baseline.Maker, error) {
 	switch name {
 	case Module:
 		return nil, nil
@@ -131,24 +138,24 @@
 	case "random":
 		return baseline.RandomTandem, nil
 	}
-	if at := strings.LastIndexByte(name, '-'); at > 0 {
-		if n, err := strconv.Atoi(name[at+1:]); err == nil && n >= 0 && n < 4000 {
-			switch name[:at] {
+	if hyphen := strings.LastIndexByte(name, '-'); hyphen > 0 {
+		if parameter, err := strconv.Atoi(name[hyphen+1:]); err == nil && parameter >= 0 && parameter < 4000 {
+			switch name[:hyphen] {
 			case "at-most":
-				return baseline.AtMost(n), nil
+				return baseline.AtMost(parameter), nil
 			case "reservation":
-				return baseline.Reservation(n), nil
+				return baseline.TrunkReservation(parameter), nil
 			case "two-choices":
-				return baseline.LeastLoadedOfTwo(n), nil
+				return baseline.LeastLoadedOfTwo(parameter), nil
 			case "sticky":
-				return baseline.Sticky(n), nil
+				return baseline.DynamicAlternativeRouting(parameter), nil
 			}
 		}
 	}
-	return nil, fmt.Errorf("%q is none of %s", name, strings.Join(Policies(), ", "))
+	return nil, fmt.Errorf("unknown policy %q, want one of %s", name, strings.Join(Policies(), ", "))
 }
 
-// Cell is one run of an experiment.
+// Cell identifies one run of an experiment.
 type Cell struct {
 	Exchanges int
 	Load      float64
@@ -156,38 +163,38 @@
 	Seed      uint64
 }
 
-// String names a cell.
+// String describes the cell for messages.
 func (c Cell) String() string {
 	return fmt.Sprintf("%d exchanges, load %.2f, %s, seed %d", c.Exchanges, c.Load, c.Policy, c.Seed)
 }
 
-// Cells are all runs of an experiment, the large ones first, so that the last to end are short.
-func (e Experiment) Cells() (out []Cell) {
-	for _, n := range e.Exchanges {
-		for _, l := range e.Loads {
-			for _, p := range e.Policies {
-				for s := range e.Seeds {
-					out = append(out, Cell{n, l, p, e.First + uint64(s)})
+// Cells returns all runs of the experiment, those of large fleets first, so that the last runs to end are short.
+func (e Experiment) Cells() (cells []Cell) {
+	for _, exchanges := range e.Exchanges {
+		for _, load := range e.Loads {
+			for _, policy := range e.Policies {
+				for offset := range e.Seeds {
+					cells = append(cells, Cell{exchanges, load, policy, e.First + uint64(offset)})
 				}
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Cell) int { return b.Exchanges - a.Exchanges })
-	return out
+	slices.SortStableFunc(cells, func(a, b Cell) int { return b.Exchanges - a.Exchanges })
+	return cells
 }
 
-// key is the same for runs that give the same result: of the same settings, cell and program. Sweeps may grow without
-// losing what is there.
-func (e Experiment) key(c Cell, commit string) []byte {
+// key is the key of a result in the store. Runs with the same settings, cell and program give the same result and have the
+// same key. What is swept is left out, so that results stay valid when a sweep is extended.
+func (e Experiment) key(cell Cell, commit string) []byte {
 	e.Name, e.Seeds, e.First, e.Exchanges, e.Loads, e.Policies = "", 0, 0, nil, nil, nil
-	text, err := json.Marshal(struct {
+	encoded, err := json.Marshal(struct {
 		Experiment Experiment
 		Cell       Cell
 		Commit     string
-	}{e, c, commit})
+	}{e, cell, commit})
 	if err != nil {
-		panic(err) // numbers and strings only
+		panic(err) // cannot happen: the fields hold only numbers and strings
 	}
-	sum := sha256.Sum256(text)
-	return sum[:]
+	digest := sha256.Sum256(encoded)
+	return digest[:]
 }
--- a/lab/overload.jsonnet
+++ b/lab/overload.jsonnet
@@ -1,5 +1,5 @@
-// The experiment that finchlatch lab runs when it is given none: which policy carries how much worth below, at and above
-// the plan. Callers do not dial again, so that the bound for decisions at once holds too.
+// The default experiment of finchlatch lab: how much worth each policy carries below, at and above the planned load. Callers
+// do not redial, so that the upper bound for policies that decide on each call on arrival applies too.
 {
   name: 'overload',
   length: '30s',
--- a/lab/report.go
+++ b/lab/report.go
@@ -14,6 +14,8 @@
 	"time"
 )
 
+// reportText is the template of a report's page.
+//
 //go:embed report.html
 var reportText string
 
@@ -22,13 +24,13 @@
 		return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(b))
 	},
 	"ms":   func(d time.Duration) string { return d.Round(time.Millisecond).String() },
-	"dash": dash,
+	"dash": formatOrDash,
 }).Parse(reportText))
 
-// WriteReport writes one HTML page that holds all of its plots.
+// WriteReport writes the report as one HTML page with the plots embedded in it.
 func (e Experiment) WriteReport(w io.Writer, rows []Row, plots []Plot, commits []string) error {
-	var b bytes.Buffer
-	err := reportTemplate.Execute(&b, struct {
+	var page bytes.Buffer
+	err := reportTemplate.Execute(&page, struct {
 		Experiment
 		Rows    []Row
 		Plots   []Plot
@@ -38,38 +40,38 @@
 	if err != nil {
 		return fmt.Errorf("lab: report: %w", err)
 	}
-	_, err = w.Write(b.Bytes())
+	_, err = w.Write(page.Bytes())
 	return err
 }
 
-// Report writes the page and its plots into a folder.
-func (e Experiment) Report(dir string, all []Result) error {
-	rows := e.Summary(all)
-	plots, err := e.Plots(rows, all)
+// WriteReportDir writes the page, as index.html, and each plot, as a PNG file, into the directory dir.
+func (e Experiment) WriteReportDir(dir string, results []Result) error {
+	rows := e.Summary(results)
+	plots, err := e.Plots(rows, results)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("lab: report: %w", err)
 	}
-	for _, p := range plots {
-		if err := os.WriteFile(filepath.Join(dir, p.Name+".png"), p.PNG, 0o644); err != nil {
+	for _, plot := range plots {
+		if err := os.WriteFile(filepath.Join(dir, plot.Name+".png"), plot.PNG, 0o644); err != nil {
 			return fmt.Errorf("lab: report: %w", err)
 		}
 	}
 	var commits []string
-	for _, r := range all {
-		if r.Commit != "" && !slices.Contains(commits, r.Commit) {
-			commits = append(commits, r.Commit)
+	for _, result := range results {
+		if result.Commit != "" && !slices.Contains(commits, result.Commit) {
+			commits = append(commits, result.Commit)
 		}
 	}
-	f, err := os.Create(filepath.Join(dir, "index.html"))
+	file, err := os.Create(filepath.Join(dir, "index.html"))
 	if err != nil {
 		return fmt.Errorf("lab: report: %w", err)
 	}
-	if err := e.WriteReport(f, rows, plots, commits); err != nil {
-		f.Close()
+	if err := e.WriteReport(file, rows, plots, commits); err != nil {
+		file.Close()
 		return err
 	}
-	return f.Close()
+	return file.Close()
 }
--- a/lab/run.go
+++ b/lab/run.go
@@ -18,262 +18,274 @@
 	"finchlatch/router"
 )
 
-// Result is what one run showed. Service and bounds are parts of the worth that was offered by the callers who count.
+// Result holds what one run showed. Service and the bounds are fractions of the worth that was offered by the counted
+// callers, those who made their first set-up after the warm-up.
 type Result struct {
 	Cell
-	Commit     string
-	Callers    int
-	Service    float64
-	ByClass    []float64
-	Stood      float64 // part of the callers who stood, in time or late, and were not cut
-	Late       float64
-	Tries      float64 // of a caller
-	Sends      float64 // attempts of all call servers together, for each try
-	P50, P99   time.Duration
-	Fluid      float64   // upper bound: a linear programme over the groups; 0 where troubles change them
-	AtOnce     float64   // upper bound for policies that decide at once, without redials; 0 where it does not hold
-	Windows    []float64 // service of those who began in each second
-	Recovery   []time.Duration
-	Breaches   int
-	FirstError string `json:",omitempty"`
-	Events     uint64
-	Wall       time.Duration // of playing, without making the fleet
+	Commit     string          // program that gave the result
+	Callers    int             // counted callers
+	Service    float64         // worth earned, as a fraction of that offered
+	ByClass    []float64       // service of each class
+	Stood      float64         // fraction of the callers whose call was established, in time or late, and not dropped
+	Late       float64         // fraction of the callers whose call was established later than its aim, and not dropped
+	Tries      float64         // mean set-ups of a caller, redials included
+	Sends      float64         // attempts of all call servers together, per set-up
+	P50, P99   time.Duration   // set-up times
+	Fluid      float64         // upper bound: a linear programme over the groups; 0 where groups or traffic change during the run
+	AtOnce     float64         // upper bound for policies that decide on each call on arrival, without redials; 0 where it does not apply
+	Windows    []float64       // service of the callers who made their first set-up in each second
+	Recovery   []time.Duration // from the end of each fault until service has recovered; negative: it has not
+	Breaches   int             // rule violations, where Experiment.Rules asks for the check
+	FirstError string          `json:",omitempty"` // the first violation
+	Events     uint64          // simulated events
+	Wall       time.Duration   // wall-clock time of the simulation, without building the fleet
 }
 
-// tail is how long calls and releases have to end after the last caller began.
-const tail = 60 * time.Second
+// quietPeriod is simulated after the last first set-up, so that calls and releases can end.
+const quietPeriod = 60 * time.Second
 
-// Run plays one cell.
-func (e Experiment) Run(c Cell) (Result, error) {
-	r := Result{Cell: c}
-	sum := newSums(e)
+// Run simulates one cell.
+func (e Experiment) Run(cell Cell) (Result, error) {
+	result := Result{Cell: cell}
+	totals := newAccumulator(e)
 	var records []rulecheck.Record
 	sends := 0
-	set := model.Settings{Exchanges: c.Exchanges, Regions: e.Regions, Planned: e.Rate * float64(c.Exchanges), Group: e.Group,
-		Rate: e.Rate * float64(c.Exchanges) * c.Load, Seed: c.Seed, Classes: e.Classes, Habits: e.Habits, Traffic: e.Traffic,
-		MaxWait: e.MaxWait, Done: sum.add}
-	textbook, err := maker(c.Policy)
+	settings := model.Settings{Exchanges: cell.Exchanges, Regions: e.Regions, Planned: e.Rate * float64(cell.Exchanges), Group: e.Group,
+		Rate: e.Rate * float64(cell.Exchanges) * cell.Load, Seed: cell.Seed, Classes: e.Classes, Habits: e.Habits, Traffic: e.Traffic,
+		MaxWait: e.MaxWait, Done: totals.add}
+	makeBaseline, err := policyMaker(cell.Policy)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	set.Baseline = func(s logic.Settings, seed int64) (router.Policy, error) {
-		s.Host = counting{s.Host, &sends}
-		if textbook != nil {
-			return textbook(s, seed)
+	settings.Baseline = func(policySettings logic.Settings, seed int64) (router.Policy, error) {
+		policySettings.Host = countingHost{policySettings.Host, &sends}
+		if makeBaseline != nil {
+			return makeBaseline(policySettings, seed)
 		}
-		return logic.New(s, seed)
+		return logic.New(policySettings, seed)
 	}
 	if e.Rules {
-		set.Records = func(x rulecheck.Record) { records = append(records, x) }
+		settings.Records = func(record rulecheck.Record) { records = append(records, record) }
 	}
-	f, err := model.New(set)
+	fleet, err := model.New(settings)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	sum.began = f.Now()
-	before, began := f.Events(), time.Now()
-	if err := f.Play(e.script(), tail); err != nil {
-		return r, err
+	totals.startedAt = fleet.Now()
+	eventsBefore, startedAt := fleet.Events(), time.Now()
+	if err := fleet.Play(e.script(), quietPeriod); err != nil {
+		return result, err
 	}
-	r.Wall, r.Events = time.Since(began), f.Events()-before
+	result.Wall, result.Events = time.Since(startedAt), fleet.Events()-eventsBefore
 	if e.Rules {
-		v := rulecheck.Check(f.Figures, records, f.Now())
-		if r.Breaches = len(v.Breaches); r.Breaches > 0 {
-			r.FirstError = v.Breaches[0].String()
+		verdict := rulecheck.Check(fleet.Figures, records, fleet.Now())
+		if result.Breaches = len(verdict.Breaches); result.Breaches > 0 {
+			result.FirstError = verdict.Breaches[0].String()
 		}
 	}
-	sum.into(&r, sends)
-	return r, e.bounds(f, c, &r)
+	totals.fill(&result, sends)
+	return result, e.addBounds(fleet, cell, &result)
 }
 
-// counting counts the attempts of all Routers of one fleet.
-type counting struct {
+// countingHost counts the attempts that the call servers of one fleet start.
+type countingHost struct {
 	logic.Host
-	sends *int
+	attempts *int
 }
 
-func (h counting) Send(call uint64, office string, timeout time.Duration) {
-	*h.sends++
+// Send counts an attempt and starts it.
+func (h countingHost) Send(call uint64, office string, timeout time.Duration) {
+	*h.attempts++
 	h.Host.Send(call, office, timeout)
 }
 
-// sums adds callers up as they are done.
-type sums struct {
-	e               Experiment
-	began           time.Duration
-	earned, offered []float64 // by class, of those who count
-	windows         [][2]float64
-	callers, stood  int
-	late, tries     int
-	all             int // tries of all callers
-	setUp           *hdrhistogram.Histogram
+// accumulator adds up the outcomes of callers as they come.
+type accumulator struct {
+	experiment      Experiment
+	startedAt       time.Duration           // simulated time at which callers start
+	earned, offered []float64               // worth by class, of the counted callers
+	windows         [][2]float64            // worth earned and offered by all callers, by second of the first set-up
+	callers         int                     // counted callers
+	established     int                     // of these, whose call was established and not dropped
+	late            int                     // of these, whose call was established later than its aim
+	tries           int                     // set-ups of the counted callers
+	allTries        int                     // set-ups of all callers, those of the warm-up included
+	setUpTimes      *hdrhistogram.Histogram // of the counted callers, in microseconds
 }
 
-func newSums(e Experiment) *sums {
-	return &sums{e: e, earned: make([]float64, len(e.Classes)), offered: make([]float64, len(e.Classes)),
-		windows: make([][2]float64, int(math.Ceil(e.Length.Seconds()))), setUp: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
+// newAccumulator returns an empty accumulator for the classes, windows and faults of an experiment.
+func newAccumulator(experiment Experiment) *accumulator {
+	return &accumulator{experiment: experiment, earned: make([]float64, len(experiment.Classes)), offered: make([]float64, len(experiment.Classes)),
+		windows: make([][2]float64, int(math.Ceil(experiment.Length.Seconds()))), setUpTimes: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 }
 
-func (s *sums) add(o plant.Outcome) {
-	s.all += o.Tries
-	class := s.e.Classes[o.Class]
-	earned, offered := o.Worth(class)
-	since := o.Began - s.began
-	if w := int(since / time.Second); w >= 0 && w < len(s.windows) {
-		s.windows[w][0] += earned
-		s.windows[w][1] += offered
+// add takes the outcome of one caller.
+func (a *accumulator) add(outcome plant.Outcome) {
+	a.allTries += outcome.Tries
+	class := a.experiment.Classes[outcome.Class]
+	earned, offered := outcome.Worth(class)
+	sinceStart := outcome.Began - a.startedAt
+	if window := int(sinceStart / time.Second); window >= 0 && window < len(a.windows) {
+		a.windows[window][0] += earned
+		a.windows[window][1] += offered
 	}
-	if since < s.e.Warmup {
+	if sinceStart < a.experiment.Warmup {
 		return
 	}
-	s.earned[o.Class] += earned
-	s.offered[o.Class] += offered
-	s.callers++
-	s.tries += o.Tries
-	if o.Stood && !o.Cut {
-		s.stood++
-		if o.SetUp > class.Aim {
-			s.late++
+	a.earned[outcome.Class] += earned
+	a.offered[outcome.Class] += offered
+	a.callers++
+	a.tries += outcome.Tries
+	if outcome.Stood && !outcome.Cut {
+		a.established++
+		if outcome.SetUp > class.Aim {
+			a.late++
 		}
 	}
-	if o.Stood {
-		_ = s.setUp.RecordValue(o.SetUp.Microseconds()) // under an hour: callers give up long before
+	if outcome.Stood {
+		_ = a.setUpTimes.RecordValue(outcome.SetUp.Microseconds()) // never out of range: callers give up long before the histogram's hour
 	}
 }
 
-func (s *sums) into(r *Result, sends int) {
-	part := func(a, b float64) float64 {
-		if b == 0 {
+// fill sets the fields of result that follow from the callers and from the number of attempts sent.
+func (a *accumulator) fill(result *Result, sends int) {
+	ratio := func(part, whole float64) float64 {
+		if whole == 0 {
 			return 0
 		}
-		return a / b
+		return part / whole
 	}
 	earned, offered := 0.0, 0.0
-	for c := range s.earned {
-		earned, offered = earned+s.earned[c], offered+s.offered[c]
-		r.ByClass = append(r.ByClass, part(s.earned[c], s.offered[c]))
+	for class := range a.earned {
+		earned, offered = earned+a.earned[class], offered+a.offered[class]
+		result.ByClass = append(result.ByClass, ratio(a.earned[class], a.offered[class]))
 	}
-	r.Callers, r.Service = s.callers, part(earned, offered)
-	r.Stood, r.Late = part(float64(s.stood), float64(s.callers)), part(float64(s.late), float64(s.callers))
-	r.Tries, r.Sends = part(float64(s.tries), float64(s.callers)), part(float64(sends), float64(s.all))
-	r.P50 = time.Duration(s.setUp.ValueAtQuantile(50)) * time.Microsecond
-	r.P99 = time.Duration(s.setUp.ValueAtQuantile(99)) * time.Microsecond
-	for _, w := range s.windows {
-		r.Windows = append(r.Windows, part(w[0], w[1]))
+	result.Callers, result.Service = a.callers, ratio(earned, offered)
+	result.Stood, result.Late = ratio(float64(a.established), float64(a.callers)), ratio(float64(a.late), float64(a.callers))
+	result.Tries, result.Sends = ratio(float64(a.tries), float64(a.callers)), ratio(float64(sends), float64(a.allTries))
+	result.P50 = time.Duration(a.setUpTimes.ValueAtQuantile(50)) * time.Microsecond
+	result.P99 = time.Duration(a.setUpTimes.ValueAtQuantile(99)) * time.Microsecond
+	for _, window := range a.windows {
+		result.Windows = append(result.Windows, ratio(window[0], window[1]))
 	}
-	for _, step := range s.e.Steps {
-		r.Recovery = append(r.Recovery, recovery(r.Windows, s.e.Warmup, time.Duration(step.At), time.Duration(step.At+step.Len)))
+	for _, step := range a.experiment.Steps {
+		result.Recovery = append(result.Recovery, recovery(result.Windows, a.experiment.Warmup, time.Duration(step.At), time.Duration(step.At+step.Len)))
 	}
 }
 
-// Recovered is when service is back: at this part of what it was before the first trouble, for calmWindows seconds.
+// Service has recovered from a fault when it stays, for recoveredWindows seconds, at RecoveredShare or more of its mean from
+// the end of the warm-up to the start of the fault.
 const (
-	Recovered   = 0.95
-	calmWindows = 3
+	RecoveredShare   = 0.95
+	recoveredWindows = 3
 )
 
-// recovery is how long after its end a trouble was felt; negative: to the end of the run.
-func recovery(windows []float64, from, strikes, ends time.Duration) time.Duration {
-	first, last, after := int(from/time.Second), int(strikes/time.Second), int(math.Ceil(ends.Seconds()))
-	usual := 0.0
-	for w := first; w < last; w++ {
-		usual += windows[w] / float64(last-first)
+// recovery returns the time from the end of a fault until service recovered; negative: it did not until the end of the run.
+func recovery(windows []float64, warmup, faultStart, faultEnd time.Duration) time.Duration {
+	first, last, after := int(warmup/time.Second), int(faultStart/time.Second), int(math.Ceil(faultEnd.Seconds()))
+	meanBefore := 0.0
+	for window := first; window < last; window++ {
+		meanBefore += windows[window] / float64(last-first)
 	}
-	calm := 0
-	for w := after; w < len(windows); w++ {
-		if calm++; windows[w] < Recovered*usual {
-			calm = 0
+	inRow := 0
+	for window := after; window < len(windows); window++ {
+		if inRow++; windows[window] < RecoveredShare*meanBefore {
+			inRow = 0
 		}
-		if calm == calmWindows {
-			return time.Duration(w-calmWindows+1-after) * time.Second
+		if inRow == recoveredWindows {
+			return time.Duration(window-recoveredWindows+1-after) * time.Second
 		}
 	}
 	return -1
 }
 
-// rounds of the dual: for even traffic the first prices are the best ones.
-const rounds = 400
+// dualRounds is the number of subgradient steps of the fluid bound. With even traffic the initial prices are the best.
+const dualRounds = 400
 
-// bounds finds what could have been carried at best.
-func (e Experiment) bounds(f *model.Fleet, c Cell, r *Result) error {
+// maxDualExchanges limits the dual's rounds to one in larger fleets: a round's time grows with the third power of their size.
+const maxDualExchanges = 300
+
+// addBounds computes the upper bounds that apply to the run and sets them in result.
+func (e Experiment) addBounds(fleet *model.Fleet, cell Cell, result *Result) error {
 	if len(e.Steps) > 0 || len(e.Traffic.Profile) > 0 || e.Traffic.Shift > 0 {
-		return nil // groups or traffic change in the course of the run
+		return nil // groups or traffic change during the run
 	}
-	n, size := bound.Network{}, c.Exchanges
-	row := func(of func(to int) float64) []float64 {
-		out := make([]float64, size)
-		for to := range out {
-			out[to] = of(to)
+	network, size := bound.Network{}, cell.Exchanges
+	row := func(value func(to int) float64) []float64 {
+		values := make([]float64, size)
+		for to := range values {
+			values[to] = value(to)
 		}
-		return out
+		return values
 	}
-	for a := range size {
-		n.Circuits = append(n.Circuits, row(func(b int) float64 {
-			if a == b {
+	for from := range size {
+		network.Circuits = append(network.Circuits, row(func(to int) float64 {
+			if from == to {
 				return 0
 			}
-			return float64(f.Group())
+			return float64(fleet.Group())
 		}))
 	}
-	for _, k := range e.Classes {
-		n.Classes = append(n.Classes, bound.Class{Worth: k.Worth, Width: float64(k.Width), Hold: k.Hold.Seconds()})
+	for _, class := range e.Classes {
+		network.Classes = append(network.Classes, bound.Class{Worth: class.Worth, Width: float64(class.Width), Hold: class.Hold.Seconds()})
 		var rates [][]float64
-		for a := range size {
-			rates = append(rates, row(func(b int) float64 { return e.Rate * c.Load * k.Share * f.Part(a, b) }))
+		for from := range size {
+			rates = append(rates, row(func(to int) float64 { return e.Rate * cell.Load * class.Share * fleet.Part(from, to) }))
 		}
-		n.Rate = append(n.Rate, rates)
+		network.Rate = append(network.Rate, rates)
 	}
-	times, offered := rounds, n.Offered()
-	if e.Traffic.Spread <= 0 || size > 300 {
-		times = 1
+	rounds, offered := dualRounds, network.Offered()
+	if e.Traffic.Spread <= 0 || size > maxDualExchanges {
+		rounds = 1
 	}
-	fluid, err := n.Fluid(times)
+	fluid, err := network.Fluid(rounds)
 	if err != nil {
 		return err
 	}
-	r.Fluid = fluid / offered
-	if e.Traffic.Spread <= 0 && e.Habits.Redials == 0 && f.Group() <= mostAtOnce {
-		r.AtOnce = e.atOnce(f.Group(), n.Classes, c) * float64(size*(size-1)/2) / offered
+	result.Fluid = fluid / offered
+	if e.Traffic.Spread <= 0 && e.Habits.Redials == 0 && fleet.Group() <= maxAtOnceCircuits {
+		result.AtOnce = e.atOnceBound(fleet.Group(), network.Classes, cell) * float64(size*(size-1)/2) / offered
 	}
 	return nil
 }
 
-// nudges are how much more traffic the bound may be asked about: the simplex method fails on some degenerate programmes
-// and not on their neighbours, and more traffic has a higher bound.
-var nudges = []float64{1, 1.0007, 1.0019, 1.0037}
+// trafficFactors multiply the traffic that the at-once bound is computed for, tried in this order: the simplex method fails
+// on some degenerate programmes but not on their neighbours, and more traffic has a higher bound, which holds for less too.
+var trafficFactors = []float64{1, 1.0007, 1.0019, 1.0037}
 
-// atOnce is the bound of one group; 0 where the simplex method fails.
-func (e Experiment) atOnce(circuits int, classes []bound.Class, c Cell) float64 {
-	for _, nudge := range nudges {
-		g := bound.Group{Circuits: circuits, Classes: classes}
-		for _, k := range e.Classes {
-			g.Rates = append(g.Rates, 2*e.Rate*c.Load*k.Share/float64(c.Exchanges-1)*nudge)
+// atOnceBound is the at-once bound of one group, in worth per second; 0 where the simplex method fails.
+func (e Experiment) atOnceBound(circuits int, classes []bound.Class, cell Cell) float64 {
+	for _, factor := range trafficFactors {
+		group := bound.Group{Circuits: circuits, Classes: classes}
+		for _, class := range e.Classes {
+			group.Rates = append(group.Rates, 2*e.Rate*cell.Load*class.Share/float64(cell.Exchanges-1)*factor)
 		}
-		if worth, err := g.AtOnce(); err == nil {
+		if worth, err := group.AtOnce(); err == nil {
 			return worth
 		}
 	}
 	return 0
 }
 
-// mostAtOnce is the largest group that the simplex method is asked about: its time grows with the third power.
-const mostAtOnce = 40
+// maxAtOnceCircuits is the largest group that the at-once bound is computed for: the simplex method's time grows with the
+// third power of the circuits.
+const maxAtOnceCircuits = 40
 
-// All plays the cells of an experiment that the store does not have yet, jobs at a time. told hears of each as it is
-// there, one at a time, cells that were kept before among them.
-func (e Experiment) All(ctx context.Context, s *Store, commit string, jobs int, told func(r Result, kept bool)) ([]Result, error) {
+// RunAll runs the cells of the experiment that the store does not have yet, jobs of them at a time, and stores each. It calls
+// onResult, which may be nil, with each result, one at a time; stored says that the result was in the store before.
+func (e Experiment) RunAll(ctx context.Context, store *Store, commit string, jobs int, onResult func(result Result, stored bool)) ([]Result, error) {
 	cells := e.Cells()
-	out := make([]Result, len(cells))
+	results := make([]Result, len(cells))
 	next := make(chan int)
 	var mu sync.Mutex
-	var wrong error
-	var all sync.WaitGroup
-	one := func(i int) error {
-		r, kept, err := s.get(e.key(cells[i], commit))
-		if err == nil && !kept {
-			if r, err = e.Run(cells[i]); err == nil {
-				r.Commit = commit
-				err = s.put(e.key(cells[i], commit), r)
+	var failures error
+	var workers sync.WaitGroup
+	runCell := func(i int) error {
+		result, stored, err := store.get(e.key(cells[i], commit))
+		if err == nil && !stored {
+			if result, err = e.Run(cells[i]); err == nil {
+				result.Commit = commit
+				err = store.put(e.key(cells[i], commit), result)
 			}
 		}
 		if err != nil {
@@ -281,20 +293,20 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		out[i] = r
-		if told != nil {
-			told(r, kept)
+		results[i] = result
+		if onResult != nil {
+			onResult(result, stored)
 		}
 		return nil
 	}
 	for range max(1, jobs) {
-		all.Add(1)
+		workers.Add(1)
 		go func() {
-			defer all.Done()
+			defer workers.Done()
 			for i := range next {
-				if err := one(i); err != nil {
+				if err := runCell(i); err != nil {
 					mu.Lock()
-					wrong = errors.Join(wrong, err)
+					failures = errors.Join(failures, err)
 					mu.Unlock()
 				}
 			}
@@ -309,6 +321,6 @@
 		break
 	}
 	close(next)
-	all.Wait()
-	return out, errors.Join(wrong, ctx.Err())
+	workers.Wait()
+	return results, errors.Join(failures, ctx.Err())
 }
--- a/lab/store.go
+++ b/lab/store.go
@@ -12,19 +12,20 @@
 	"go.etcd.io/bbolt"
 )
 
-// Store keeps results in a file. It is safe for concurrent use; one process has it open at a time.
+// Store keeps results in a bbolt file. It is safe for concurrent use; one process at a time can have the file open.
 type Store struct{ db *bbolt.DB }
 
-var results = []byte("results")
+// resultsBucket is the name of the bucket that maps keys to results in JSON.
+var resultsBucket = []byte("results")
 
-// Open opens a store, and makes it where there is none.
+// Open opens the store at path, and creates it if there is none.
 func Open(path string) (*Store, error) {
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: 2 * time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("lab: store %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		_, err := tx.CreateBucketIfNotExists(results)
+		_, err := tx.CreateBucketIfNotExists(resultsBucket)
 		return err
 	})
 	if err != nil {
@@ -34,59 +35,66 @@
 	return &Store{db}, nil
 }
 
-// Close closes a store.
+// Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-func (s *Store) get(key []byte) (r Result, found bool, err error) {
+// get returns the result that is stored under key; found is false if there is none.
+func (s *Store) get(key []byte) (result Result, found bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		text := tx.Bucket(results).Get(key)
-		if text == nil {
+		data := tx.Bucket(resultsBucket).Get(key)
+		if data == nil {
 			return nil
 		}
 		found = true
-		return json.Unmarshal(text, &r)
+		return json.Unmarshal(data, &result)
 	})
-	return r, found, err
+	return result, found, err
 }
 
-// put keeps a result: after it returns, a crash does not lose it.
-func (s *Store) put(key []byte, r Result) error {
-	text, err := json.Marshal(r)
+// put stores a result under key. Once it has returned, the result survives a crash.
+func (s *Store) put(key []byte, result Result) error {
+	data, err := json.Marshal(result)
 	if err != nil {
 		return err
 	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(results).Put(key, text) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(resultsBucket).Put(key, data) })
 }
 
-// Commit tells which program this is: the commit that it was built from, with a mark where its tree was changed; where the
-// build did not note it, a hash of the program itself.
+// Lengths of program identifiers.
+const (
+	commitDigits     = 12 // hexadecimal digits of a commit
+	programHashBytes = 6
+)
+
+// Commit identifies this program: by the commit that it was built from, followed by "+" if the tree was modified; by a hash
+// of the executable if the build recorded no commit.
 func Commit() string {
-	commit, changed := "", ""
+	commit, dirtySuffix := "", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
+		for _, setting := range info.Settings {
 			switch {
-			case s.Key == "vcs.revision":
-				commit = s.Value[:min(12, len(s.Value))]
-			case s.Key == "vcs.modified" && s.Value == "true":
-				changed = "+"
+			case setting.Key == "vcs.revision":
+				commit = setting.Value[:min(commitDigits, len(setting.Value))]
+			case setting.Key == "vcs.modified" && setting.Value == "true":
+				dirtySuffix = "+"
 			}
 		}
 	}
 	if commit != "" {
-		return commit + changed
+		return commit + dirtySuffix
 	}
 	path, err := os.Executable()
 	if err != nil {
 		return "unknown"
 	}
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return "unknown"
 	}
-	defer f.Close()
-	h := sha256.New()
-	if _, err := io.Copy(h, f); err != nil {
+	defer file.Close()
+	hash := sha256.New()
+	if _, err := io.Copy(hash, file); err != nil {
 		return "unknown"
 	}
-	return fmt.Sprintf("program-%x", h.Sum(nil)[:6])
+	return fmt.Sprintf("program-%x", hash.Sum(nil)[:programHashBytes])
 }
--- a/lab/summary.go
+++ b/lab/summary.go
@@ -12,27 +12,28 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Mean is a mean over seeds with the half width of its 95% confidence interval (Student's t); the half width is infinite
-// for a single seed.
+// Mean is a mean over N seeds with half the width of its 95% confidence interval (Student's t), which is infinite for a
+// single seed.
 type Mean struct {
 	Value, Half float64
 	N           int
 }
 
-func mean(x []float64) Mean {
-	m := Mean{N: len(x), Half: math.Inf(1)}
-	if len(x) == 0 {
+// mean computes the mean of samples and its confidence interval.
+func mean(samples []float64) Mean {
+	m := Mean{N: len(samples), Half: math.Inf(1)}
+	if len(samples) == 0 {
 		return m
 	}
-	m.Value = stat.Mean(x, nil)
-	if len(x) > 1 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975)
-		m.Half = t * stat.StdDev(x, nil) / math.Sqrt(float64(len(x)))
+	m.Value = stat.Mean(samples, nil)
+	if len(samples) > 1 {
+		quantile := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(samples) - 1)}.Quantile(0.975)
+		m.Half = quantile * stat.StdDev(samples, nil) / math.Sqrt(float64(len(samples)))
 	}
 	return m
 }
 
-// String gives a mean as 0.812±0.004.
+// String formats the mean as 0.812±0.004, without the interval for a single seed.
 func (m Mean) String() string {
 	if m.N < 2 {
 		return fmt.Sprintf("%.3f", m.Value)
@@ -40,39 +41,39 @@
 	return fmt.Sprintf("%.3f±%.3f", m.Value, m.Half)
 }
 
-// Row sums up the runs of one policy at one size and load.
+// Row summarises the runs of one policy at one fleet size and load.
 type Row struct {
 	Exchanges     int
 	Load          float64
 	Policy        string
 	Service       Mean
-	ByClass       []Mean
-	Over          Mean // service less that of the module, seed by seed
-	OfBound       Mean // service by the fluid bound
+	ByClass       []Mean // service of each class
+	Over          Mean   // service minus that of the module, paired by seed
+	OfBound       Mean   // service divided by the fluid bound
 	Fluid, AtOnce float64
-	Sends, Late   float64
-	P50, P99      time.Duration // medians over the seeds
-	Recovery      []time.Duration
-	Never         []int   // seeds that did not recover, by trouble
-	Cost          float64 // microseconds an event
-	PerSecond     float64 // callers a second of one core
-	Breaches      int
+	Sends, Late   float64         // means over the seeds
+	P50, P99      time.Duration   // medians over the seeds
+	Recovery      []time.Duration // median by fault; a run that did not recover counts as the experiment's length
+	Never         []int           // runs that did not recover, by fault
+	Cost          float64         // microseconds of wall time per event
+	PerSecond     float64         // callers simulated per second on one core
+	Breaches      int             // rule violations of all runs
 	Seeds         int
 }
 
-// Summary sums up results, in the order of sizes, loads and policies of the experiment.
-func (e Experiment) Summary(all []Result) (rows []Row) {
-	for _, n := range e.Exchanges {
-		for _, l := range e.Loads {
-			of := map[string][]Result{}
-			for _, r := range all {
-				if r.Exchanges == n && r.Load == l && r.Callers > 0 {
-					of[r.Policy] = append(of[r.Policy], r)
+// Summary returns a row for each fleet size, load and policy that has results, in the experiment's order.
+func (e Experiment) Summary(results []Result) (rows []Row) {
+	for _, exchanges := range e.Exchanges {
+		for _, load := range e.Loads {
+			byPolicy := map[string][]Result{}
+			for _, result := range results {
+				if result.Exchanges == exchanges && result.Load == load && result.Callers > 0 {
+					byPolicy[result.Policy] = append(byPolicy[result.Policy], result)
 				}
 			}
-			for _, p := range e.Policies {
-				if len(of[p]) > 0 {
-					rows = append(rows, e.row(of[p], of[Module]))
+			for _, policy := range e.Policies {
+				if len(byPolicy[policy]) > 0 {
+					rows = append(rows, e.row(byPolicy[policy], byPolicy[Module]))
 				}
 			}
 		}
@@ -80,41 +81,42 @@
 	return rows
 }
 
-func (e Experiment) row(runs, module []Result) Row {
+// row summarises runs; moduleRuns are the module's runs at the same size and load.
+func (e Experiment) row(runs, moduleRuns []Result) Row {
 	first := runs[0]
-	w := Row{Exchanges: first.Exchanges, Load: first.Load, Policy: first.Policy, Fluid: first.Fluid, AtOnce: first.AtOnce, Seeds: len(runs),
+	row := Row{Exchanges: first.Exchanges, Load: first.Load, Policy: first.Policy, Fluid: first.Fluid, AtOnce: first.AtOnce, Seeds: len(runs),
 		Recovery: make([]time.Duration, len(e.Steps)), Never: make([]int, len(e.Steps))}
-	each := func(of func(r Result) float64) []float64 {
-		var x []float64
+	collect := func(value func(r Result) float64) []float64 {
+		var values []float64
 		for _, r := range runs {
-			x = append(x, of(r))
+			values = append(values, value(r))
 		}
-		return x
+		return values
 	}
-	w.Service = mean(each(func(r Result) float64 { return r.Service }))
-	for c := range e.Classes {
-		w.ByClass = append(w.ByClass, mean(each(func(r Result) float64 { return r.ByClass[c] })))
+	row.Service = mean(collect(func(r Result) float64 { return r.Service }))
+	for class := range e.Classes {
+		row.ByClass = append(row.ByClass, mean(collect(func(r Result) float64 { return r.ByClass[class] })))
 	}
 	if first.Fluid > 0 {
-		w.OfBound = mean(each(func(r Result) float64 { return r.Service / r.Fluid }))
+		row.OfBound = mean(collect(func(r Result) float64 { return r.Service / r.Fluid }))
 	}
-	var paired []float64
+	var differences []float64
 	for _, r := range runs {
-		if i := slices.IndexFunc(module, func(m Result) bool { return m.Seed == r.Seed }); i >= 0 {
-			paired = append(paired, r.Service-module[i].Service)
+		if i := slices.IndexFunc(moduleRuns, func(moduleRun Result) bool { return moduleRun.Seed == r.Seed }); i >= 0 {
+			differences = append(differences, r.Service-moduleRuns[i].Service)
 		}
 	}
-	w.Over = mean(paired)
-	w.Sends, w.Late = stat.Mean(each(func(r Result) float64 { return r.Sends }), nil), stat.Mean(each(func(r Result) float64 { return r.Late }), nil)
-	w.P50 = time.Duration(median(each(func(r Result) float64 { return float64(r.P50) })))
-	w.P99 = time.Duration(median(each(func(r Result) float64 { return float64(r.P99) })))
+	row.Over = mean(differences)
+	row.Sends, row.Late = stat.Mean(collect(func(r Result) float64 { return r.Sends }), nil), stat.Mean(collect(func(r Result) float64 { return r.Late }), nil)
+	row.P50 = time.Duration(median(collect(func(r Result) float64 { return float64(r.P50) })))
+	row.P99 = time.Duration(median(collect(func(r Result) float64 { return float64(r.P99) })))
 	for i := range e.Steps {
 		for _, r := range runs {
 			if r.Recovery[i] < 0 {
-				w.Never[i]++
+				row.Never[i]++
 			}
 		}
-		w.Recovery[i] = time.Duration(median(each(func(r Result) float64 {
+		row.Recovery[i] = time.Duration(median(collect(func(r Result) float64 {
 			if r.Recovery[i] < 0 {
 				return float64(e.Length)
 			}
@@ -124,55 +126,57 @@
 	events, wall, callers := 0.0, 0.0, 0.0
 	for _, r := range runs {
 		events, wall, callers = events+float64(r.Events), wall+r.Wall.Seconds(), callers+float64(r.Callers)
-		w.Breaches += r.Breaches
+		row.Breaches += r.Breaches
 	}
-	w.Cost, w.PerSecond = 1e6*wall/math.Max(events, 1), callers/math.Max(wall, 1e-9)
-	return w
+	row.Cost, row.PerSecond = 1e6*wall/math.Max(events, 1), callers/math.Max(wall, 1e-9)
+	return row
 }
 
-func median(x []float64) float64 {
-	slices.Sort(x)
-	return x[len(x)/2]
+// median returns the middle value, the higher one of two. It sorts values in place.
+func median(values []float64) float64 {
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// WriteTable prints rows.
-func WriteTable(w io.Writer, e Experiment, rows []Row) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(t, "exchanges\tload\tpolicy\tservice\t")
-	for _, c := range e.Classes {
-		fmt.Fprintf(t, "%s\t", c.Name)
+// WriteTable prints rows as a table.
+func WriteTable(w io.Writer, experiment Experiment, rows []Row) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "exchanges\tload\tpolicy\tservice\t")
+	for _, class := range experiment.Classes {
+		fmt.Fprintf(table, "%s\t", class.Name)
 	}
-	fmt.Fprint(t, "less module\tof bound\tfluid\tat once\tsends\tlate\tp50\tp99\t")
-	for i, s := range e.Steps {
-		fmt.Fprintf(t, "%d %s back\t", i, s.Kind)
+	fmt.Fprint(table, "less module\tof bound\tfluid\tat once\tsends\tlate\tp50\tp99\t")
+	for i, step := range experiment.Steps {
+		fmt.Fprintf(table, "%d %s back\t", i, step.Kind)
 	}
-	fmt.Fprint(t, "us/event\tbreaches\t\n")
-	for _, r := range rows {
-		fmt.Fprintf(t, "%d\t%.2f\t%s\t%v\t", r.Exchanges, r.Load, r.Policy, r.Service)
-		for _, c := range r.ByClass {
-			fmt.Fprintf(t, "%.3f\t", c.Value)
+	fmt.Fprint(table, "us/event\tbreaches\t\n")
+	for _, row := range rows {
+		fmt.Fprintf(table, "%d\t%.2f\t%s\t%v\t", row.Exchanges, row.Load, row.Policy, row.Service)
+		for _, service := range row.ByClass {
+			fmt.Fprintf(table, "%.3f\t", service.Value)
 		}
-		less := "-"
-		if r.Policy != Module && r.Over.N > 0 {
-			less = r.Over.String()
+		difference := "-"
+		if row.Policy != Module && row.Over.N > 0 {
+			difference = row.Over.String()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.2f\t%.3f\t%v\t%v\t", less, dash(r.OfBound.Value), dash(r.Fluid), dash(r.AtOnce), r.Sends, r.Late,
-			r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond))
-		for i := range e.Steps {
-			back := r.Recovery[i].String()
-			if r.Never[i] > 0 {
-				back = fmt.Sprintf("%s (%d of %d not)", back, r.Never[i], r.Seeds)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.2f\t%.3f\t%v\t%v\t", difference, formatOrDash(row.OfBound.Value), formatOrDash(row.Fluid), formatOrDash(row.AtOnce), row.Sends, row.Late,
+			row.P50.Round(time.Millisecond), row.P99.Round(time.Millisecond))
+		for i := range experiment.Steps {
+			recovered := row.Recovery[i].String()
+			if row.Never[i] > 0 {
+				recovered = fmt.Sprintf("%s (%d of %d not)", recovered, row.Never[i], row.Seeds)
 			}
-			fmt.Fprintf(t, "%s\t", back)
+			fmt.Fprintf(table, "%s\t", recovered)
 		}
-		fmt.Fprintf(t, "%.2f\t%d\t\n", r.Cost, r.Breaches)
+		fmt.Fprintf(table, "%.2f\t%d\t\n", row.Cost, row.Breaches)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-func dash(x float64) string {
-	if x == 0 {
+// formatOrDash formats a value with three decimals, and 0, which stands for an unknown one, as a dash.
+func formatOrDash(value float64) string {
+	if value == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.3f", x)
+	return fmt.Sprintf("%.3f", value)
 }
