--- a/cmd/finchlatch/ci_test.go
+++ b/cmd/finchlatch/ci_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// The danger: a list of tests that may fail grows, or hides tests that would pass.
+// The list of tests that CI may skip must not grow beyond three, nor hide tests that pass or do not exist: they would no
+// longer guard against a regression.
 func TestKnownRedPassesOverJustWhatFails(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/known-red")
 	if err != nil {
@@ -22,7 +23,7 @@
 		}
 	}
 	const red, redder = "./. TestRed issue 31: a cause\n", "./. TestRedder issue 31: a cause\n"
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		list, pattern string
 		fails         bool
 	}{
@@ -36,21 +37,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
-			if c.list != "" {
-				if err := os.WriteFile(file, []byte(c.list), 0o600); err != nil {
+			if test.list != "" {
+				if err := os.WriteFile(file, []byte(test.list), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 			cmd := exec.Command("bash", script, file)
 			cmd.Dir = dir
-			var told strings.Builder
-			cmd.Stderr = &told
+			var stderr strings.Builder
+			cmd.Stderr = &stderr
 			out, err := cmd.Output()
-			if (err != nil) != c.fails || !c.fails && strings.TrimSpace(string(out)) != c.pattern {
-				t.Errorf("%v: %q, told %q", err, out, told.String())
+			if (err != nil) != test.fails || !test.fails && strings.TrimSpace(string(out)) != test.pattern {
+				t.Errorf("%v: %q, standard error %q", err, out, stderr.String())
 			}
-			if c.pattern != "" && !strings.Contains(told.String(), "known red: "+strings.TrimSpace(strings.Split(c.list, "\n")[0])) {
-				t.Errorf("the line is not printed: %q", told.String())
+			if test.pattern != "" && !strings.Contains(stderr.String(), "known red: "+strings.TrimSpace(strings.Split(test.list, "\n")[0])) {
+				t.Errorf("the line is not printed: %q", stderr.String())
 			}
 		})
 	}
--- a/cmd/finchlatch/commands.go
+++ b/cmd/finchlatch/commands.go
@@ -18,24 +18,25 @@
 	"finchlatch/server"
 )
 
-// logger writes text to a terminal and JSON elsewhere.
-func logger(w *os.File, level string) (*slog.Logger, error) {
-	var l slog.Level
-	if err := l.UnmarshalText([]byte(level)); err != nil {
+// newLogger returns a logger that writes text if w is a terminal, and JSON otherwise. level is the lowest level written.
+func newLogger(w *os.File, level string) (*slog.Logger, error) {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("--log: %q is not debug, info, warn or error", level)
 	}
 	if term.IsTerminal(int(w.Fd())) {
-		return slog.New(tint.NewTextHandler(w, &tint.Options{Level: l, TimeFormat: "15:04:05.000"})), nil
+		return slog.New(tint.NewTextHandler(w, &tint.Options{Level: minLevel, TimeFormat: "15:04:05.000"})), nil
 	}
-	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: l})), nil
+	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: minLevel})), nil
 }
 
+// serveCommand runs a call server from a settings file.
 func serveCommand() *cobra.Command {
 	var level string
 	var vars map[string]string
-	c := &cobra.Command{Use: "serve CONFIG", Short: "Run a call server until SIGTERM, which drains it", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "serve CONFIG", Short: "Run a call server; SIGTERM drains and ends it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			log, err := logger(os.Stderr, level)
+			log, err := newLogger(os.Stderr, level)
 			if err != nil {
 				return err
 			}
@@ -49,53 +50,62 @@
 			}
 			return s.Run(cmd.Context())
 		}}
-	c.Flags().StringVar(&level, "log", "info", "least level of log lines: debug, info, warn, error")
-	c.Flags().StringToStringVar(&vars, "var", nil, "external variables of the settings, name=value")
+	c.Flags().StringVar(&level, "log", "info", "lowest level of log lines: debug, info, warn, error")
+	c.Flags().StringToStringVar(&vars, "var", nil, "external variables of the settings, as name=value")
 	return c
 }
 
+// checkCommand checks settings files.
 func checkCommand() *cobra.Command {
 	var vars map[string]string
-	c := &cobra.Command{Use: "check CONFIG...", Short: "Check settings without a start", Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{Use: "check CONFIG...", Short: "Check settings files without starting a call server", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			bad := 0
+			invalidFiles := 0
 			for _, path := range args {
 				cfg, err := config.Load(path, vars)
 				if err != nil {
 					fmt.Fprintln(cmd.OutOrStdout(), err)
-					bad++
+					invalidFiles++
 					continue
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: good: exchange %s, %d exchanges, %d peers, %d classes, %d numbers\n", path,
 					cfg.Router.Name, len(cfg.Router.Exchanges), len(cfg.Router.Peers), len(cfg.Router.Classes), len(cfg.Router.Numbering))
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files are not good", bad, len(args))
+			if invalidFiles > 0 {
+				return fmt.Errorf("%d of %d files are invalid", invalidFiles, len(args))
 			}
 			return nil
 		}}
-	c.Flags().StringToStringVar(&vars, "var", nil, "external variables of the settings, name=value")
+	c.Flags().StringToStringVar(&vars, "var", nil, "external variables of the settings, as name=value")
 	return c
 }
 
+// Reply codes of the console.
+const (
+	codeGreeting = 200
+	codeList     = 215 // lines follow, up to a line with a dot
+	classSuccess = 2   // first digit of the codes of success
+)
+
+// ctlCommand sends commands to the console of a call server.
 func ctlCommand() *cobra.Command {
 	var addr string
-	c := &cobra.Command{Use: "ctl [COMMAND...]", Short: "Send commands to the console of a call server; without one, read them from standard input",
+	c := &cobra.Command{Use: "ctl [COMMAND...]", Short: "Send a command to the console of a call server; without one, send the lines of standard input",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			conn, err := textproto.Dial("tcp", addr)
 			if err != nil {
 				return err
 			}
 			defer conn.Close()
-			if _, _, err := conn.ReadCodeLine(200); err != nil {
+			if _, _, err := conn.ReadCodeLine(codeGreeting); err != nil {
 				return err
 			}
 			if len(args) > 0 {
-				return control(conn, strings.Join(args, " "), cmd.OutOrStdout())
+				return sendCommand(conn, strings.Join(args, " "), cmd.OutOrStdout())
 			}
 			in := bufio.NewScanner(cmd.InOrStdin())
 			for in.Scan() {
-				if err := control(conn, in.Text(), cmd.OutOrStdout()); err != nil {
+				if err := sendCommand(conn, in.Text(), cmd.OutOrStdout()); err != nil {
 					fmt.Fprintln(cmd.ErrOrStderr(), err)
 				}
 			}
@@ -105,34 +115,35 @@
 	return c
 }
 
-// control sends one command and prints the reply.
-func control(conn *textproto.Conn, line string, w io.Writer) error {
+// sendCommand sends one command and prints the reply.
+func sendCommand(conn *textproto.Conn, line string, w io.Writer) error {
 	if err := conn.PrintfLine("%s", line); err != nil {
 		return err
 	}
-	code, text, err := conn.ReadCodeLine(2)
+	code, text, err := conn.ReadCodeLine(classSuccess)
 	if err != nil {
 		return err
 	}
-	if code != 215 {
+	if code != codeList {
 		fmt.Fprintln(w, text)
 		return nil
 	}
 	lines, err := conn.ReadDotLines()
-	for _, l := range lines {
-		fmt.Fprintln(w, l)
+	for _, replyLine := range lines {
+		fmt.Fprintln(w, replyLine)
 	}
 	return err
 }
 
+// versionCommand prints the version, the commit and the version of Go.
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Tell the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
+	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		version, revision := "(devel)", ""
 		if info, ok := debug.ReadBuildInfo(); ok {
 			version = info.Main.Version
-			for _, s := range info.Settings {
-				if s.Key == "vcs.revision" {
-					revision = " " + s.Value
+			for _, setting := range info.Settings {
+				if setting.Key == "vcs.revision" {
+					revision = " " + setting.Value
 				}
 			}
 			version += revision + " " + info.GoVersion
--- a/cmd/finchlatch/dimension.go
+++ b/cmd/finchlatch/dimension.go
@@ -15,116 +15,119 @@
 	"finchlatch/planning"
 )
 
+// dimensionCommand sizes trunk groups by measured or tabulated traffic.
 func dimensionCommand() *cobra.Command {
-	var stores, cases []string
-	var table, out, base, exchange string
-	c := &cobra.Command{Use: "dimension RULES", Short: "Size trunk groups by measured traffic, and say what to buy",
-		Long: "Reads rules (Jsonnet: classes with targets, exchanges, costs) and traffic, from the stores of call servers or from a\n" +
-			"table in CSV (from, to, class, erlangs, and perhaps peakedness and circuits), and prints a row a group: circuits\n" +
-			"today, needed, why. --out writes a report, a CSV file and, with --settings and --exchange, settings with the new\n" +
-			"circuits for that call server, which finchlatch check takes.",
+	var storePaths, caseTexts []string
+	var tablePath, outDir, settingsPath, exchange string
+	c := &cobra.Command{Use: "dimension RULES", Short: "Size trunk groups by measured traffic",
+		Long: "Reads rules (Jsonnet: classes with blocking targets, exchanges, costs) and traffic, either from the measurement stores\n" +
+			"of call servers or from a CSV table (from, to, class, erlangs; optionally peakedness and circuits). Prints one row per\n" +
+			"trunk group: circuits today, circuits needed, and the reason. --out writes a report, a CSV file and, with --settings\n" +
+			"and --exchange, settings with the new circuits for that call server, which finchlatch check accepts.",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
-			r, err := planning.ReadRules(args[0], string(text))
+			rules, err := planning.ReadRules(args[0], string(text))
 			if err != nil {
 				return err
 			}
-			t, err := traffic(r, stores, table)
+			traffic, err := readTraffic(rules, storePaths, tablePath)
 			if err != nil {
 				return err
 			}
-			p, err := r.Plan(t)
+			proposal, err := rules.Plan(traffic)
 			if err != nil {
 				return err
 			}
-			if err := r.WriteTable(cmd.OutOrStdout(), t, p); err != nil {
+			if err := rules.WriteTable(cmd.OutOrStdout(), traffic, proposal); err != nil {
 				return err
 			}
-			var played []planning.Case
-			for _, text := range cases {
-				k, err := r.WhatIf(t, text)
+			var cases []planning.Case
+			for _, text := range caseTexts {
+				result, err := rules.WhatIf(traffic, text)
 				if err != nil {
 					return err
 				}
-				played = append(played, k)
-				fmt.Fprintf(cmd.OutOrStdout(), "if %s: all circuits cost %.1f, worst blocking %.2f%%\n", k.Text, k.Proposal.Cost, 100*k.Worst)
+				cases = append(cases, result)
+				fmt.Fprintf(cmd.OutOrStdout(), "if %s: all circuits cost %.1f, worst blocking %.2f%%\n", result.Text, result.Proposal.Cost, 100*result.Worst)
 			}
-			if out == "" {
+			if outDir == "" {
 				return nil
 			}
-			return writePlan(r, t, p, played, out, base, exchange)
+			return writePlan(rules, traffic, proposal, cases, outDir, settingsPath, exchange)
 		}}
-	c.Flags().StringArrayVar(&stores, "store", nil, "file with measurements of a call server; may stand for each")
-	c.Flags().StringVar(&table, "csv", "", "table of traffic in place of measurements")
-	c.Flags().StringArrayVar(&cases, "what-if", nil, "a case: 'class NAME=1.3', 'exchanges=94' or 'lost REGION=0.5'")
-	c.Flags().StringVar(&out, "out", "", "folder for the report, the CSV file and settings; empty: none")
-	c.Flags().StringVar(&base, "settings", "", "settings of a call server that the proposal is written for")
-	c.Flags().StringVar(&exchange, "exchange", "", "its exchange")
+	c.Flags().StringArrayVar(&storePaths, "store", nil, "measurement store of a call server; may be repeated")
+	c.Flags().StringVar(&tablePath, "csv", "", "CSV table of traffic, in place of measurements")
+	c.Flags().StringArrayVar(&caseTexts, "what-if", nil, "a case to evaluate: 'class NAME=1.3', 'exchanges=94' or 'lost REGION=0.5'; may be repeated")
+	c.Flags().StringVar(&outDir, "out", "", "directory for the report, the CSV file and the settings; empty: none")
+	c.Flags().StringVar(&settingsPath, "settings", "", "settings file of the call server that the new circuits are written for")
+	c.Flags().StringVar(&exchange, "exchange", "", "exchange of that call server")
 	return c
 }
 
-// always is all of time that a store may hold.
-var always = [2]time.Time{time.Unix(0, 0), time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)}
+// allTime is an interval that contains all measurements of a store.
+var allTime = [2]time.Time{time.Unix(0, 0), time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)}
 
-func traffic(r planning.Rules, stores []string, table string) (planning.Traffic, error) {
-	var t planning.Traffic
+// readTraffic reads traffic from a CSV table or from measurement stores.
+func readTraffic(rules planning.Rules, storePaths []string, tablePath string) (planning.Traffic, error) {
+	var traffic planning.Traffic
 	switch {
-	case table != "" && len(stores) > 0 || table == "" && len(stores) == 0:
-		return t, errors.New("either --csv or --store is needed")
-	case table != "":
-		f, err := os.Open(table)
+	case tablePath != "" && len(storePaths) > 0 || tablePath == "" && len(storePaths) == 0:
+		return traffic, errors.New("one of --csv and --store is needed, and only one")
+	case tablePath != "":
+		file, err := os.Open(tablePath)
 		if err != nil {
-			return t, err
+			return traffic, err
 		}
-		defer f.Close()
-		t.Pairs, err = r.ReadTraffic(table, f)
-		return t, err
+		defer file.Close()
+		traffic.Pairs, err = rules.ReadTraffic(tablePath, file)
+		return traffic, err
 	}
-	var all []measure.Interval
-	for _, path := range stores {
+	var intervals []measure.Interval
+	for _, path := range storePaths {
 		if _, err := os.Stat(path); err != nil {
-			return t, err
+			return traffic, err
 		}
-		s, err := measure.OpenStore(path, 0)
+		store, err := measure.OpenStore(path, 0)
 		if err != nil {
-			return t, err
+			return traffic, err
 		}
-		more, err := s.Read(always[0], always[1])
-		s.Close()
+		stored, err := store.Read(allTime[0], allTime[1])
+		store.Close()
 		if err != nil {
-			return t, fmt.Errorf("%s: %w", path, err)
+			return traffic, fmt.Errorf("%s: %w", path, err)
 		}
-		all = append(all, more...)
+		intervals = append(intervals, stored...)
 	}
-	return r.Measured(all)
+	return rules.Measured(intervals)
 }
 
-func writePlan(r planning.Rules, t planning.Traffic, p dimension.Proposal, cases []planning.Case, dir, base, exchange string) error {
+// writePlan writes the report, the CSV file and, if settingsPath is given, the settings of an exchange into a directory.
+func writePlan(rules planning.Rules, traffic planning.Traffic, proposal dimension.Proposal, cases []planning.Case, dir, settingsPath, exchange string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	create := func(name string, write func(w io.Writer) error) error {
-		f, err := os.Create(filepath.Join(dir, name))
+		file, err := os.Create(filepath.Join(dir, name))
 		if err != nil {
 			return err
 		}
-		return errors.Join(write(f), f.Close())
+		return errors.Join(write(file), file.Close())
 	}
-	err := create("index.html", func(w io.Writer) error { return r.WriteReport(w, t, p, cases) })
-	err = errors.Join(err, create("groups.csv", func(w io.Writer) error { return r.WriteCSV(w, p) }))
-	if base == "" {
+	err := create("index.html", func(w io.Writer) error { return rules.WriteReport(w, traffic, proposal, cases) })
+	err = errors.Join(err, create("groups.csv", func(w io.Writer) error { return rules.WriteCSV(w, proposal) }))
+	if settingsPath == "" {
 		return err
 	}
-	path, wrong := filepath.Abs(base)
-	if wrong != nil {
-		return wrong
+	path, settingsErr := filepath.Abs(settingsPath)
+	if settingsErr != nil {
+		return settingsErr
 	}
-	text, wrong := r.Settings(path, exchange, p)
-	if wrong != nil {
-		return wrong
+	text, settingsErr := rules.Settings(path, exchange, proposal)
+	if settingsErr != nil {
+		return settingsErr
 	}
 	return errors.Join(err, create(exchange+".jsonnet", func(w io.Writer) error {
 		_, err := io.WriteString(w, text)
--- a/cmd/finchlatch/main.go
+++ b/cmd/finchlatch/main.go
@@ -1,5 +1,5 @@
-// Command finchlatch runs a call server, checks its settings, talks to its console, and tries fleets of call servers
-// on loopback.
+// Command finchlatch runs a call server, checks its settings and sends commands to its console. It also tests and measures
+// fleets of call servers, on loopback and in simulated time, and sizes trunk groups.
 package main
 
 import (
@@ -16,24 +16,31 @@
 	"finchlatch/node"
 )
 
-// errBroken ends the program with status 1 after its report.
-var errBroken = errors.New("rules broken")
+// errViolations ends the program with exit status 1 and no further message: the violations have been reported.
+var errViolations = errors.New("rules violated")
+
+// Exit statuses.
+const (
+	exitFailure       = 1
+	exitInvalidConfig = 2 // the configuration of a call server of the platform
+)
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
-		if !errors.Is(err, errBroken) {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
+		if !errors.Is(err, errViolations) {
 			fmt.Fprintln(os.Stderr, "finchlatch:", err)
 		}
-		if bad := (*node.ConfigError)(nil); errors.As(err, &bad) {
-			os.Exit(2)
+		if configErr := (*node.ConfigError)(nil); errors.As(err, &configErr) {
+			os.Exit(exitInvalidConfig)
 		}
-		os.Exit(1)
+		os.Exit(exitFailure)
 	}
 }
 
-func root() *cobra.Command {
+// rootCommand returns the command line with all subcommands.
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{Use: "finchlatch", Short: "A call router over shared trunk groups, on M3UA and ISUP",
 		SilenceUsage: true, SilenceErrors: true}
 	c.AddCommand(serveCommand(), nodeCommand(), checkCommand(), tryCommand(), ctlCommand(), lookupCommand(), swarmCommand(), labCommand(), dimensionCommand(), soakCommand(), versionCommand())
--- a/cmd/finchlatch/node.go
+++ b/cmd/finchlatch/node.go
@@ -11,9 +11,10 @@
 	"finchlatch/node"
 )
 
+// nodeCommand runs a call server of the platform.
 func nodeCommand() *cobra.Command {
 	var level string
-	c := &cobra.Command{Use: "node [CONFIG]", Short: "Run a call server of the platform; CONFIG is $ROUTER_CONFIG where it is not named",
+	c := &cobra.Command{Use: "node [CONFIG]", Short: "Run a call server of the platform; CONFIG defaults to $ROUTER_CONFIG",
 		Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			path := os.Getenv("ROUTER_CONFIG")
 			if len(args) > 0 {
@@ -22,17 +23,18 @@
 			hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
 			signal.Notify(term, syscall.SIGTERM, os.Interrupt)
-			log, err := logger(os.Stderr, level)
+			log, err := newLogger(os.Stderr, level)
 			if err != nil {
 				return err
 			}
 			return runNode(path, log, hup, term)
 		}}
-	c.Flags().StringVar(&level, "log", "info", "least level of log lines: debug, info, warn, error")
+	c.Flags().StringVar(&level, "log", "info", "lowest level of log lines: debug, info, warn, error")
 	return c
 }
 
-// runNode runs a call server until a drain that SIGTERM begins has ended; SIGHUP has the configuration read again.
+// runNode runs a call server. A signal on hup (SIGHUP) reloads its configuration; one on term (SIGTERM) starts a drain, and
+// runNode returns when that has ended.
 func runNode(path string, log *slog.Logger, hup, term <-chan os.Signal) error {
 	n, err := node.New(path, log)
 	if err != nil {
--- a/cmd/finchlatch/soak.go
+++ b/cmd/finchlatch/soak.go
@@ -14,123 +14,125 @@
 
 // soakOptions are the flags of the soak command.
 type soakOptions struct {
-	seed     uint64
-	runs     int
-	parallel int
-	length   time.Duration
-	scenario string
-	keep     string
-	shrink   bool
+	firstSeed    uint64
+	runs         int
+	parallel     int
+	length       time.Duration
+	scenarioPath string
+	keepDir      string
+	shrink       bool
 }
 
+// soakCommand runs soak scenarios.
 func soakCommand() *cobra.Command {
-	var o soakOptions
-	c := &cobra.Command{Use: "soak", Short: "Play short, dense days of faults on real call-server processes over loopback",
-		Long: "Draws a fleet, a deployment and a day of faults from each seed and plays it on processes of this program. The five rules,\n" +
-			"ends of calls, crashes and limits are judged from the sockets and the processes. A day that goes wrong is kept as a\n" +
-			"scenario, which --scenario plays again and --shrink cuts down. Exit status 1 where a day went wrong.",
+	var options soakOptions
+	c := &cobra.Command{Use: "soak", Short: "Run short scenarios with many faults on real call-server processes over loopback",
+		Long: "Draws a fleet, a deployment and a fault schedule from each seed and runs them on processes of this program. The five\n" +
+			"rules, ends of calls, crashes and limits are checked from the sockets and the processes. A run with violations is kept\n" +
+			"as a scenario file, which --scenario runs again and --shrink reduces. Exit status 1 if a run had violations.",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			binary, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			if o.scenario != "" {
-				return replayDay(cmd, o, binary)
+			if options.scenarioPath != "" {
+				return replaySoak(cmd, options, binary)
 			}
-			return soakDays(cmd, o, binary)
+			return soakSeeds(cmd, options, binary)
 		}}
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the first day")
-	c.Flags().IntVar(&o.runs, "runs", 1, "how many days")
-	c.Flags().IntVar(&o.parallel, "parallel", 1, "how many at once")
-	c.Flags().DurationVar(&o.length, "for", 20*time.Second, "how long calls are offered on each day")
-	c.Flags().StringVar(&o.scenario, "scenario", "", "file with one day to play in place of drawn ones")
-	c.Flags().BoolVar(&o.shrink, "shrink", false, "with --scenario: cut it down to the faults that matter")
-	c.Flags().StringVar(&o.keep, "keep", "found", "folder for scenarios and logs of days that go wrong")
+	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "seed of the first run")
+	c.Flags().IntVar(&options.runs, "runs", 1, "number of runs")
+	c.Flags().IntVar(&options.parallel, "parallel", 1, "number of runs at a time")
+	c.Flags().DurationVar(&options.length, "for", 20*time.Second, "how long calls are offered in each run")
+	c.Flags().StringVar(&options.scenarioPath, "scenario", "", "scenario file to run in place of drawn scenarios")
+	c.Flags().BoolVar(&options.shrink, "shrink", false, "with --scenario: reduce it to the faults that cause the violation")
+	c.Flags().StringVar(&options.keepDir, "keep", "found", "directory for scenarios and logs of runs with violations")
 	return c
 }
 
-// soakDays plays days of seeds in a row, some at once.
-func soakDays(cmd *cobra.Command, o soakOptions, binary string) error {
+// soakSeeds runs the scenarios of consecutive seeds, several at a time.
+func soakSeeds(cmd *cobra.Command, options soakOptions, binary string) error {
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	met, bad, failed := map[string]int{}, 0, error(nil)
-	places := make(chan struct{}, max(1, o.parallel))
-	for seed := o.seed; seed < o.seed+uint64(o.runs) && cmd.Context().Err() == nil; seed++ {
-		places <- struct{}{}
-		all.Add(1)
+	var workers sync.WaitGroup
+	counts, withViolations, runErr := map[string]int{}, 0, error(nil)
+	slots := make(chan struct{}, max(1, options.parallel))
+	for seed := options.firstSeed; seed < options.firstSeed+uint64(options.runs) && cmd.Context().Err() == nil; seed++ {
+		slots <- struct{}{}
+		workers.Add(1)
 		go func() {
-			defer all.Done()
-			defer func() { <-places }()
-			report, err := playDay(soak.Draw(seed, o.length), binary, o.keep)
+			defer workers.Done()
+			defer func() { <-slots }()
+			report, err := runSoak(soak.Draw(seed, options.length), binary, options.keepDir)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				failed = err
+				runErr = err
 				return
 			}
 			fmt.Fprint(cmd.OutOrStdout(), report)
-			for what, n := range report.Met {
-				met[what] += n
+			for name, n := range report.Met {
+				counts[name] += n
 			}
 			if len(report.Breaches) > 0 {
-				bad++
+				withViolations++
 			}
 		}()
 	}
-	all.Wait()
-	if failed != nil {
-		return failed
+	workers.Wait()
+	if runErr != nil {
+		return runErr
 	}
-	for _, hard := range soak.HardCases() {
-		met[hard] += 0
+	for _, name := range soak.HardCases() {
+		counts[name] += 0 // listed even if it never occurred
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%d days from seed %d, %d of them bad\n%s", o.runs, o.seed, bad, soak.Table(met))
-	if bad > 0 {
-		return errBroken
+	fmt.Fprintf(cmd.OutOrStdout(), "%d runs from seed %d, %d of them bad\n%s", options.runs, options.firstSeed, withViolations, soak.Table(counts))
+	if withViolations > 0 {
+		return errViolations
 	}
 	return nil
 }
 
-// playDay plays one day; what went wrong is kept with its logs.
-func playDay(s *soak.Scenario, binary, keep string) (*soak.Report, error) {
+// runSoak runs one scenario. If there are violations, it keeps the scenario, the violations and the logs in a directory under
+// keepDir.
+func runSoak(scenario *soak.Scenario, binary, keepDir string) (*soak.Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return nil, err
 	}
-	report, err := soak.Run(s, binary, dir)
+	report, err := soak.Run(scenario, binary, dir)
 	if err != nil || len(report.Breaches) == 0 {
-		if removed := os.RemoveAll(dir); err == nil {
-			err = removed
+		if removeErr := os.RemoveAll(dir); err == nil {
+			err = removeErr
 		}
 		return report, err
 	}
-	if err := os.WriteFile(filepath.Join(dir, "scenario.json"), s.JSON(), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "scenario.json"), scenario.JSON(), 0o600); err != nil {
 		return nil, err
 	}
 	if err := os.WriteFile(filepath.Join(dir, "breaches.txt"), []byte(report.String()), 0o600); err != nil {
 		return nil, err
 	}
-	if err := os.MkdirAll(keep, 0o755); err != nil {
+	if err := os.MkdirAll(keepDir, 0o755); err != nil {
 		return nil, err
 	}
-	kept := filepath.Join(keep, fmt.Sprintf("soak-%d", s.Seed))
-	if err := os.RemoveAll(kept); err != nil {
+	keptDir := filepath.Join(keepDir, fmt.Sprintf("soak-%d", scenario.Seed))
+	if err := os.RemoveAll(keptDir); err != nil {
 		return nil, err
 	}
-	return report, os.CopyFS(kept, os.DirFS(dir))
+	return report, os.CopyFS(keptDir, os.DirFS(dir))
 }
 
-// replayDay plays a day from its file, and shrinks it where that is asked for.
-func replayDay(cmd *cobra.Command, o soakOptions, binary string) error {
-	text, err := os.ReadFile(o.scenario)
+// replaySoak runs a scenario from its file, and shrinks it if the options say so and there are violations.
+func replaySoak(cmd *cobra.Command, options soakOptions, binary string) error {
+	text, err := os.ReadFile(options.scenarioPath)
 	if err != nil {
 		return err
 	}
-	s, err := soak.Read(text)
+	scenario, err := soak.Read(text)
 	if err != nil {
-		return fmt.Errorf("%s: %w", o.scenario, err)
+		return fmt.Errorf("%s: %w", options.scenarioPath, err)
 	}
-	report, err := playDay(s, binary, o.keep)
+	report, err := runSoak(scenario, binary, options.keepDir)
 	if err != nil {
 		return err
 	}
@@ -138,12 +140,12 @@
 	if len(report.Breaches) == 0 {
 		return nil
 	}
-	if o.shrink {
-		small := soak.Shrink(s, func(s *soak.Scenario) bool {
-			r, err := playDay(s, binary, o.keep)
-			return err == nil && len(r.Breaches) > 0
+	if options.shrink {
+		shrunk := soak.Shrink(scenario, func(candidate *soak.Scenario) bool {
+			shrunkReport, err := runSoak(candidate, binary, options.keepDir)
+			return err == nil && len(shrunkReport.Breaches) > 0
 		})
-		fmt.Fprintf(cmd.OutOrStdout(), "shrunk to %d faults:\n%s", len(small.Faults), small.JSON())
+		fmt.Fprintf(cmd.OutOrStdout(), "shrunk to %d faults:\n%s", len(shrunk.Faults), shrunk.JSON())
 	}
-	return errBroken
+	return errViolations
 }
--- a/cmd/finchlatch/swarm.go
+++ b/cmd/finchlatch/swarm.go
@@ -13,88 +13,90 @@
 	"finchlatch/model"
 )
 
-// shrinkRuns is how many runs one finding may be shrunk with.
+// shrinkRuns is the largest number of runs that shrinking one scenario may take.
 const shrinkRuns = 300
 
+// swarmCommand runs random scenarios in simulated time.
 func swarmCommand() *cobra.Command {
-	var runs, from uint64
-	var scenario, keep string
-	var shrink, first bool
-	c := &cobra.Command{Use: "swarm", Short: "Play many short random runs in simulated time, and name the seeds that break a rule",
-		Long: "Draws a fleet and a day of troubles from each seed and plays it. Oracles are the five rules, judged from the taps,\n" +
-			"books of circuits that add up, and circuits that are all free after quiet. A run that goes wrong is shrunk and\n" +
-			"printed as a scenario, which --scenario plays again. Exit status 1 where a run went wrong.",
+	var runs, firstSeed uint64
+	var scenarioPath, keepPrefix string
+	var shrink, stopAtFirst bool
+	c := &cobra.Command{Use: "swarm", Short: "Run many short random scenarios in simulated time, and name the seeds that violate a rule",
+		Long: "Draws a fleet and a fault schedule from each seed and runs them. Each run is checked for the five rules, from taps on the\n" +
+			"links, for consistent circuit accounting, and for circuits that are all free at the end. With --shrink, a run with\n" +
+			"violations is reduced and saved as a scenario file, which --scenario runs again. Exit status 1 if a run had violations.",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			if scenario != "" {
-				return playScenario(cmd, scenario, shrink)
+			if scenarioPath != "" {
+				return replaySimulated(cmd, scenarioPath, shrink)
 			}
-			var next, bad atomic.Uint64
-			next.Store(from)
+			var nextSeed, failed atomic.Uint64
+			nextSeed.Store(firstSeed)
 			var mu sync.Mutex
-			var all sync.WaitGroup
-			began := time.Now()
+			var workers sync.WaitGroup
+			startedAt := time.Now()
 			for range runtime.GOMAXPROCS(0) {
-				all.Add(1)
+				workers.Add(1)
 				go func() {
-					defer all.Done()
-					for seed := next.Add(1) - 1; seed < from+runs && cmd.Context().Err() == nil && !(first && bad.Load() > 0); seed = next.Add(1) - 1 {
-						s := model.Draw(seed)
-						if err := s.Run(nil); err != nil {
-							bad.Add(1)
+					defer workers.Done()
+					for seed := nextSeed.Add(1) - 1; seed < firstSeed+runs && cmd.Context().Err() == nil && !(stopAtFirst && failed.Load() > 0); seed = nextSeed.Add(1) - 1 {
+						scenario := model.Draw(seed)
+						if err := scenario.Run(nil); err != nil {
+							failed.Add(1)
 							mu.Lock()
-							fmt.Fprintf(cmd.OutOrStdout(), "%v\nagain: finchlatch swarm --from %d --runs 1\n", err, seed)
-							finding(cmd, s, fmt.Sprintf("%s-%d.json", keep, seed), shrink)
+							fmt.Fprintf(cmd.OutOrStdout(), "%v\nreplay: finchlatch swarm --from %d --runs 1\n", err, seed)
+							saveShrunk(cmd, scenario, fmt.Sprintf("%s-%d.json", keepPrefix, seed), shrink)
 							mu.Unlock()
 						}
 					}
 				}()
 			}
-			all.Wait()
-			done := min(next.Load()-from, runs)
-			fmt.Fprintf(cmd.OutOrStdout(), "%d runs from seed %d, %d of them bad, %.1f a second\n", done, from, bad.Load(),
-				float64(done)/time.Since(began).Seconds())
-			if bad.Load() > 0 {
-				return errBroken
+			workers.Wait()
+			done := min(nextSeed.Load()-firstSeed, runs)
+			fmt.Fprintf(cmd.OutOrStdout(), "%d runs from seed %d, %d of them bad, %.1f a second\n", done, firstSeed, failed.Load(),
+				float64(done)/time.Since(startedAt).Seconds())
+			if failed.Load() > 0 {
+				return errViolations
 			}
 			return nil
 		}}
-	c.Flags().Uint64Var(&runs, "runs", 200, "how many")
-	c.Flags().Uint64Var(&from, "from", 0, "seed of the first")
-	c.Flags().StringVar(&scenario, "scenario", "", "file with one scenario to play in place of drawn ones")
-	c.Flags().BoolVar(&shrink, "shrink", false, "cut what goes wrong down to what matters")
-	c.Flags().BoolVar(&first, "first", false, "begin no more runs once one went wrong")
-	c.Flags().StringVar(&keep, "keep", "found", "with --shrink: how the names of the files of findings begin")
+	c.Flags().Uint64Var(&runs, "runs", 200, "number of runs")
+	c.Flags().Uint64Var(&firstSeed, "from", 0, "seed of the first run")
+	c.Flags().StringVar(&scenarioPath, "scenario", "", "scenario file to run in place of drawn scenarios")
+	c.Flags().BoolVar(&shrink, "shrink", false, "reduce scenarios with violations to what causes them")
+	c.Flags().BoolVar(&stopAtFirst, "first", false, "start no more runs after one with violations")
+	c.Flags().StringVar(&keepPrefix, "keep", "found", "with --shrink: prefix of the names of scenario files")
 	return c
 }
 
-// finding shrinks a scenario that went wrong, and keeps it as a file.
-func finding(cmd *cobra.Command, s model.Scenario, file string, shrink bool) {
+// saveShrunk shrinks a scenario with violations and saves it as a file, if shrink is set.
+func saveShrunk(cmd *cobra.Command, scenario model.Scenario, file string, shrink bool) {
 	if !shrink {
 		return
 	}
-	small, why := model.Shrink(s, shrinkRuns, nil)
-	if err := os.WriteFile(file, small.JSON(), 0o644); err != nil {
+	shrunk, cause := model.Shrink(scenario, shrinkRuns, nil)
+	if err := os.WriteFile(file, shrunk.JSON(), 0o644); err != nil {
 		fmt.Fprintln(cmd.ErrOrStderr(), "finchlatch:", err)
 		return
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "shrunk to %d exchanges, %d troubles, %v: %v\nagain: finchlatch swarm --scenario %s\n", small.Exchanges,
-		len(small.Script.Steps), time.Duration(small.Script.Len), why, file)
+	fmt.Fprintf(cmd.OutOrStdout(), "shrunk to %d exchanges, %d faults, %v: %v\nreplay: finchlatch swarm --scenario %s\n", shrunk.Exchanges,
+		len(shrunk.Script.Steps), time.Duration(shrunk.Script.Len), cause, file)
 }
 
-func playScenario(cmd *cobra.Command, file string, shrink bool) error {
+// replaySimulated runs a scenario from its file.
+func replaySimulated(cmd *cobra.Command, file string, shrink bool) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	s, err := model.ReadScenario(file, string(text))
+	scenario, err := model.ReadScenario(file, string(text))
 	if err != nil {
 		return err
 	}
-	if err := s.Run(nil); err != nil {
+	if err := scenario.Run(nil); err != nil {
 		fmt.Fprintln(cmd.OutOrStdout(), err)
-		finding(cmd, s, file+".small.json", shrink)
-		return errBroken
+		saveShrunk(cmd, scenario, file+".small.json", shrink)
+		return errViolations
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), "rules kept, books add up, all circuits free after quiet")
+	fmt.Fprintln(cmd.OutOrStdout(), "rules kept, circuit accounting consistent, all circuits free at the end")
 	return nil
 }
--- a/cmd/finchlatch/try.go
+++ b/cmd/finchlatch/try.go
@@ -12,82 +12,84 @@
 	"finchlatch/internal/standin"
 )
 
+// tryCommand runs a fault schedule on a fleet.
 func tryCommand() *cobra.Command {
-	var set standin.FleetSettings
-	var script, level string
+	var settings standin.FleetSettings
+	var scriptPath, level string
 	var trace, simulated bool
-	c := &cobra.Command{Use: "try", Short: "Play a day of troubles on a fleet of call servers on loopback, and judge the rules",
-		Long: "Starts a fleet of exchanges in this process, each with its own call server, joined by M3UA over TCP on loopback,\n" +
-			"plays a script of troubles, and reports what callers met and whether the five rules were kept. Exit status 1\n" +
-			"on a broken rule. Kinds of trouble:\n",
+	c := &cobra.Command{Use: "try", Short: "Run a fault schedule on a fleet of call servers on loopback, and check the rules",
+		Long: "Starts a fleet of exchanges in this process, each with its own call server, connected by M3UA over TCP on loopback,\n" +
+			"runs a fault schedule, and reports the results of callers and whether the five rules were kept. Exit status 1 if a\n" +
+			"rule was violated. Kinds of faults and load changes:\n",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			day, err := plant.BadDay()
-			if script != "" {
+			script, err := plant.BadDay()
+			if scriptPath != "" {
 				var text []byte
-				if text, err = os.ReadFile(script); err == nil {
-					day, err = plant.ParseScript(script, string(text))
+				if text, err = os.ReadFile(scriptPath); err == nil {
+					script, err = plant.ParseScript(scriptPath, string(text))
 				}
 			}
 			if err != nil {
 				return err
 			}
-			log, err := logger(os.Stderr, level)
+			log, err := newLogger(os.Stderr, level)
 			if err != nil {
 				return err
 			}
-			set.Classes, set.Habits, set.Log = plant.DefaultClasses(), plant.DefaultHabits(), log
+			settings.Classes, settings.Habits, settings.Log = plant.DefaultClasses(), plant.DefaultHabits(), log
 			if simulated {
-				return simulate(cmd, set, day, trace)
+				return simulate(cmd, settings, script, trace)
 			}
-			return try(cmd, set, day, trace)
+			return tryOnLoopback(cmd, settings, script, trace)
 		}}
-	for _, k := range plant.KindNames() {
-		c.Long += "  " + k + "\n"
+	for _, kind := range plant.KindNames() {
+		c.Long += "  " + kind + "\n"
 	}
-	c.Flags().StringVar(&script, "script", "", "file with the troubles (Jsonnet); empty: the embedded bad day of a minute")
-	c.Flags().Uint64Var(&set.Seed, "seed", 1, "seed of callers, draws and troubles")
-	c.Flags().Float64Var(&set.Rate, "rate", 120, "first tries a second, of all callers together")
-	c.Flags().IntVar(&set.Exchanges, "exchanges", 12, "exchanges, each with its own call server")
-	c.Flags().Float64Var(&set.Asks, "asks", 0, "share of the tries that ask by ENUM first, 0 to 1")
-	c.Flags().IntVar(&set.Regions, "regions", 2, "regions that the exchanges lie in")
-	c.Flags().BoolVar(&simulated, "simulated", false, "play in simulated time, without sockets: the same run for the same seed")
-	c.Flags().BoolVar(&trace, "trace", false, "on a broken rule, list what passed on the circuits of the first call concerned")
-	c.Flags().StringVar(&level, "log", "error", "least level of the call servers' log lines")
+	c.Flags().StringVar(&scriptPath, "script", "", "file with the fault schedule (Jsonnet); empty: an embedded one of a minute")
+	c.Flags().Uint64Var(&settings.Seed, "seed", 1, "seed of the random numbers of callers and faults")
+	c.Flags().Float64Var(&settings.Rate, "rate", 120, "set-ups per second of all callers together, without redials")
+	c.Flags().IntVar(&settings.Exchanges, "exchanges", 12, "number of exchanges, each with its own call server")
+	c.Flags().Float64Var(&settings.Asks, "asks", 0, "share of set-ups that are preceded by an ENUM query, 0 to 1")
+	c.Flags().IntVar(&settings.Regions, "regions", 2, "number of regions that the exchanges are spread over")
+	c.Flags().BoolVar(&simulated, "simulated", false, "run in simulated time, without sockets; the same seed gives the same run")
+	c.Flags().BoolVar(&trace, "trace", false, "after a violation, list the messages on the circuits of the first call concerned")
+	c.Flags().StringVar(&level, "log", "error", "lowest level of the call servers' log lines")
 	return c
 }
 
-func try(cmd *cobra.Command, set standin.FleetSettings, day plant.Script, trace bool) error {
+// tryOnLoopback runs a fault schedule on a fleet whose call servers are connected over loopback sockets.
+func tryOnLoopback(cmd *cobra.Command, settings standin.FleetSettings, script plant.Script, trace bool) error {
 	out := cmd.OutOrStdout()
-	if set.Exchanges < 3 || set.Exchanges > 99 || set.Rate <= 0 || set.Rate > 5000 {
-		return fmt.Errorf("--exchanges takes 3 to 99, --rate 0 to 5000")
+	if settings.Exchanges < 3 || settings.Exchanges > 99 || settings.Rate <= 0 || settings.Rate > 5000 {
+		return fmt.Errorf("--exchanges must be 3 to 99, --rate more than 0 and at most 5000")
 	}
-	began := time.Now()
-	f, err := standin.NewFleet(set)
+	startedAt := time.Now()
+	fleet, err := standin.NewFleet(settings)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	fmt.Fprintf(out, "%d exchanges on loopback, %d circuits between each two, %.0f calls a second, %v, seed %d; up in %v\n", set.Exchanges,
-		f.Group, set.Rate, time.Duration(day.Len), set.Seed, time.Since(began).Round(time.Millisecond))
-	start := time.Now()
+	defer fleet.Close()
+	fmt.Fprintf(out, "%d exchanges on loopback, %d circuits between each two, %.0f calls a second, %v, seed %d; started in %v\n", settings.Exchanges,
+		fleet.Group, settings.Rate, time.Duration(script.Len), settings.Seed, time.Since(startedAt).Round(time.Millisecond))
+	playStart := time.Now()
 	stop := make(chan struct{})
 	ended := make(chan struct{})
-	go func() { // what has come so far, every few seconds
+	go func() { // prints the results so far every few seconds
 		defer close(ended)
-		tick := time.NewTicker(5 * time.Second)
-		defer tick.Stop()
+		ticker := time.NewTicker(5 * time.Second)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-tick.C:
-				done, stood := 0, 0
-				for _, o := range f.Results() {
+			case <-ticker.C:
+				done, established := 0, 0
+				for _, outcome := range fleet.Results() {
 					done++
-					if o.Stood && !o.Cut {
-						stood++
+					if outcome.Stood && !outcome.Cut {
+						established++
 					}
 				}
-				fmt.Fprintf(out, "%5.1f s  callers done %d, of them stood %d\n", time.Since(start).Seconds(), done, stood)
+				fmt.Fprintf(out, "%5.1f s  callers done %d, of them established %d\n", time.Since(playStart).Seconds(), done, established)
 			case <-stop:
 				return
 			case <-cmd.Context().Done():
@@ -95,18 +97,18 @@
 			}
 		}
 	}()
-	f.Play(day, func(text string) { fmt.Fprintf(out, "%5.1f s  %s\n", time.Since(start).Seconds(), text) })
+	fleet.Play(script, func(text string) { fmt.Fprintf(out, "%5.1f s  %s\n", time.Since(playStart).Seconds(), text) })
 	close(stop)
 	<-ended
-	r := f.Report()
-	r.Write(out)
-	if len(r.Verdict.Breaches) > 0 {
+	report := fleet.Report()
+	report.Write(out)
+	if len(report.Verdict.Breaches) > 0 {
 		if trace {
-			for _, line := range rulecheck.Trace(f.Rec.Records(), r.Verdict.Breaches[0].Call) {
+			for _, line := range rulecheck.Trace(fleet.Rec.Records(), report.Verdict.Breaches[0].Call) {
 				fmt.Fprintln(out, line)
 			}
 		}
-		return errBroken
+		return errViolations
 	}
 	return nil
 }
