--- a/bound/bound_test.go
+++ b/bound/bound_test.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// randomNetwork draws a network with two classes of calls.
+// randomNetwork draws a network whose two classes of calls have the widths 1 and 2.
 func randomNetwork(seed uint64, size int) Network {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	network := Network{Circuits: zeroMatrix(size), Classes: []Class{{1, 1, 4}, {3, 2, 4}}, Rate: [][][]float64{zeroMatrix(size), zeroMatrix(size)}}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -18,10 +18,10 @@
 
 // variant holds what distinguishes the policies.
 type variant struct {
-	maxOutstanding int                                                   // attempts that may be outstanding; 0: no limit
-	reserved       int                                                   // circuits that two-leg calls leave free on each leg (trunk reservation)
-	chooseTandem   func(policy *policy, dest *office, width int) *office // returns nil if none is usable; nil: no two-leg calls
-	sticky         bool                                                  // keep the tandem of a destination while it is usable and calls over it succeed
+	maxOutstanding int                                              // attempts that may be outstanding; 0: no limit
+	reserved       int                                              // circuits that two-leg calls leave free on each leg (trunk reservation)
+	chooseTandem   func(p *policy, dest *office, width int) *office // returns nil if none is usable; nil: no two-leg calls
+	sticky         bool                                             // keep the tandem of a destination while it is usable and calls over it succeed
 }
 
 // AdmitAll tries every call once, over its direct route, whatever the load.
@@ -233,8 +233,8 @@
 	}
 }
 
-// Outcome handles the end of an attempt. A call that is not established is tried over a tandem if the attempt certainly did
-// not take effect, and is refused otherwise.
+// Outcome handles the end of an attempt. A call that is not established is tried over a tandem if the attempt was blocked,
+// and so never took effect, and is refused otherwise.
 func (p *policy) Outcome(now time.Duration, outcome logic.Outcome) {
 	c := p.calls[outcome.Call]
 	if c == nil {
@@ -250,7 +250,8 @@
 			p.offices[c.Dest].tandem = nil
 		}
 	}
-	blocked := outcome.Status == logic.Full && outcome.Note%noteModulus != logic.NoteProcessor || outcome.Status == logic.NotSent && outcome.Note == logic.NoteCircuit
+	blocked := outcome.Status == logic.Full && outcome.Note%noteModulus != logic.NoteProcessor ||
+		outcome.Status == logic.NotSent && outcome.Note == logic.NoteCircuit
 	switch {
 	case outcome.Over || c.established:
 		delete(p.calls, outcome.Call)
--- a/lab/report.go
+++ b/lab/report.go
@@ -19,6 +19,7 @@
 //go:embed report.html
 var reportText string
 
+// reportTemplate is the parsed template of a report's page.
 var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"base64": func(b []byte) template.URL {
 		return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(b))
