--- a/internal/rulecheck/messages.go
+++ b/internal/rulecheck/messages.go
@@ -8,342 +8,351 @@
 	"finchlatch/m3ua"
 )
 
-// message follows one message at the tap of a call server.
-func (c *checker) message(s *server, r Record) {
-	frame, err := m3ua.Decode(r.Data)
+// handleMessage applies one M3UA message seen at the tap of a call server.
+func (c *checker) handleMessage(server *callServer, record Record) {
+	frame, err := m3ua.Decode(record.Data)
 	if err != nil {
-		c.v.Unread++
+		c.verdict.Unread++
 		return
 	}
 	if frame.Kind == m3ua.ASPACACK {
-		s.link(r.Peer).down = false
+		server.trunkGroup(record.Peer).inactive = false
 	}
 	if frame.Kind != m3ua.DATA {
 		return
 	}
 	data, err := m3ua.ReadProtocolData(frame)
 	if err != nil || data.SI != m3ua.ServiceISUP {
-		c.v.Unread++
+		c.verdict.Unread++
 		return
 	}
-	m, err := isup.Decode(data.Data)
+	message, err := isup.Decode(data.Data)
 	if err != nil {
-		c.v.Unread++
+		c.verdict.Unread++
 		return
 	}
-	l := s.link(r.Peer)
-	switch m.Type {
+	group := server.trunkGroup(record.Peer)
+	switch message.Type {
 	case isup.IAM:
-		c.setup(s, l, r, m)
+		c.handleIAM(server, group, record, message)
 	case isup.REL:
-		c.release(s, l, r, m)
+		c.handleREL(server, group, record, message)
 	case isup.RLC:
-		if !r.Out {
-			delete(l.releasing, m.CIC)
-			delete(l.resetting, m.CIC)
+		if !record.Out {
+			delete(group.releasing, message.CIC)
+			delete(group.resetting, message.CIC)
 		}
 	case isup.ANM, isup.CON, isup.ACM, isup.CPG:
-		c.backward(s, l, r, m)
+		c.handleBackward(server, group, record, message)
 	case isup.RSC:
-		c.reset(s, l, r, m, []uint16{m.CIC})
+		c.handleReset(server, group, record, message, []uint16{message.CIC})
 	case isup.GRA:
-		if rng, err := m.RangeStatus(); err == nil && !r.Out {
-			for i := 0; i <= rng.Range; i++ {
-				delete(l.resetting, m.CIC+uint16(i))
+		if rangeStatus, err := message.RangeStatus(); err == nil && !record.Out {
+			for i := 0; i <= rangeStatus.Range; i++ {
+				delete(group.resetting, message.CIC+uint16(i))
 			}
 		}
 	case isup.UCIC:
-		if g := l.out[m.CIC]; !r.Out && g != nil {
-			c.drop(s, l, g, r.At, false)
+		if leg := group.outgoing[message.CIC]; !record.Out && leg != nil {
+			c.dropLeg(server, group, leg, record.At, false)
 		}
 	case isup.GRS, isup.CGB:
-		c.group(s, l, r, m)
+		c.handleGroupMessage(server, group, record, message)
 	}
 }
 
-func (c *checker) group(s *server, l *link, r Record, m *isup.Message) {
-	rng, err := m.RangeStatus()
-	if err != nil || m.Type == isup.CGB && m.GroupKind() != isup.Hardware {
+// handleGroupMessage applies a GRS, or a CGB for hardware failures, to the circuits that it names.
+func (c *checker) handleGroupMessage(server *callServer, group *trunkGroup, record Record, message *isup.Message) {
+	rangeStatus, err := message.RangeStatus()
+	if err != nil || message.Type == isup.CGB && message.GroupKind() != isup.Hardware {
 		return
 	}
 	var cics []uint16
-	for i := 0; i <= rng.Range; i++ {
-		if m.Type == isup.GRS || rng.Bit(i) {
-			cics = append(cics, m.CIC+uint16(i))
+	for i := 0; i <= rangeStatus.Range; i++ {
+		if message.Type == isup.GRS || rangeStatus.Bit(i) {
+			cics = append(cics, message.CIC+uint16(i))
 		}
 	}
-	c.reset(s, l, r, m, cics)
+	c.handleReset(server, group, record, message, cics)
 }
 
-// reset ends whatever is on circuits. The caller of a call reset on its own side is not owed an answer.
-func (c *checker) reset(s *server, l *link, r Record, m *isup.Message, cics []uint16) {
+// handleReset ends the calls on circuits. A caller whose incoming leg is reset needs no answer.
+func (c *checker) handleReset(server *callServer, group *trunkGroup, record Record, message *isup.Message, cics []uint16) {
 	for _, cic := range cics {
-		for _, legs := range []map[uint16]*leg{l.in, l.out} {
-			for _, g := range legs {
-				if slices.Contains(g.cics, cic) {
-					l.cut[g.cics[0]] = g.cics
-					c.drop(s, l, g, r.At, true)
+		for _, legs := range []map[uint16]*callLeg{group.incoming, group.outgoing} {
+			for _, leg := range legs {
+				if slices.Contains(leg.cics, cic) {
+					group.resetCircuits[leg.cics[0]] = leg.cics
+					c.dropLeg(server, group, leg, record.At, true)
 				}
 			}
 		}
-		for first, held := range l.releasing {
-			if m.Type != isup.CGB && slices.Contains(held, cic) { // a block does not end a release
-				delete(l.releasing, first)
+		for first, held := range group.releasing {
+			if message.Type != isup.CGB && slices.Contains(held, cic) { // a block does not end a release
+				delete(group.releasing, first)
 			}
 		}
 	}
-	if r.Out && m.Type != isup.CGB { // until the acknowledgement these take no call
+	if record.Out && message.Type != isup.CGB { // these circuits accept no call until the acknowledgement
 		for _, cic := range cics {
-			l.resetting[cic] = true
+			group.resetting[cic] = true
 		}
 	}
 }
 
-// drop takes a leg off a link. An incoming one is excused; an outgoing one is over.
-func (c *checker) drop(s *server, l *link, g *leg, at time.Duration, release bool) {
-	if g.out {
-		if l.out[g.cics[0]] == g {
-			delete(l.out, g.cics[0])
+// dropLeg removes a leg from a trunk group. An incoming call then needs no answer; an unanswered outgoing leg ends its attempt.
+func (c *checker) dropLeg(server *callServer, group *trunkGroup, leg *callLeg, at time.Duration, startsRelease bool) {
+	if leg.outgoing {
+		if group.outgoing[leg.cics[0]] == leg {
+			delete(group.outgoing, leg.cics[0])
 		}
-		if !g.answered {
-			c.over(g, at, release)
+		if !leg.answered {
+			c.endAttempt(leg, at, startsRelease)
 		}
 		return
 	}
-	if l.in[g.cics[0]] == g {
-		delete(l.in, g.cics[0])
+	if group.incoming[leg.cics[0]] == leg {
+		delete(group.incoming, leg.cics[0])
 	}
-	if g.call.in == g {
-		g.call.excused = true
-		g.call.complete = true
+	if leg.call.incoming == leg {
+		leg.call.excused = true
+		leg.call.ended = true
 	}
 }
 
-// key is the calling party number, by which the legs of one try are told from all others.
-func key(m *isup.Message) string {
-	v, _ := m.Get(isup.ParamCallingNumber)
-	return string(v)
+// callingNumber returns the calling party number, which all legs of one call share and no other call has.
+func callingNumber(message *isup.Message) string {
+	number, _ := message.Get(isup.ParamCallingNumber)
+	return string(number)
 }
 
-func (c *checker) setup(s *server, l *link, r Record, m *isup.Message) {
-	set, err := m.Setup()
+// handleIAM applies an IAM: an attempt if the call server sent it, else a new call if the call server accepts it.
+func (c *checker) handleIAM(server *callServer, group *trunkGroup, record Record, message *isup.Message) {
+	setup, err := message.Setup()
 	if err != nil {
-		c.v.Unread++
+		c.verdict.Unread++
 		return
 	}
-	cics := set.Circuits(m.CIC)
-	if !r.Out && l.down {
+	cics := setup.Circuits(message.CIC)
+	if !record.Out && group.inactive {
 		return // DATA before ASPAC ACK reaches no user (RFC 4666 4.3.4.3): the ACK was lost on its way
 	}
-	if r.Out {
-		c.setupOut(s, l, r, m, cics)
+	if record.Out {
+		c.handleOutgoingIAM(server, group, record, message, cics)
 		return
 	}
-	if !c.takes(s, l, r, cics) {
+	if !c.acceptsIAM(server, group, record, cics) {
 		return
 	}
-	number := key(m)
-	k := s.calls[number]
-	if k != nil && !k.complete && k.in != nil && s.link(k.in.peer).in[k.in.cics[0]] == k.in {
-		if !c.orphan(s, k.in) {
-			c.breach(1, r.At, s, k, "the tap shows the same try twice: its calling number is not its own")
+	number := callingNumber(message)
+	call := server.calls[number]
+	if call != nil && !call.ended && call.incoming != nil &&
+		server.trunkGroup(call.incoming.peer).incoming[call.incoming.cics[0]] == call.incoming {
+		if !c.endedUpstream(server, call.incoming) {
+			c.violation(1, record.At, server, call, "two calls in progress have the same calling number")
 			return
 		}
-		k.excused = true
-	}
-	patience, ok := c.f.Patience[set.Category]
-	k = &call{number: number, taken: r.At, patience: patience - set.Elapsed, excused: !ok}
-	k.in = &leg{call: k, peer: r.Peer, cics: cics}
-	l.in[cics[0]] = k.in
-	s.calls[number] = k
-	c.v.Calls++
+		call.excused = true
+	}
+	patience, ok := c.parameters.Patience[setup.Category]
+	call = &callState{number: number, takenAt: record.At, patience: patience - setup.Elapsed, excused: !ok}
+	call.incoming = &callLeg{call: call, peer: record.Peer, cics: cics}
+	group.incoming[cics[0]] = call.incoming
+	server.calls[number] = call
+	c.verdict.Calls++
 }
 
-// orphan tells whether the call server that a leg came from has ended it, while the end of it is still on its way here or
-// was lost: a silent processor loses a GRS, and after the release wait the try goes out again. So it is where the leg before
-// it has been ended.
-func (c *checker) orphan(s *server, g *leg) bool {
-	from := c.servers[g.peer]
+// endedUpstream reports whether the call server that an incoming leg came from has ended it, while its REL or GRS is still on
+// the way or was lost: an unresponsive processor loses a GRS, and after the release time the call is attempted again. The same
+// holds if any leg further upstream has been ended.
+func (c *checker) endedUpstream(server *callServer, leg *callLeg) bool {
+	from := c.servers[leg.peer]
 	if from == nil {
 		return false
 	}
-	out := from.link(s.name).out[g.cics[0]]
-	if out == nil || out.call.number != g.call.number || !out.answered && out.call.attempt != out {
+	outgoing := from.trunkGroup(server.name).outgoing[leg.cics[0]]
+	if outgoing == nil || outgoing.call.number != leg.call.number || !outgoing.answered && outgoing.call.outstanding != outgoing {
 		return true
 	}
-	in := out.call.in
-	return in != nil && c.orphan(from, in)
+	incoming := outgoing.call.incoming
+	return incoming != nil && c.endedUpstream(from, incoming)
 }
 
-// takes tells whether a call server takes an incoming IAM: not while its own REL on the circuit is unanswered,
-// and not in a dual seizure that it wins (Q.764 2.9.1.4). One that it loses ends its own attempt.
-func (c *checker) takes(s *server, l *link, r Record, cics []uint16) bool {
-	var lost []*leg
+// acceptsIAM reports whether a call server accepts an incoming IAM. It does not while its own REL, RSC or GRS on one of the
+// circuits is unacknowledged, nor in a dual seizure that it wins (Q.764 2.9.1.4). A dual seizure that it loses ends its own
+// attempt.
+func (c *checker) acceptsIAM(server *callServer, group *trunkGroup, record Record, cics []uint16) bool {
+	var lost []*callLeg
 	for _, cic := range cics {
-		if l.resetting[cic] {
+		if group.resetting[cic] {
 			return false
 		}
-		for _, held := range l.releasing {
+		for _, held := range group.releasing {
 			if slices.Contains(held, cic) {
 				return false
 			}
 		}
-		for _, g := range l.out {
-			if !slices.Contains(g.cics, cic) {
+		for _, leg := range group.outgoing {
+			if !slices.Contains(leg.cics, cic) {
 				continue
 			}
-			if g.heard || c.controls(s.name, r.Peer, g.cics, cics) {
-				c.v.Dual++
+			if leg.progressed || c.controls(server.name, record.Peer, leg.cics, cics) {
+				c.verdict.Dual++
 				return false
 			}
-			lost = append(lost, g)
+			lost = append(lost, leg)
 		}
 	}
-	for _, g := range lost {
-		c.v.Dual++
-		c.drop(s, l, g, r.At, false)
+	for _, leg := range lost {
+		c.verdict.Dual++
+		c.dropLeg(server, group, leg, record.At, false)
 	}
 	return true
 }
 
-// controls tells whether the call of s on own goes before that of the peer on far.
-func (c *checker) controls(s, peer string, own, far []uint16) bool {
-	if len(own) != len(far) {
-		return len(own) > len(far)
+// controls reports whether the call of exchange prevails over that of peer in a dual seizure: the call with more circuits, else
+// the call of the exchange that controls the lower circuit, which for even numbers is the one with the higher point code.
+func (c *checker) controls(exchange, peer string, ownCICs, peerCICs []uint16) bool {
+	if len(ownCICs) != len(peerCICs) {
+		return len(ownCICs) > len(peerCICs)
 	}
-	return (c.f.PointCodes[s] > c.f.PointCodes[peer]) == (min(own[0], far[0])%2 == 0)
+	return (c.parameters.PointCodes[exchange] > c.parameters.PointCodes[peer]) == (min(ownCICs[0], peerCICs[0])%2 == 0)
 }
 
-func (c *checker) setupOut(s *server, l *link, r Record, m *isup.Message, cics []uint16) {
-	c.v.Attempts++
-	c.drained(s, r)
-	c.coldOut(s, r)
-	k := s.calls[key(m)]
-	if k == nil {
-		return // of a call taken before a kill
+// handleOutgoingIAM starts an attempt and checks all rules on it.
+func (c *checker) handleOutgoingIAM(server *callServer, group *trunkGroup, record Record, message *isup.Message, cics []uint16) {
+	c.verdict.Attempts++
+	c.checkDraining(server, record)
+	c.checkColdStart(server, record)
+	call := server.calls[callingNumber(message)]
+	if call == nil {
+		return // the call was taken before the call server was killed
 	}
-	if k.answers > 0 && r.At > k.answeredAt+c.f.Skew {
-		c.breach(1, r.At, s, k, "a set-up toward %s, %v after the final answer", r.Peer, r.At-k.answeredAt)
+	if call.answers > 0 && record.At > call.answeredAt+c.parameters.Skew {
+		c.violation(1, record.At, server, call, "a set-up toward %s, %v after the final answer", record.Peer, record.At-call.answeredAt)
 	}
-	if k.attempt != nil {
-		c.breach(2, r.At, s, k, "a set-up toward %s while one toward %s is out", r.Peer, k.attempt.peer)
+	if call.outstanding != nil {
+		c.violation(2, record.At, server, call, "a set-up toward %s while one toward %s is outstanding", record.Peer, call.outstanding.peer)
 	}
-	if k.barred && r.At+c.f.Skew < k.bar {
-		c.breach(5, r.At, s, k, "a set-up toward %s, %v before the release is over", r.Peer, k.bar-r.At)
+	if call.retryBarred && record.At+c.parameters.Skew < call.retryFrom {
+		c.violation(5, record.At, server, call, "a set-up toward %s, %v before the release time is over", record.Peer, call.retryFrom-record.At)
 	}
-	for first, held := range l.releasing { // its RLC was lost, and the end that seizes knows it to be over
+	for first, held := range group.releasing { // the RLC was lost at the tap; the call server seizes, so it has its release
 		if slices.ContainsFunc(held, func(x uint16) bool { return slices.Contains(cics, x) }) {
-			delete(l.releasing, first)
+			delete(group.releasing, first)
 		}
 	}
-	g := &leg{call: k, peer: r.Peer, cics: cics, out: true}
-	k.attempt, k.barred = g, false
-	l.out[cics[0]] = g
-	c.crossed(s, l, r, g)
+	leg := &callLeg{call: call, peer: record.Peer, cics: cics, outgoing: true}
+	call.outstanding, call.retryBarred = leg, false
+	group.outgoing[cics[0]] = leg
+	c.resolveCrossedIAM(server, group, record, leg)
 }
 
-// crossed handles an outgoing IAM that the tap shows behind the incoming one that it crossed.
-func (c *checker) crossed(s *server, l *link, r Record, g *leg) {
-	for _, in := range l.in {
-		if in.heard || !slices.ContainsFunc(in.cics, func(x uint16) bool { return slices.Contains(g.cics, x) }) {
+// resolveCrossedIAM settles a dual seizure in which the tap shows the outgoing IAM after the incoming one that it crossed.
+func (c *checker) resolveCrossedIAM(server *callServer, group *trunkGroup, record Record, leg *callLeg) {
+	for _, incoming := range group.incoming {
+		if incoming.progressed || !slices.ContainsFunc(incoming.cics, func(x uint16) bool { return slices.Contains(leg.cics, x) }) {
 			continue
 		}
-		c.v.Dual++
-		if c.controls(s.name, r.Peer, g.cics, in.cics) {
-			c.v.Calls--
-			c.drop(s, l, in, r.At, false)
+		c.verdict.Dual++
+		if c.controls(server.name, record.Peer, leg.cics, incoming.cics) {
+			c.verdict.Calls--
+			c.dropLeg(server, group, incoming, record.At, false)
 		} else {
-			c.drop(s, l, g, r.At, false)
+			c.dropLeg(server, group, leg, record.At, false)
 		}
 		return
 	}
 }
 
-func (c *checker) backward(s *server, l *link, r Record, m *isup.Message) {
-	answer := m.Type == isup.ANM || m.Type == isup.CON
-	if !r.Out {
-		if g := l.out[m.CIC]; g != nil {
-			g.heard = true
+// handleBackward applies ACM, CPG, ANM or CON. An answer is final for the outgoing leg that it arrives on, and for the call whose
+// incoming leg it is sent on.
+func (c *checker) handleBackward(server *callServer, group *trunkGroup, record Record, message *isup.Message) {
+	answer := message.Type == isup.ANM || message.Type == isup.CON
+	if !record.Out {
+		if leg := group.outgoing[message.CIC]; leg != nil {
+			leg.progressed = true
 			if answer {
-				g.answered = true
-				if g.call.attempt == g {
-					g.call.attempt = nil
+				leg.answered = true
+				if leg.call.outstanding == leg {
+					leg.call.outstanding = nil
 				}
 			}
 		}
 		return
 	}
-	g := l.in[m.CIC]
-	if g == nil {
+	leg := group.incoming[message.CIC]
+	if leg == nil {
 		return
 	}
-	g.heard = true
+	leg.progressed = true
 	switch {
-	case answer && !g.answered:
-		g.answered, g.again = true, false
-		c.answer(s, g.call, r.At, "it stands")
-	case answer && g.again:
-		g.again = false
+	case answer && !leg.answered:
+		leg.answered, leg.mayRepeat = true, false
+		c.recordAnswer(server, leg.call, record.At, "answered")
+	case answer && leg.mayRepeat:
+		leg.mayRepeat = false
 	case answer:
-		c.answer(s, g.call, r.At, "it stands once more")
+		c.recordAnswer(server, leg.call, record.At, "answered again")
 	}
 }
 
-// answer notes a final answer toward the caller.
-func (c *checker) answer(s *server, k *call, at time.Duration, what string) {
-	k.answers++
-	c.v.Answers++
-	if k.answers > 1 {
-		c.breach(1, at, s, k, "a second final answer: %s", what)
+// recordAnswer counts a final answer toward the caller and checks rule 1 on it.
+func (c *checker) recordAnswer(server *callServer, call *callState, at time.Duration, description string) {
+	call.answers++
+	c.verdict.Answers++
+	if call.answers > 1 {
+		c.violation(1, at, server, call, "a second final answer: %s", description)
 		return
 	}
-	k.answeredAt = at
-	if late := at - k.taken - k.patience; late > c.f.Slack && !k.excused {
-		c.breach(1, at, s, k, "the final answer (%s) is %v late", what, late)
+	call.answeredAt = at
+	if late := at - call.takenAt - call.patience; late > c.parameters.Slack && !call.excused {
+		c.violation(1, at, server, call, "the final answer (%s) is %v late", description, late)
 	}
 }
 
-func (c *checker) release(s *server, l *link, r Record, m *isup.Message) {
-	if in := l.in[m.CIC]; in != nil {
-		// On a blocked circuit an IAM seizes nothing: its refusal awaits no RLC, which may be lost.
-		seized := in.heard || m.Release().Cause != isup.CauseNetworkOutOfOrder
-		c.releaseIn(s, l, r, in)
-		if r.Out && seized {
-			l.releasing[in.cics[0]] = in.cics
+// handleREL applies a REL on either leg of a call.
+func (c *checker) handleREL(server *callServer, group *trunkGroup, record Record, message *isup.Message) {
+	if incoming := group.incoming[message.CIC]; incoming != nil {
+		// An IAM on a blocked circuit seizes nothing: its refusal does not wait for the RLC, which may be lost.
+		seized := incoming.progressed || message.Release().Cause != isup.CauseNetworkOutOfOrder
+		c.handleIncomingREL(server, group, record, incoming)
+		if record.Out && seized {
+			group.releasing[incoming.cics[0]] = incoming.cics
 		}
 		return
 	}
-	g := l.out[m.CIC]
-	if g == nil {
-		if r.Out { // of a call that a hardware block has ended
-			l.releasing[m.CIC] = append([]uint16{m.CIC}, l.cut[m.CIC]...)
+	leg := group.outgoing[message.CIC]
+	if leg == nil {
+		if record.Out { // for a call that a hardware block has ended
+			group.releasing[message.CIC] = append([]uint16{message.CIC}, group.resetCircuits[message.CIC]...)
 		}
 		return
 	}
-	delete(l.out, m.CIC)
-	if !g.answered {
-		c.over(g, r.At, r.Out || m.Release().Cause == isup.CauseTemporaryFailure)
+	delete(group.outgoing, message.CIC)
+	if !leg.answered {
+		c.endAttempt(leg, record.At, record.Out || message.Release().Cause == isup.CauseTemporaryFailure)
 	}
-	if r.Out {
-		l.releasing[g.cics[0]] = g.cics
+	if record.Out {
+		group.releasing[leg.cics[0]] = leg.cics
 	}
 }
 
-// releaseIn takes a REL on the caller's side: an answer where the call server sends it before the call stands,
-// a hang-up where the caller does.
-func (c *checker) releaseIn(s *server, l *link, r Record, in *leg) {
-	delete(l.in, in.cics[0])
-	k := in.call
-	k.complete = true
+// handleIncomingREL applies a REL on the incoming leg of a call that has not been answered: it is the final answer if the call
+// server sends it, and the caller hangs up if the caller sends it.
+func (c *checker) handleIncomingREL(server *callServer, group *trunkGroup, record Record, incoming *callLeg) {
+	delete(group.incoming, incoming.cics[0])
+	call := incoming.call
+	call.ended = true
 	switch {
-	case in.answered:
-	case r.Out:
-		in.heard = true
-		c.answer(s, k, r.At, "REL")
+	case incoming.answered:
+	case record.Out:
+		incoming.progressed = true
+		c.recordAnswer(server, call, record.At, "REL")
 	default:
-		k.hungUp = true
-		if wait := r.At - k.taken; wait > k.patience+c.f.Slack && !k.excused {
-			c.breach(1, r.At, s, k, "no final answer in %v, the caller waits %v", wait, k.patience)
+		call.hungUp = true
+		if wait := record.At - call.takenAt; wait > call.patience+c.parameters.Slack && !call.excused {
+			c.violation(1, record.At, server, call, "no final answer in %v, the caller's patience is %v", wait, call.patience)
 		}
 	}
 }
--- a/internal/rulecheck/platform.go
+++ b/internal/rulecheck/platform.go
@@ -7,182 +7,186 @@
 	"time"
 )
 
-// Platform judges the five rules on the platform's sockets from what passed on them alone: what callers sent and
-// heard, what reached offices and came back, and what the journal service told. Times may be of any one clock.
+// Platform checks the five rules for call servers on the platform, from the traffic of their sockets alone: the messages of
+// callers and offices, and the announcements of service discovery. Times may come from any clock, but all from the same one.
+// Methods report events to it, and Breaches returns the verdict. It is not safe for concurrent use.
 type Platform struct {
-	Release   time.Duration // rule 5
-	Grace     time.Duration // rule 3
-	Slack     time.Duration // every time limit is longer by this
-	Apart     time.Duration // how far apart things that were written one after the other on two connections may be seen
-	TipAfter  time.Duration // rule 4: a window,
-	Cold      float64       // and how many set-ups in it push an office over that has just started
-	Senders   int           // call servers that are judged together; more than one: what comes by chance is allowed for
-	calls     map[uint64]*platformCall
-	told      map[string]time.Duration
-	started   map[string]time.Duration
-	setUps    map[string][]time.Duration
-	faults    map[string][]linkFault
-	away      map[string]time.Duration // call servers without a connection of a caller
-	stalls    map[string][]stall
-	crossings int
-	lates     []lateBreach
-	breaches  []string
+	Release        time.Duration              // rule 5: wait after a failed attempt
+	Grace          time.Duration              // rule 3: time after an announcement in which set-ups may still be sent
+	Slack          time.Duration              // added to every time limit
+	TapSkew        time.Duration              // maximum time between the observations of consecutive writes on two connections
+	TipAfter       time.Duration              // rule 4: window in which set-ups are counted; 0: rule 4 is not checked
+	Cold           float64                    // rule 4: set-ups in the window above which a cold office is overloaded
+	CallServers    int                        // call servers checked together; more than one allow for coinciding set-ups
+	calls          map[uint64]*platformCall   // by call ID
+	announcedAt    map[string]time.Duration   // by office: when it was announced as draining or gone
+	startedAt      map[string]time.Duration   // by office
+	setUpTimes     map[string][]time.Duration // by office: set-ups in the last window
+	linkFaults     map[string][]linkFault     // by office
+	noCallersSince map[string]time.Duration   // call servers without a connection from a caller
+	stalls         map[string][]processStall  // by call server
+	crossings      int                        // set-ups that crossed the end of their connection
+	lateEvents     []lateEvent
+	violations     []string
 }
 
+// platformCall is the state of a call.
 type platformCall struct {
-	taken      time.Duration
-	due        time.Duration
-	over       bool // answered, or given up by the caller
-	answered   bool
-	answeredAt time.Duration
-	at         string // office of the attempt that is out
-	broken     time.Duration
-	wait       bool // the release is awaited
-	left       bool // its caller has gone,
-	leftAt     time.Duration
-	stands     standing
-	node       string
-	killed     bool // the process that took it was killed
+	takenAt         time.Duration
+	answerDue       time.Duration
+	finished        bool // answered, abandoned, or lost with its connection or call server
+	answered        bool
+	answeredAt      time.Duration
+	attemptOffice   string        // office of the outstanding attempt; empty: none
+	failedAt        time.Duration // end of the last failed attempt
+	awaitingRelease bool          // rule 5: no new attempt until the release time after failedAt is over
+	abandoned       bool          // the caller gave up before the answer
+	abandonedAt     time.Duration
+	established     establishedCall
+	node            string // call server that took the call
+	killed          bool   // the process that took it was killed
 }
 
-// NewPlatform makes a checker.
+// NewPlatform returns a checker with the parameters of rules 5, 3 and 1. Rule 4 is checked once TipAfter and Cold are set.
 func NewPlatform(release, grace, slack time.Duration) *Platform {
-	return &Platform{Release: release, Grace: grace, Slack: slack, calls: map[uint64]*platformCall{}, told: map[string]time.Duration{},
-		started: map[string]time.Duration{}, setUps: map[string][]time.Duration{}, faults: map[string][]linkFault{}, away: map[string]time.Duration{},
-		stalls: map[string][]stall{}}
+	return &Platform{Release: release, Grace: grace, Slack: slack, calls: map[uint64]*platformCall{},
+		announcedAt: map[string]time.Duration{}, startedAt: map[string]time.Duration{}, setUpTimes: map[string][]time.Duration{},
+		linkFaults: map[string][]linkFault{}, noCallersSince: map[string]time.Duration{}, stalls: map[string][]processStall{}}
 }
 
-func (p *Platform) breach(at time.Duration, rule int, call uint64, format string, a ...any) {
-	p.breaches = append(p.breaches, fmt.Sprintf("%v: rule %d: call %016x: %s", at, rule, call, fmt.Sprintf(format, a...)))
+// violation records a violation of a rule by a call.
+func (p *Platform) violation(at time.Duration, rule int, callID uint64, format string, args ...any) {
+	p.violations = append(p.violations, fmt.Sprintf("%v: rule %d: call %016x: %s", at, rule, callID, fmt.Sprintf(format, args...)))
 }
 
-// Taken tells of a set-up that reached the call server whole.
-func (p *Platform) Taken(at time.Duration, call uint64, patience time.Duration) {
-	p.calls[call] = &platformCall{taken: at, due: at + patience}
+// Taken reports that the complete set-up of a call has reached a call server.
+func (p *Platform) Taken(at time.Duration, callID uint64, patience time.Duration) {
+	p.calls[callID] = &platformCall{takenAt: at, answerDue: at + patience}
 }
 
-// GivenUp tells that a caller has stopped waiting: no answer is owed, and nothing goes out for it from then on.
-func (p *Platform) GivenUp(at time.Duration, call uint64) {
-	c := p.calls[call]
-	if c == nil {
+// GivenUp reports that a caller has given up: no answer is required, and no new attempt may start from then on.
+func (p *Platform) GivenUp(at time.Duration, callID uint64) {
+	call := p.calls[callID]
+	if call == nil {
 		return
 	}
-	c.stands.settled = true // also where the word crosses the answer
-	if !c.over {
-		c.over, c.left, c.leftAt = true, true, at
+	call.established.settled = true // also if the CANCEL crosses the answer
+	if !call.finished {
+		call.finished, call.abandoned, call.abandonedAt = true, true, at
 	}
 }
 
-// departed is how long after its caller has gone an attempt may still begin.
-const departed = 100 * time.Millisecond
+// abandonWindow is how long after its caller has given up an attempt may still start.
+const abandonWindow = 100 * time.Millisecond
 
-// Final tells of a final answer.
-func (p *Platform) Final(at time.Duration, call uint64, status int) {
-	c := p.calls[call]
+// Final reports a final answer to a caller, with its SIP status.
+func (p *Platform) Final(at time.Duration, callID uint64, status int) {
+	call := p.calls[callID]
 	switch {
-	case c == nil:
-		p.breach(at, 1, call, "an answer to a call that was never taken")
+	case call == nil:
+		p.violation(at, 1, callID, "an answer to a call that was never taken")
 		return
-	case c.answered:
-		p.breach(at, 1, call, "a second final answer")
-	case at > c.due+p.Slack && !c.over:
-		p.late(c.due+p.Slack, at, call, "an answer %v late", at-c.due)
-	}
-	c.over, c.answered, c.answeredAt = true, true, at
-	c.stands.stood = status == 200
-	if status >= 300 { // whatever stood unheard is over for its caller
-		if c.stands.over && !c.stands.settled && at > c.stands.due+p.Slack {
-			p.late(c.stands.due+p.Slack, at, call, "refused %v after it was over at %s", at-c.stands.since, c.stands.office)
+	case call.answered:
+		p.violation(at, 1, callID, "a second final answer")
+	case at > call.answerDue+p.Slack && !call.finished:
+		p.reportLate(call.answerDue+p.Slack, at, callID, "the final answer is %v late", at-call.answerDue)
+	}
+	call.finished, call.answered, call.answeredAt = true, true, at
+	call.established.answerDelivered = status == 200
+	if status >= 300 { // the call has ended for its caller, even if an office had established it and its answer was lost
+		if call.established.ended && !call.established.settled && at > call.established.noticeDue+p.Slack {
+			p.reportLate(call.established.noticeDue+p.Slack, at, callID, "refused %v after it had ended at %s",
+				at-call.established.endedAt, call.established.office)
 		}
-		c.stands.settled = true
+		call.established.settled = true
 	}
 }
 
-// SetUp tells of a set-up that reached an office.
-func (p *Platform) SetUp(at time.Duration, office string, call uint64) {
-	c := p.calls[call]
-	if c == nil {
-		p.breach(at, 1, call, "a set-up of a call that was never taken")
+// SetUp reports that a set-up has reached an office, and checks the rules on it.
+func (p *Platform) SetUp(at time.Duration, office string, callID uint64) {
+	call := p.calls[callID]
+	if call == nil {
+		p.violation(at, 1, callID, "a set-up for a call that was never taken")
 		return
 	}
-	if c.over && c.answered && at > c.answeredAt+p.Apart {
-		p.breach(at, 1, call, "a set-up %v after the final answer", at-c.answeredAt)
+	if call.finished && call.answered && at > call.answeredAt+p.TapSkew {
+		p.violation(at, 1, callID, "a set-up %v after the final answer", at-call.answeredAt)
 	}
-	if c.left && at > c.leftAt+departed+p.Slack {
-		p.breach(at, 1, call, "a set-up %v after its caller had gone", at-c.leftAt)
+	if call.abandoned && at > call.abandonedAt+abandonWindow+p.Slack {
+		p.violation(at, 1, callID, "a set-up %v after its caller had given up", at-call.abandonedAt)
 	}
-	if c.at != "" {
-		p.breach(at, 2, call, "a set-up at %s while one is out at %s", office, c.at)
+	if call.attemptOffice != "" {
+		p.violation(at, 2, callID, "a set-up at %s while one is outstanding at %s", office, call.attemptOffice)
 	}
-	if told, ok := p.told[office]; ok && at > told+p.Grace+p.Slack {
-		p.breach(at, 3, call, "a set-up at %s, told %v before", office, at-told)
+	if announcedAt, ok := p.announcedAt[office]; ok && at > announcedAt+p.Grace+p.Slack {
+		p.violation(at, 3, callID, "a set-up at %s, which was announced as draining or gone %v before", office, at-announcedAt)
 	}
-	if c.wait && at < c.broken+p.Release {
-		p.breach(at, 5, call, "a set-up %v after a broken one", at-c.broken)
+	if call.awaitingRelease && at < call.failedAt+p.Release {
+		p.violation(at, 5, callID, "a set-up %v after a failed attempt", at-call.failedAt)
 	}
-	c.at, c.wait = office, false
+	call.attemptOffice, call.awaitingRelease = office, false
 	if p.TipAfter > 0 {
-		p.load(at, office, call)
+		p.checkColdLoad(at, office, callID)
 	}
 }
 
-// load judges rule 4 on a window that ends now. What many call servers send by chance, each within its part, is twice the
-// root of their budget and two more.
-func (p *Platform) load(at time.Duration, office string, call uint64) {
-	p.setUps[office] = slices.DeleteFunc(append(p.setUps[office], at), func(t time.Duration) bool { return t <= at-p.TipAfter })
+// checkColdLoad checks rule 4 on the window that ends now. Call servers that each keep within their part of the budget may
+// exceed it together when their set-ups coincide: for more than one, twice the square root of the budget and two are added.
+func (p *Platform) checkColdLoad(at time.Duration, office string, callID uint64) {
+	p.setUpTimes[office] = slices.DeleteFunc(append(p.setUpTimes[office], at), func(t time.Duration) bool { return t <= at-p.TipAfter })
 	limit := p.Cold
-	if p.Senders > 1 {
+	if p.CallServers > 1 {
 		limit += 2*math.Sqrt(p.Cold) + 2
 	}
-	if started, ok := p.started[office]; ok && at < started+p.TipAfter && float64(len(p.setUps[office])) > limit {
-		p.breach(at, 4, call, "%d set-ups at %s within %v of its start, %.1f are borne", len(p.setUps[office]), office, at-started, limit)
+	if startedAt, ok := p.startedAt[office]; ok && at < startedAt+p.TipAfter && float64(len(p.setUpTimes[office])) > limit {
+		p.violation(at, 4, callID, "%d set-ups at %s within %v of its start, its limit is %.1f",
+			len(p.setUpTimes[office]), office, at-startedAt, limit)
 	}
 }
 
-// End tells that an attempt has ended: with an answer, a refusal, or broken (timed out, reset, cancelled).
-func (p *Platform) End(at time.Duration, office string, call uint64, broken bool) {
-	if c := p.calls[call]; c != nil && c.at == office {
-		c.at = ""
-		if broken {
-			c.broken, c.wait = at, true
+// End reports the end of an attempt by an answer or a refusal, or by a failure if it timed out, was reset or was cancelled.
+func (p *Platform) End(at time.Duration, office string, callID uint64, failed bool) {
+	if call := p.calls[callID]; call != nil && call.attemptOffice == office {
+		call.attemptOffice = ""
+		if failed {
+			call.failedAt, call.awaitingRelease = at, true
 		}
 	}
 }
 
-// Withdrawn tells that an office has read that the call server gave an attempt up: written before, by the slack at
-// most.
-func (p *Platform) Withdrawn(at time.Duration, office string, call uint64) {
-	p.End(at, office, call, true)
-	if c := p.calls[call]; c != nil && c.wait && c.broken == at {
-		c.broken -= p.Slack
+// Withdrawn reports that an office has read the cancel of an attempt. The call server wrote it at most the slack before.
+func (p *Platform) Withdrawn(at time.Duration, office string, callID uint64) {
+	p.End(at, office, callID, true)
+	if call := p.calls[callID]; call != nil && call.awaitingRelease && call.failedAt == at {
+		call.failedAt -= p.Slack
 	}
 }
 
-// Told tells that the journal service told of an office that drains or is gone.
+// Told reports that service discovery has announced an office as draining or gone.
 func (p *Platform) Told(at time.Duration, office string) {
-	if _, ok := p.told[office]; !ok {
-		p.told[office] = at
+	if _, ok := p.announcedAt[office]; !ok {
+		p.announcedAt[office] = at
 	}
 }
 
-// Started tells of an office that has just started.
-func (p *Platform) Started(at time.Duration, office string) { p.started[office] = at }
+// Started reports the cold start of an office.
+func (p *Platform) Started(at time.Duration, office string) { p.startedAt[office] = at }
 
-// Breaches ends the watch and gives all that was broken.
+// Breaches reports calls that are overdue at the end of the run, and returns all violations.
 func (p *Platform) Breaches(at time.Duration) []string {
-	var lost []uint64
-	for id, c := range p.calls {
-		if !c.over && at > c.due+p.Slack {
-			lost = append(lost, id)
+	var unanswered []uint64
+	for callID, call := range p.calls {
+		if !call.finished && at > call.answerDue+p.Slack {
+			unanswered = append(unanswered, callID)
 		}
 	}
-	slices.Sort(lost)
-	for _, id := range lost {
-		p.breach(at, 1, id, "no final answer")
+	slices.Sort(unanswered)
+	for _, callID := range unanswered {
+		p.violation(at, 1, callID, "no final answer")
 	}
-	for _, id := range p.untold(at) {
-		c := p.calls[id].stands
-		p.breach(at, 1, id, "over at %s since %v, and its caller has not been told", c.office, c.since)
+	for _, callID := range p.unnotified(at) {
+		established := p.calls[callID].established
+		p.violation(at, 1, callID, "ended at %s at %v, and its caller was not notified", established.office, established.endedAt)
 	}
-	return append(p.breaches, p.judgeLates()...)
+	return append(p.violations, p.unexcusedLateness()...)
 }
--- a/internal/rulecheck/platform_test.go
+++ b/internal/rulecheck/platform_test.go
@@ -15,39 +15,39 @@
 	return p
 }
 
-func TestPlatformKeepsQuietWhereRulesAreKept(t *testing.T) {
+func TestPlatformReportsNothingWhenRulesAreKept(t *testing.T) {
 	p := newPlatform()
 	p.SetUp(1*ms, "a", 1)
 	p.End(100*ms, "a", 1, true)
 	p.SetUp(301*ms, "a", 1)
 	p.Withdrawn(302*ms, "a", 1)
-	p.SetUp(460*ms, "a", 1) // the release was read late
+	p.SetUp(460*ms, "a", 1) // the office read the cancel late
 	p.Told(400*ms, "a")
 	p.End(470*ms, "a", 1, false)
 	p.Taken(500*ms, 2, time.Second)
 	p.SetUp(1400*ms, "a", 2)
 	p.GivenUp(1410*ms, 2)
 	p.End(1420*ms, "a", 2, false)
-	p.SetUp(1500*ms, "b", 2) // it crossed the word
+	p.SetUp(1500*ms, "b", 2) // it crossed the cancel
 	p.Final(471*ms, 1, 200)
 	if got := p.Breaches(10 * time.Second); len(got) != 0 {
 		t.Fatal(got)
 	}
 }
 
-// Each rule broken alone is found.
-func TestPlatformFindsEachBreach(t *testing.T) {
-	for name, tt := range map[string]struct {
-		rule string
-		play func(p *Platform)
+// Each rule violated alone is found.
+func TestPlatformFindsEachViolation(t *testing.T) {
+	for name, testCase := range map[string]struct {
+		rule   string
+		events func(p *Platform)
 	}{
-		"no answer":        {"rule 1", func(p *Platform) {}},
-		"a late answer":    {"rule 1", func(p *Platform) { p.Final(3100*ms, 1, 503) }},
-		"two answers":      {"rule 1", func(p *Platform) { p.Final(1*ms, 1, 503); p.Final(2*ms, 1, 200) }},
-		"after the answer": {"rule 1", func(p *Platform) { p.Final(1*ms, 1, 503); p.SetUp(2*ms, "a", 1) }},
-		"nobody's call":    {"rule 1", func(p *Platform) { p.Final(1*ms, 1, 503); p.SetUp(2*ms, "a", 9) }},
-		"two attempts":     {"rule 2", func(p *Platform) { p.SetUp(1*ms, "a", 1); p.SetUp(2*ms, "b", 1); p.Final(3*ms, 1, 200) }},
-		"a drained office": {"rule 3", func(p *Platform) { p.Told(0, "a"); p.SetUp(1100*ms, "a", 1); p.Final(1200*ms, 1, 200) }},
+		"no answer":         {"rule 1", func(p *Platform) {}},
+		"a late answer":     {"rule 1", func(p *Platform) { p.Final(3100*ms, 1, 503) }},
+		"two answers":       {"rule 1", func(p *Platform) { p.Final(1*ms, 1, 503); p.Final(2*ms, 1, 200) }},
+		"after the answer":  {"rule 1", func(p *Platform) { p.Final(1*ms, 1, 503); p.SetUp(2*ms, "a", 1) }},
+		"an unknown call":   {"rule 1", func(p *Platform) { p.Final(1*ms, 1, 503); p.SetUp(2*ms, "a", 9) }},
+		"two attempts":      {"rule 2", func(p *Platform) { p.SetUp(1*ms, "a", 1); p.SetUp(2*ms, "b", 1); p.Final(3*ms, 1, 200) }},
+		"a draining office": {"rule 3", func(p *Platform) { p.Told(0, "a"); p.SetUp(1100*ms, "a", 1); p.Final(1200*ms, 1, 200) }},
 		"a cold office": {"rule 4", func(p *Platform) {
 			p.Started(0, "a")
 			for i := range uint64(6) {
@@ -58,23 +58,23 @@
 			p.Final(1*ms, 1, 200)
 		}},
 		"a cold office and a fleet": {"rule 4", func(p *Platform) {
-			p.Senders = 30
+			p.CallServers = 30
 			p.Started(0, "a")
-			for i := range uint64(12) { // 5, and 6.5 by chance
+			for i := range uint64(12) { // the budget of 5, and 6.5 for coinciding set-ups
 				p.Taken(0, 10+i, 3*time.Second)
 				p.SetUp(time.Duration(i)*ms, "a", 10+i)
 				p.Final(time.Duration(i)*ms, 10+i, 200)
 			}
 			p.Final(1*ms, 1, 200)
 		}},
-		"a caller that left": {"rule 1", func(p *Platform) { p.GivenUp(100*ms, 1); p.SetUp(251*ms, "a", 1) }},
-		"no release after giving up": {"rule 5", func(p *Platform) {
+		"an abandoned call": {"rule 1", func(p *Platform) { p.GivenUp(100*ms, 1); p.SetUp(251*ms, "a", 1) }},
+		"no release time after a cancel": {"rule 5", func(p *Platform) {
 			p.SetUp(1*ms, "a", 1)
 			p.Withdrawn(100*ms, "a", 1)
 			p.SetUp(240*ms, "a", 1)
 			p.Final(300*ms, 1, 200)
 		}},
-		"no release": {"rule 5", func(p *Platform) {
+		"no release time": {"rule 5", func(p *Platform) {
 			p.SetUp(1*ms, "a", 1)
 			p.End(100*ms, "a", 1, true)
 			p.SetUp(250*ms, "a", 1)
@@ -82,9 +82,9 @@
 		}},
 	} {
 		p := newPlatform()
-		tt.play(p)
-		if got := p.Breaches(10 * time.Second); len(got) != 1 || !strings.Contains(got[0], tt.rule) {
-			t.Errorf("%s: %q, not one breach of %s", name, got, tt.rule)
+		testCase.events(p)
+		if got := p.Breaches(10 * time.Second); len(got) != 1 || !strings.Contains(got[0], testCase.rule) {
+			t.Errorf("%s: %q, not one violation of %s", name, got, testCase.rule)
 		}
 	}
 }
--- a/internal/rulecheck/rulecheck.go
+++ b/internal/rulecheck/rulecheck.go
@@ -1,6 +1,7 @@
-// Package rulecheck judges the five rules from what passed on the sockets of call servers, and from nothing that
-// a Router says of itself. It reads records of taps: the messages that each call server got and sent, what it was
-// told of the exchange list, and when processors started. Records of simulated runs have the same form.
+// Package rulecheck checks the five rules from outside the call servers, on the traffic of their sockets; it uses nothing
+// that a call server reports about itself. Check reads the records of taps: the messages that each call server received and
+// sent, the states of exchanges that service discovery announced to it, and the starts of processors. Simulated runs produce
+// the same records. Platform checks the rules while call servers run on the platform.
 package rulecheck
 
 import (
@@ -11,21 +12,21 @@
 	"time"
 )
 
-// Kind tells records apart.
+// Kind is the kind of a Record.
 type Kind byte
 
 // Kinds of record.
 const (
-	Message Kind = iota // Data passed on the connection of Exchange with Peer, written by Exchange if Out
-	Told                // Exchange was told that Peer is in State
-	Started             // the processor of Exchange started cold, with Capacity set-ups a second when warm
-	Killed              // the call server of Exchange ended without a drain
-	Lost                // the connection of Exchange with Peer ended
-	Asked               // the asker Peer sent Exchange a look-up: Data is a DNS message
-	Replied             // and got this answer
+	Message Kind = iota // Data passed on the connection between Exchange and Peer; Exchange sent it if Out is set
+	Told                // service discovery announced to Exchange that Peer is in State
+	Started             // the processor of Exchange started cold; after slow start its Capacity is in set-ups per second
+	Killed              // the call server of Exchange ended without draining
+	Lost                // the connection between Exchange and Peer was lost
+	Asked               // the ENUM client Peer sent a query to Exchange; Data is a DNS message
+	Replied             // Exchange sent the response in Data to the ENUM client Peer
 )
 
-// State is what a call server is told of an exchange.
+// State is the state of an exchange as announced by service discovery.
 type State byte
 
 // States of an exchange.
@@ -35,36 +36,36 @@
 	Gone
 )
 
-// Record is one line of a tap.
+// Record is one event seen by a tap. Kind determines which fields are set.
 type Record struct {
 	At       time.Duration
 	Kind     Kind
 	Exchange string
 	Peer     string
 	Out      bool
-	Data     []byte // a whole M3UA message
+	Data     []byte // a complete M3UA message; for Asked and Replied, a DNS message
 	State    State
-	Cold     bool // of Told: with news of a start
-	Capacity float64
+	Cold     bool    // for Told: the exchange was announced as just started
+	Capacity float64 // for Started: set-ups per second
 }
 
-// Figures are those of the rules, and what is known of the fleet.
+// Figures holds the parameters of the rules and facts about the fleet.
 type Figures struct {
 	Patience   map[byte]time.Duration // by calling party's category
 	PointCodes map[string]uint32
 	Clients    map[string]bool // peers that are clients
-	Grace      time.Duration   // rule 3
-	Release    time.Duration   // rule 5
-	TipAfter   time.Duration   // rule 4
-	Overload   float64
-	ColdFrom   float64
-	ColdFor    time.Duration
-	Slack      time.Duration // rule 1: an answer may be that much late at the tap
-	AskWithin  time.Duration // a look-up is answered within it
-	Skew       time.Duration // records of two sockets may be in the wrong order by that much
+	Grace      time.Duration   // rule 3: time after an announcement in which set-ups may still be sent
+	Release    time.Duration   // rule 5: wait after a failed attempt
+	TipAfter   time.Duration   // rule 4: window in which set-ups are counted
+	Overload   float64         // rule 4: multiple of its capacity that a cold exchange withstands
+	ColdFrom   float64         // rule 4: share of its capacity that an exchange has when it starts
+	ColdFor    time.Duration   // rule 4: time from its start to its full capacity
+	Slack      time.Duration   // rule 1: tolerated lateness of an answer at the tap
+	AskWithin  time.Duration   // rule 1: time limit for the response to a query
+	Skew       time.Duration   // maximum time by which records of two sockets are in the wrong order
 }
 
-// Breach is a rule broken.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule     int
 	At       time.Duration
@@ -73,38 +74,38 @@
 	Text     string
 }
 
-// String tells it in one line.
+// String formats a violation as one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("rule %d at %v: %s: call %x: %s", b.Rule, b.At.Round(time.Millisecond), b.Exchange, b.Call, b.Text)
 }
 
-// Verdict is what a run showed.
+// Verdict is the checker's report on a run: the violations and counts of what was checked.
 type Verdict struct {
 	Breaches []Breach
-	Calls    int // calls taken, counted at each call server
-	Answers  int
+	Calls    int // calls taken; a call over a tandem counts at each call server
+	Answers  int // final answers
 	Attempts int
 	Dual     int // dual seizures
-	Unread   int // messages that could not be read
-	Cold     int // cold starts watched
-	LookUps  int
-	Leases   int // look-ups that were granted a routing number
+	Unread   int // messages that could not be decoded
+	Cold     int // cold starts
+	LookUps  int // ENUM queries, without retransmissions
+	Leases   int // queries that were answered with a routing number
 }
 
-// Recorder collects records. It is safe for concurrent use.
+// Recorder collects records of concurrent taps. It is safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	records []Record
 }
 
-// Add keeps a record. Data is kept as it is and must not change.
-func (r *Recorder) Add(rec Record) {
+// Add appends a record. Its Data is not copied and must not be changed afterwards.
+func (r *Recorder) Add(record Record) {
 	r.mu.Lock()
-	r.records = append(r.records, rec)
+	r.records = append(r.records, record)
 	r.mu.Unlock()
 }
 
-// Records gives a copy in the order of time.
+// Records returns a copy of the records, sorted by time.
 func (r *Recorder) Records() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,167 +114,180 @@
 	return out
 }
 
-// Check judges records in the order of time. end is when the run ended: calls that still had time are left out.
-func Check(f Figures, records []Record, end time.Duration) Verdict {
-	c := &checker{f: f, servers: map[string]*server{}, cold: map[string]*coldStart{}, lookups: lookups{}, routings: map[string]*lookUp{},
-		killed: map[string]time.Duration{}}
+// Check checks the rules on records that are sorted by time. The run ended at end: calls whose patience and queries whose time
+// limit reach beyond it need no answer.
+func Check(parameters Figures, records []Record, end time.Duration) Verdict {
+	c := &checker{parameters: parameters, servers: map[string]*callServer{}, coldStarts: map[string]*coldStart{},
+		queries: queryTable{}, leases: map[string]*query{}, killedAt: map[string]time.Duration{}}
 	for _, r := range records {
-		c.take(r)
+		c.apply(r)
 	}
-	c.close(end)
-	slices.SortStableFunc(c.v.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	return c.v
+	c.finish(end)
+	slices.SortStableFunc(c.verdict.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	return c.verdict
 }
 
+// checker replays records and collects violations.
 type checker struct {
-	f       Figures
-	v       Verdict
-	servers map[string]*server
-	cold    map[string]*coldStart
-	lookups lookups
-	// the last look-up that a routing number was granted to, and the last kill of a call server
-	routings map[string]*lookUp
-	killed   map[string]time.Duration
+	parameters Figures
+	verdict    Verdict
+	servers    map[string]*callServer   // by exchange
+	coldStarts map[string]*coldStart    // by exchange
+	queries    queryTable               // by exchange, ENUM client and message ID
+	leases     map[string]*query        // by exchange and routing number: the last query that was granted it
+	killedAt   map[string]time.Duration // by exchange: time of its last kill
 }
 
-// server is what the checker knows of one call server.
-type server struct {
-	name  string
-	links map[string]*link
-	calls map[string]*call // by calling number
-	told  map[string]told
+// callServer is the state of one call server as seen at its taps.
+type callServer struct {
+	name           string
+	trunkGroups    map[string]*trunkGroup   // by peer
+	calls          map[string]*callState    // by calling number
+	exchangeStates map[string]exchangeState // by exchange, as announced to this call server
 }
 
-type told struct {
-	state State
-	at    time.Duration
-	cold  time.Duration // when it was told of the last start
+// exchangeState is what service discovery has announced of an exchange.
+type exchangeState struct {
+	state        State
+	since        time.Duration
+	startKnownAt time.Duration // when the last start was announced
 }
 
-// link is the circuits between a call server and a peer, as the tap shows them.
-type link struct {
-	in, out   map[uint16]*leg     // by the circuit that signals
-	releasing map[uint16][]uint16 // REL went out, no RLC yet: the circuits by the one that signals
-	cut       map[uint16][]uint16 // circuits of the last call that a reset or a hardware block has ended, by the first
-	down      bool                // its connection was lost, and no ASPAC ACK has passed since
-	resetting map[uint16]bool     // RSC or GRS went out, no answer yet; the far end's own resets change nothing
+// trunkGroup is the state of the circuits between a call server and a peer, as seen at the tap of the call server.
+type trunkGroup struct {
+	incoming, outgoing map[uint16]*callLeg // by signalled circuit
+	releasing          map[uint16][]uint16 // circuits with a REL sent and no RLC received, by signalled circuit
+	resetCircuits      map[uint16][]uint16 // circuits of the last call that a reset or hardware block ended, by its first circuit
+	inactive           bool                // the connection was lost, and no ASPAC ACK has passed since
+	resetting          map[uint16]bool     // RSC or GRS was sent and is unacknowledged; resets by the peer do not count
 }
 
-// leg is a call on a link.
-type leg struct {
-	call     *call
-	peer     string
-	cics     []uint16
-	out      bool
-	heard    bool // a message has come back
-	answered bool
-	again    bool // its connection was lost: an answer that may not have been read goes out once more
+// callLeg is the incoming or outgoing leg of a call on a trunk group.
+type callLeg struct {
+	call       *callState
+	peer       string
+	cics       []uint16
+	outgoing   bool
+	progressed bool // a message in the backward direction has passed
+	answered   bool
+	mayRepeat  bool // the connection was lost, so the answer may have been lost with it and is repeated once
 }
 
-// call is one call at one call server.
-type call struct {
-	number           string
-	taken, patience  time.Duration
-	in               *leg
-	attempt          *leg
-	answers          int
-	answeredAt, bar  time.Duration // bar: rule 5, no attempt before it
-	barred, excused  bool
-	hungUp, complete bool
+// callState is the state of one call at one call server.
+type callState struct {
+	number      string // calling number; for an ENUM query, the number asked for
+	takenAt     time.Duration
+	patience    time.Duration
+	incoming    *callLeg
+	outstanding *callLeg // the outstanding attempt
+	answers     int
+	answeredAt  time.Duration
+	retryFrom   time.Duration // rule 5: no attempt before this time while retryBarred
+	retryBarred bool
+	excused     bool // no final answer is required
+	hungUp      bool
+	ended       bool // the incoming leg has been released or reset
 }
 
-func (c *checker) breach(rule int, at time.Duration, s *server, k *call, format string, args ...any) {
+// violation adds a violation. A nil call stands for none in particular.
+func (c *checker) violation(rule int, at time.Duration, server *callServer, call *callState, format string, args ...any) {
 	number := "-"
-	if k != nil {
-		number = k.number
+	if call != nil {
+		number = call.number
 	}
-	c.v.Breaches = append(c.v.Breaches, Breach{rule, at, s.name, number, fmt.Sprintf(format, args...)})
+	c.verdict.Breaches = append(c.verdict.Breaches, Breach{rule, at, server.name, number, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) server(name string) *server {
-	s := c.servers[name]
-	if s == nil {
-		s = &server{name: name, links: map[string]*link{}, calls: map[string]*call{}, told: map[string]told{}}
-		c.servers[name] = s
+// callServer returns the state of a call server and creates it when first named.
+func (c *checker) callServer(name string) *callServer {
+	server := c.servers[name]
+	if server == nil {
+		server = &callServer{name: name, trunkGroups: map[string]*trunkGroup{}, calls: map[string]*callState{},
+			exchangeStates: map[string]exchangeState{}}
+		c.servers[name] = server
 	}
-	return s
+	return server
 }
 
-func (s *server) link(peer string) *link {
-	l := s.links[peer]
-	if l == nil {
-		l = &link{in: map[uint16]*leg{}, out: map[uint16]*leg{}, releasing: map[uint16][]uint16{}, resetting: map[uint16]bool{}, cut: map[uint16][]uint16{}}
-		s.links[peer] = l
+// trunkGroup returns the trunk group toward a peer and creates it when first named.
+func (s *callServer) trunkGroup(peer string) *trunkGroup {
+	group := s.trunkGroups[peer]
+	if group == nil {
+		group = &trunkGroup{incoming: map[uint16]*callLeg{}, outgoing: map[uint16]*callLeg{}, releasing: map[uint16][]uint16{},
+			resetting: map[uint16]bool{}, resetCircuits: map[uint16][]uint16{}}
+		s.trunkGroups[peer] = group
 	}
-	return l
+	return group
 }
 
-func (c *checker) take(r Record) {
-	s := c.server(r.Exchange)
-	switch r.Kind {
+// apply updates the state with one record and checks the rules on it.
+func (c *checker) apply(record Record) {
+	server := c.callServer(record.Exchange)
+	switch record.Kind {
 	case Message:
-		c.message(s, r)
+		c.handleMessage(server, record)
 	case Told:
-		t := s.told[r.Peer]
-		if r.State != t.state {
-			t.state, t.at = r.State, r.At
+		state := server.exchangeStates[record.Peer]
+		if record.State != state.state {
+			state.state, state.since = record.State, record.At
 		}
-		if r.Cold {
-			t.cold = r.At
+		if record.Cold {
+			state.startKnownAt = record.At
 		}
-		s.told[r.Peer] = t
+		server.exchangeStates[record.Peer] = state
 	case Started:
-		c.v.Cold++
-		c.cold[r.Exchange] = &coldStart{at: r.At, capacity: r.Capacity}
+		c.verdict.Cold++
+		c.coldStarts[record.Exchange] = &coldStart{startedAt: record.At, capacity: record.Capacity}
 	case Killed:
-		// What it held is the callers' to try again.
-		c.lookups.forget(r.Exchange)
-		c.killed[r.Exchange] = r.At
-		s.links, s.calls, s.told = map[string]*link{}, map[string]*call{}, map[string]told{}
+		// Callers retry what was pending at the killed call server.
+		c.queries.removeExchange(record.Exchange)
+		c.killedAt[record.Exchange] = record.At
+		server.trunkGroups, server.calls, server.exchangeStates = map[string]*trunkGroup{}, map[string]*callState{}, map[string]exchangeState{}
 	case Lost:
-		c.linkLost(s, r)
+		c.connectionLost(server, record)
 	case Asked, Replied:
-		c.lookUp(s, r)
+		c.checkQuery(server, record)
 	}
 }
 
-// linkLost ends the attempts that were out on a connection, as a reset does. Incoming calls stay owed.
-func (c *checker) linkLost(s *server, r Record) {
-	l := s.link(r.Peer)
-	l.down = true
-	for _, g := range l.out {
-		if !g.answered {
-			c.over(g, r.At, true)
+// connectionLost ends the outstanding attempts on a connection, as a reset does. Incoming calls stay open, but a final answer is
+// no longer required: it may be lost with the connection.
+func (c *checker) connectionLost(server *callServer, record Record) {
+	group := server.trunkGroup(record.Peer)
+	group.inactive = true
+	for _, leg := range group.outgoing {
+		if !leg.answered {
+			c.endAttempt(leg, record.At, true)
 		}
 	}
-	for _, g := range l.in {
-		g.call.excused, g.again = true, true
+	for _, leg := range group.incoming {
+		leg.call.excused, leg.mayRepeat = true, true
 	}
 }
 
-// over ends an attempt; release tells that rule 5 bars the next one for a while.
-func (c *checker) over(g *leg, at time.Duration, release bool) {
-	if g.call.attempt == g {
-		g.call.attempt = nil
-		if release {
-			g.call.bar, g.call.barred = at+c.f.Release, true
+// endAttempt ends an outstanding attempt. With startsRelease rule 5 bars the next attempt for the release time.
+func (c *checker) endAttempt(leg *callLeg, at time.Duration, startsRelease bool) {
+	if leg.call.outstanding == leg {
+		leg.call.outstanding = nil
+		if startsRelease {
+			leg.call.retryFrom, leg.call.retryBarred = at+c.parameters.Release, true
 		}
 	}
 }
 
-// close judges what was never answered.
-func (c *checker) close(end time.Duration) {
+// finish reports calls and queries that were never answered.
+func (c *checker) finish(end time.Duration) {
 	names := make([]string, 0, len(c.servers))
 	for n := range c.servers {
 		names = append(names, n)
 	}
 	slices.Sort(names)
-	c.closeLookUps(end)
+	c.finishQueries(end)
 	for _, n := range names {
-		s := c.servers[n]
-		for _, k := range s.calls {
-			if k.answers == 0 && !k.hungUp && !k.excused && end > k.taken+k.patience+c.f.Slack {
-				c.breach(1, k.taken+k.patience, s, k, "no final answer within %v", k.patience)
+		server := c.servers[n]
+		for _, call := range server.calls {
+			if call.answers == 0 && !call.hungUp && !call.excused && end > call.takenAt+call.patience+c.parameters.Slack {
+				c.violation(1, call.takenAt+call.patience, server, call, "no final answer within %v", call.patience)
 			}
 		}
 	}
--- a/internal/rulecheck/stalls.go
+++ b/internal/rulecheck/stalls.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// stall is a span in which a call server's process was ready to run and the machine did not run it, for some time in all.
-type stall struct{ from, until, lasted time.Duration }
-
-// lateBreach is a breach by lateness alone. It counts unless the machine kept the process from running for that long.
-type lateBreach struct {
-	node     string
-	due, at  time.Duration
-	breached string
+// processStall is a span in which the process of a call server was ready to run and had to wait for a processor; waited is the
+// sum of the waits within the span.
+type processStall struct{ from, until, waited time.Duration }
+
+// lateEvent is a violation by lateness alone. It is excused if the process was kept from running for at least as long.
+type lateEvent struct {
+	node      string
+	due, at   time.Duration
+	violation string
 }
 
-// Stalled tells that the machine did not run a call server's process for some time within a span, as the kernel counted it.
-func (p *Platform) Stalled(node string, from, until, lasted time.Duration) {
-	p.stalls[node] = append(p.stalls[node], stall{from, until, lasted})
+// AddStall records that the process of a call server waited to run for some time within a span, as the kernel counted it.
+func (p *Platform) AddStall(node string, from, until, waited time.Duration) {
+	p.stalls[node] = append(p.stalls[node], processStall{from, until, waited})
 }
 
-// late takes note of something that was due, with the slack, and came too late.
-func (p *Platform) late(due, at time.Duration, call uint64, format string, a ...any) {
-	p.lates = append(p.lates, lateBreach{node: p.calls[call].node, due: due, at: at,
-		breached: fmt.Sprintf("%v: rule 1: call %016x: %s", at, call, fmt.Sprintf(format, a...))})
+// reportLate records a violation of rule 1 by lateness; due includes the slack.
+func (p *Platform) reportLate(due, at time.Duration, callID uint64, format string, args ...any) {
+	p.lateEvents = append(p.lateEvents, lateEvent{node: p.calls[callID].node, due: due, at: at,
+		violation: fmt.Sprintf("%v: rule 1: call %016x: %s", at, callID, fmt.Sprintf(format, args...))})
 }
 
-// judgeLates gives the breaches by lateness that no stall explains.
-func (p *Platform) judgeLates() (breaches []string) {
-	for _, l := range p.lates {
-		if p.stalledFor(l.node, l.due, l.at) < l.at-l.due {
-			breaches = append(breaches, l.breached)
+// unexcusedLateness returns the violations by lateness that no stall excuses.
+func (p *Platform) unexcusedLateness() (violations []string) {
+	for _, event := range p.lateEvents {
+		if p.stalledFor(event.node, event.due, event.at) < event.at-event.due {
+			violations = append(violations, event.violation)
 		}
 	}
-	return breaches
+	return violations
 }
 
-// stalledFor is how long a process was kept from running in the spans that touch the time from one moment to another.
-func (p *Platform) stalledFor(node string, from, until time.Duration) (lasted time.Duration) {
-	for _, s := range p.stalls[node] {
-		if s.from <= until && s.until >= from {
-			lasted += s.lasted
+// stalledFor returns how long a process was kept from running in the spans that overlap the given one.
+func (p *Platform) stalledFor(node string, from, until time.Duration) (waited time.Duration) {
+	for _, stall := range p.stalls[node] {
+		if stall.from <= until && stall.until >= from {
+			waited += stall.waited
 		}
 	}
-	return lasted
+	return waited
 }
 
-// Excused is how much came late since the machine did not run the process.
-func (p *Platform) Excused() int { return len(p.lates) - len(p.judgeLates()) }
+// Excused returns the number of late events that are excused by stalls.
+func (p *Platform) Excused() int { return len(p.lateEvents) - len(p.unexcusedLateness()) }
--- a/internal/rulecheck/trace.go
+++ b/internal/rulecheck/trace.go
@@ -9,38 +9,38 @@
 	"finchlatch/m3ua"
 )
 
-// traceSpan is how long before and after a set-up its circuits are followed.
+// traceSpan is how long before and after a set-up the messages on its circuits are listed.
 const traceSpan = 8 * time.Second
 
-// place is a circuit as one call server sees it.
-type place struct {
+// circuitID names a circuit as seen by one call server.
+type circuitID struct {
 	exchange, peer string
 	cic            uint16
 }
 
-// Trace lists what passed at all call servers on the circuits of one call, around its set-ups, one message a line:
-// for finding the cause of a breach. Set-ups of the call itself are marked with a star.
+// Trace lists the messages that passed at all call servers on the circuits of one call around its set-ups, one per line, to
+// find the cause of a violation. Set-ups of the call itself are marked with an asterisk.
 func Trace(records []Record, number string) (lines []string) {
-	follow := map[place][]time.Duration{}
-	for _, r := range records {
-		if m, ok := isupIn(r); ok && m.Type == isup.IAM && key(m) == number {
-			p := place{r.Exchange, r.Peer, m.CIC}
-			follow[p] = append(follow[p], r.At)
+	followed := map[circuitID][]time.Duration{}
+	for _, record := range records {
+		if message, ok := isupMessage(record); ok && message.Type == isup.IAM && callingNumber(message) == number {
+			circuit := circuitID{record.Exchange, record.Peer, message.CIC}
+			followed[circuit] = append(followed[circuit], record.At)
 		}
 	}
-	near := func(p place, at time.Duration) bool {
-		return slices.ContainsFunc(follow[p], func(t time.Duration) bool { return max(t-at, at-t) < traceSpan })
+	isFollowed := func(circuit circuitID, at time.Duration) bool {
+		return slices.ContainsFunc(followed[circuit], func(t time.Duration) bool { return max(t-at, at-t) < traceSpan })
 	}
-	for _, r := range records {
-		if m, ok := isupIn(r); ok {
-			first, last := m.CIC, m.CIC
-			if m.Type == isup.GRS || m.Type == isup.GRA || m.Type == isup.CGB || m.Type == isup.CGU {
-				rng, _ := m.RangeStatus()
-				last += uint16(rng.Range)
+	for _, record := range records {
+		if message, ok := isupMessage(record); ok {
+			first, last := message.CIC, message.CIC
+			if message.Type == isup.GRS || message.Type == isup.GRA || message.Type == isup.CGB || message.Type == isup.CGU {
+				rangeStatus, _ := message.RangeStatus()
+				last += uint16(rangeStatus.Range)
 			}
 			for cic := first; cic <= last; cic++ {
-				if near(place{r.Exchange, r.Peer, cic}, r.At) {
-					lines = append(lines, describe(r, m, number))
+				if isFollowed(circuitID{record.Exchange, record.Peer, cic}, record.At) {
+					lines = append(lines, describe(record, message, number))
 					break
 				}
 			}
@@ -49,43 +49,45 @@
 	return lines
 }
 
-func describe(r Record, m *isup.Message, number string) string {
+// describe formats a message as one line of a trace.
+func describe(record Record, message *isup.Message, number string) string {
 	note, arrow := "", "<-"
-	switch m.Type {
+	switch message.Type {
 	case isup.IAM:
-		set, _ := m.Setup()
-		note = fmt.Sprintf(" %s width %d", set.Called.Digits, set.Width)
-		if key(m) == number {
+		setup, _ := message.Setup()
+		note = fmt.Sprintf(" %s width %d", setup.Called.Digits, setup.Width)
+		if callingNumber(message) == number {
 			note += " *"
 		}
 	case isup.REL:
-		note = fmt.Sprintf(" cause %d location %d", m.Release().Cause, m.Release().Location)
+		note = fmt.Sprintf(" cause %d location %d", message.Release().Cause, message.Release().Location)
 	}
-	if r.Out {
+	if record.Out {
 		arrow = "->"
 	}
-	return fmt.Sprintf("%v %s %s %s circuit %d %v%s", r.At.Round(time.Microsecond), r.Exchange, arrow, r.Peer, m.CIC, m.Type, note)
+	return fmt.Sprintf("%v %s %s %s circuit %d %v%s", record.At.Round(time.Microsecond), record.Exchange, arrow, record.Peer,
+		message.CIC, message.Type, note)
 }
 
-// isupIn finds the ISUP message of a record.
-func isupIn(r Record) (*isup.Message, bool) {
-	if r.Kind != Message {
+// isupMessage decodes the ISUP message of a record.
+func isupMessage(record Record) (*isup.Message, bool) {
+	if record.Kind != Message {
 		return nil, false
 	}
-	m, _, ok := ISUP(r.Data)
-	return m, ok
+	message, _, ok := ISUP(record.Data)
+	return message, ok
 }
 
-// ISUP finds the ISUP message in a whole M3UA message, and the DATA that it came in.
+// ISUP decodes the ISUP message in a complete M3UA message, and returns it with its protocol data.
 func ISUP(frame []byte) (*isup.Message, m3ua.ProtocolData, bool) {
-	m, err := m3ua.Decode(frame)
-	if err != nil || m.Kind != m3ua.DATA {
+	message, err := m3ua.Decode(frame)
+	if err != nil || message.Kind != m3ua.DATA {
 		return nil, m3ua.ProtocolData{}, false
 	}
-	p, err := m3ua.ReadProtocolData(m)
-	if err != nil || p.SI != m3ua.ServiceISUP {
-		return nil, p, false
+	protocolData, err := m3ua.ReadProtocolData(message)
+	if err != nil || protocolData.SI != m3ua.ServiceISUP {
+		return nil, protocolData, false
 	}
-	i, err := isup.Decode(p.Data)
-	return i, p, err == nil
+	decoded, err := isup.Decode(protocolData.Data)
+	return decoded, protocolData, err == nil
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -138,7 +138,7 @@
 	if !stands {
 		return
 	}
-	c.n.f.env.Judge(func(_ time.Duration, p *rulecheck.Platform) { p.HangsUp(call) })
+	c.n.f.env.Judge(func(_ time.Duration, p *rulecheck.Platform) { p.HungUp(call) })
 	c.n.f.counts.add("ended by their callers", 1)
 	c.say(fmt.Sprintf("BYE sip:x@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n", call))
 }
@@ -408,7 +408,7 @@
 	_, err = c.Read(make([]byte, 64))
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 		n.f.env.Judge(func(at time.Duration, p *rulecheck.Platform) {
-			p.Process(at, n.name, "a stranger got nothing in %v", at-began)
+			p.ProcessFault(at, n.name, "a stranger got nothing in %v", at-began)
 		})
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -66,7 +66,7 @@
 func (f *fleet) linkFault(nodes []*node, o *platform.Office, lasts time.Duration) {
 	f.env.Judge(func(at time.Duration, p *rulecheck.Platform) {
 		for _, n := range nodes {
-			p.LinkFault(n.name+"/"+o.Member.ID, at, at+lasts)
+			p.AddLinkFault(n.name+"/"+o.Member.ID, at, at+lasts)
 		}
 	})
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -68,7 +68,7 @@
 // newFleet makes all parts, without processes.
 func newFleet(s *Scenario, binary, dir string) (*fleet, error) {
 	check := rulecheck.NewPlatform(releaseWait, drainGrace, slack)
-	check.Apart = tapsApart
+	check.TapSkew = tapsApart
 	f := &fleet{scenario: s, binary: binary, dir: dir, env: platform.NewEnvironment(check), stop: make(chan struct{}), counts: newCounts(),
 		places: map[string]*place{}, where: map[uint64]*platform.Office{}, dest: map[uint64]int{}}
 	f.list = &directory{env: f.env, pos: 1}
@@ -173,7 +173,7 @@
 	o.Events = platform.OfficeEvents{
 		Stood: func(call uint64, _ string) { f.stood(call, o) },
 		Said: func(call uint64, _ string) {
-			f.env.Judge(func(_ time.Duration, p *rulecheck.Platform) { p.Said(call) })
+			f.env.Judge(func(_ time.Duration, p *rulecheck.Platform) { p.ReleaseWritten(call) })
 		},
 		Over: func(call uint64, node string, said bool) { f.over(call, o, node, said) },
 	}
@@ -199,7 +199,7 @@
 func (f *fleet) over(call uint64, o *platform.Office, node string, said bool) {
 	f.env.Judge(func(at time.Duration, p *rulecheck.Platform) {
 		within := rulecheck.ToldAfterEnd
-		if said && !p.Unreachable(node+"/"+o.Member.ID, at) {
+		if said && !p.HasLinkFault(node+"/"+o.Member.ID, at) {
 			within = rulecheck.ToldAfterRelease
 		}
 		p.Over(at, node+"/"+o.Member.ID, call, within)
@@ -275,7 +275,7 @@
 
 // fault tells the checker what a process did.
 func (f *fleet) fault(node, format string, a ...any) {
-	f.env.Judge(func(at time.Duration, p *rulecheck.Platform) { p.Process(at, node, format, a...) })
+	f.env.Judge(func(at time.Duration, p *rulecheck.Platform) { p.ProcessFault(at, node, format, a...) })
 }
 
 // sampleEvery is how often the limits of a process are looked at.
@@ -303,7 +303,7 @@
 		case <-sample.C:
 			waits, now := p.waits(), n.f.env.Now()
 			if stalled := waits.since(before); stalled >= stallNoted {
-				n.f.env.Judge(func(_ time.Duration, p *rulecheck.Platform) { p.Stalled(n.name, looked, now, stalled) })
+				n.f.env.Judge(func(_ time.Duration, p *rulecheck.Platform) { p.AddStall(n.name, looked, now, stalled) })
 			}
 			before, looked = waits, now
 			memory, descriptors := p.usage()
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -101,8 +101,8 @@
 func (f *fleet) judgeHeld(at time.Duration, p *rulecheck.Platform) {
 	for _, place := range f.offices {
 		for call, node := range place.office.Held() {
-			if name := node + "/" + place.office.Member.ID; !p.Faulty(name, at) {
-				p.Held(at, name, call)
+			if name := node + "/" + place.office.Member.ID; !p.HadLinkFault(name, at) {
+				p.CheckHeld(at, name, call)
 			}
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -105,7 +105,7 @@
 		}{day, seen}
 	}
 	for _, k := range []Kind{Vanish, Die, ReplaceHard, HangThenDie} {
-		add(k, "its caller has not been told", quietDay(4*time.Second, one(k, lasts)))
+		add(k, "its caller was not notified", quietDay(4*time.Second, one(k, lasts)))
 	}
 	add(Hang, " late", quietDay(4*time.Second, one(Hang, lasts)))
 	add(OneWayOut, " late", quietDay(4*time.Second, one(OneWayOut, lasts)))
@@ -131,16 +131,16 @@
 	for _, k := range []Kind{Restart, RestartHup} {
 		day := quietDay(4*time.Second, Fault{Kind: k, At: at, For: lasts})
 		day.Deployment.Hold = Span(3 * time.Second)
-		add(k, "has not been told", day)
+		add(k, "was not notified", day)
 	}
-	add(Kill, "has not been told", quietDay(4*time.Second, Fault{Kind: Kill, At: at}))
+	add(Kill, "was not notified", quietDay(4*time.Second, Fault{Kind: Kill, At: at}))
 	crowd := quietDay(4*time.Second, one(Crowd, lasts))
 	crowd.Deployment.Sockets = 64
 	add(Crowd, "descriptors of 64", crowd)
 	add(Strangers, "a stranger got nothing", quietDay(4*time.Second, one(Strangers, lasts)))
 	away := quietDay(4*time.Second, one(CallersGone, Span(500*time.Millisecond)))
 	away.Deployment.Hold = Span(2 * time.Second)
-	add(CallersGone, "has not been told", away)
+	add(CallersGone, "was not notified", away)
 	return days
 }
 
