--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -86,8 +86,8 @@
 	rec.simple(510, "a", "c", false, isup.RLC, 6)
 }
 
-func violatedRules(v Verdict) (out []int) {
-	for _, b := range v.Breaches {
+func violatedRules(verdict Verdict) (out []int) {
+	for _, b := range verdict.Breaches {
 		out = append(out, b.Rule)
 	}
 	return out
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -11,14 +11,14 @@
 // the given length. The order of all random draws is part of the meaning of a seed.
 func Draw(seed uint64, length time.Duration) *Scenario {
 	r := rand.New(rand.NewPCG(seed, 0x50a4))
-	s := &Scenario{Seed: seed, Nodes: 3 + r.IntN(4), Length: Span(length), Rate: 4 + 16*r.Float64(), Deployment: drawDeployment(r),
+	scenario := &Scenario{Seed: seed, Nodes: 3 + r.IntN(4), Length: Span(length), Rate: 4 + 16*r.Float64(), Deployment: drawDeployment(r),
 		Callers: drawCallers(r)}
-	faultPatterns[seed%uint64(len(faultPatterns))](s, r)
+	faultPatterns[seed%uint64(len(faultPatterns))](scenario, r)
 	for range 2 + r.IntN(5) {
-		s.addFault(r, backgroundKinds[r.IntN(len(backgroundKinds))], randomDuration(r, 0, length),
+		scenario.addFault(r, backgroundKinds[r.IntN(len(backgroundKinds))], randomDuration(r, 0, length),
 			randomDuration(r, time.Second, 6*time.Second))
 	}
-	return s
+	return scenario
 }
 
 // randomDuration draws a duration in whole milliseconds above the shortest one.
@@ -77,100 +77,100 @@
 	Kill, ConnectionFlood, UnknownClients, Die, Replace}
 
 // faultPatterns are combinations of related faults. The seed of a Scenario selects one.
-var faultPatterns = []func(s *Scenario, r *rand.Rand){patternLostOffices, patternFailureLimit, patternShutdowns, patternDiscovery,
+var faultPatterns = []func(scenario *Scenario, r *rand.Rand){patternLostOffices, patternFailureLimit, patternShutdowns, patternDiscovery,
 	patternPeers, patternNetwork, patternReplaced, patternNoCallers}
 
 // firstFaultAt is the time at which the faults of most patterns begin, give or take a second; calls are established by then.
 const firstFaultAt = 5 * time.Second
 
 // patternLostOffices loses offices with established calls while service discovery is down or silent.
-func patternLostOffices(s *Scenario, r *rand.Rand) {
+func patternLostOffices(scenario *Scenario, r *rand.Rand) {
 	kinds := []Kind{DiscoveryDown, DiscoveryCut, DiscoveryMute}
-	s.Deployment.Hold = Span(randomDuration(r, 6*time.Second, 15*time.Second))
+	scenario.Deployment.Hold = Span(randomDuration(r, 6*time.Second, 15*time.Second))
 	at := randomDuration(r, firstFaultAt, firstFaultAt+3*time.Second)
-	s.addFault(r, kinds[r.IntN(len(kinds))], at-500*time.Millisecond, randomDuration(r, 10*time.Second, 14*time.Second)).Node = -1
+	scenario.addFault(r, kinds[r.IntN(len(kinds))], at-500*time.Millisecond, randomDuration(r, 10*time.Second, 14*time.Second)).Node = -1
 	for range 1 + r.IntN(2) {
-		s.addFault(r, MachineLost, at, randomDuration(r, 9*time.Second, 13*time.Second)).LateNotice = true
+		scenario.addFault(r, MachineLost, at, randomDuration(r, 9*time.Second, 13*time.Second)).LateNotice = true
 	}
 }
 
 // patternFailureLimit has a partition heal just before or after the offices behind it count as failed.
-func patternFailureLimit(s *Scenario, r *rand.Rand) {
-	s.Deployment.Hold = Span(15 * time.Second)
+func patternFailureLimit(scenario *Scenario, r *rand.Rand) {
+	scenario.Deployment.Hold = Span(15 * time.Second)
 	limit := liveness.FailAfter
 	duration := limit - 200*time.Millisecond
 	if r.IntN(2) == 0 {
 		duration = limit + 200*time.Millisecond
 	}
-	s.addFault(r, DiscoveryMute, firstFaultAt-time.Second, 12*time.Second).Node = -1
-	s.addFault(r, Partition, firstFaultAt, duration)
-	s.addFault(r, Partition, firstFaultAt+time.Second, randomDuration(r, time.Second, 7*time.Second))
+	scenario.addFault(r, DiscoveryMute, firstFaultAt-time.Second, 12*time.Second).Node = -1
+	scenario.addFault(r, Partition, firstFaultAt, duration)
+	scenario.addFault(r, Partition, firstFaultAt+time.Second, randomDuration(r, time.Second, 7*time.Second))
 }
 
 // patternShutdowns restarts call servers one after another while offices hang, end or are replaced.
-func patternShutdowns(s *Scenario, r *rand.Rand) {
+func patternShutdowns(scenario *Scenario, r *rand.Rand) {
 	at := firstFaultAt
-	for i := range s.Nodes {
+	for i := range scenario.Nodes {
 		kind := Restart
 		if r.IntN(2) == 0 {
 			kind = RestartWithReload
 		}
-		s.addFault(r, kind, at, randomDuration(r, 0, 2*time.Second)).Node = i
+		scenario.addFault(r, kind, at, randomDuration(r, 0, 2*time.Second)).Node = i
 		at += randomDuration(r, 200*time.Millisecond, 2*time.Second)
 	}
 	kinds := []Kind{Hang, HangThenDie, MachineLost, ReplaceHard}
 	for range 2 {
-		s.addFault(r, kinds[r.IntN(len(kinds))], randomDuration(r, firstFaultAt-time.Second, firstFaultAt+2*time.Second),
+		scenario.addFault(r, kinds[r.IntN(len(kinds))], randomDuration(r, firstFaultAt-time.Second, firstFaultAt+2*time.Second),
 			randomDuration(r, 2*time.Second, 7*time.Second)).ComesBack = true
 	}
 }
 
 // patternDiscovery has a fault of service discovery, a drain close to its end, and new configurations in quick succession.
-func patternDiscovery(s *Scenario, r *rand.Rand) {
+func patternDiscovery(scenario *Scenario, r *rand.Rand) {
 	kinds := []Kind{DiscoveryDown, DiscoveryCut, DiscoveryMute, DiscoverySlow, DiscoveryTruncated}
 	duration := randomDuration(r, 2*time.Second, 9*time.Second)
-	s.addFault(r, kinds[r.IntN(len(kinds))], firstFaultAt, duration).Node = -1
+	scenario.addFault(r, kinds[r.IntN(len(kinds))], firstFaultAt, duration).Node = -1
 	offset := []time.Duration{-5 * time.Millisecond, 5 * time.Millisecond}[r.IntN(2)]
-	s.addFault(r, Replace, firstFaultAt+duration+offset, randomDuration(r, time.Second, 3*time.Second))
+	scenario.addFault(r, Replace, firstFaultAt+duration+offset, randomDuration(r, time.Second, 3*time.Second))
 	at := firstFaultAt + duration
 	for range 4 {
 		kind := []Kind{Reload, ReloadSeries}[r.IntN(2)]
-		s.addFault(r, kind, at, 0)
+		scenario.addFault(r, kind, at, 0)
 		at += randomDuration(r, 0, 2*time.Second)
 	}
 }
 
 // patternPeers has misbehaving callers, unknown clients, a connection flood and corrupted answers of offices.
-func patternPeers(s *Scenario, r *rand.Rand) {
-	s.Callers.CancelShare, s.Callers.DisconnectShare, s.Callers.InPiecesShare = 0.15, 0.08, 0.15
-	s.addFault(r, UnknownClients, firstFaultAt, 6*time.Second).Node = -1
-	s.addFault(r, ConnectionFlood, firstFaultAt+time.Second, 5*time.Second)
+func patternPeers(scenario *Scenario, r *rand.Rand) {
+	scenario.Callers.CancelShare, scenario.Callers.DisconnectShare, scenario.Callers.InPiecesShare = 0.15, 0.08, 0.15
+	scenario.addFault(r, UnknownClients, firstFaultAt, 6*time.Second).Node = -1
+	scenario.addFault(r, ConnectionFlood, firstFaultAt+time.Second, 5*time.Second)
 	for range 2 {
-		s.addFault(r, CorruptAnswers, randomDuration(r, 2*time.Second, firstFaultAt), randomDuration(r, 3*time.Second, 10*time.Second))
+		scenario.addFault(r, CorruptAnswers, randomDuration(r, 2*time.Second, firstFaultAt), randomDuration(r, 3*time.Second, 10*time.Second))
 	}
 }
 
 // patternNetwork has partitions, one-way losses, resets, and connections that are established late or closed early.
-func patternNetwork(s *Scenario, r *rand.Rand) {
+func patternNetwork(scenario *Scenario, r *rand.Rand) {
 	kinds := []Kind{Partition, OneWayOut, OneWayIn, Resets, LateConnections, EarlyClose}
 	for range 6 {
-		s.addFault(r, kinds[r.IntN(len(kinds))], randomDuration(r, 2*time.Second, firstFaultAt+6*time.Second),
+		scenario.addFault(r, kinds[r.IntN(len(kinds))], randomDuration(r, 2*time.Second, firstFaultAt+6*time.Second),
 			randomDuration(r, 500*time.Millisecond, 6*time.Second))
 	}
 }
 
 // patternReplaced starts successors at the addresses of offices while service discovery cannot announce them.
-func patternReplaced(s *Scenario, r *rand.Rand) {
-	s.Deployment.Hold = Span(randomDuration(r, 6*time.Second, 15*time.Second))
-	s.addFault(r, DiscoveryMute, firstFaultAt-time.Second, randomDuration(r, 11*time.Second, 14*time.Second)).Node = -1
-	s.addFault(r, ReplaceHard, firstFaultAt, randomDuration(r, 9*time.Second, 12*time.Second))
-	s.addFault(r, HangThenDie, firstFaultAt+time.Second, randomDuration(r, 2*time.Second, 6*time.Second)).ComesBack = true
+func patternReplaced(scenario *Scenario, r *rand.Rand) {
+	scenario.Deployment.Hold = Span(randomDuration(r, 6*time.Second, 15*time.Second))
+	scenario.addFault(r, DiscoveryMute, firstFaultAt-time.Second, randomDuration(r, 11*time.Second, 14*time.Second)).Node = -1
+	scenario.addFault(r, ReplaceHard, firstFaultAt, randomDuration(r, 9*time.Second, 12*time.Second))
+	scenario.addFault(r, HangThenDie, firstFaultAt+time.Second, randomDuration(r, 2*time.Second, 6*time.Second)).ComesBack = true
 }
 
 // patternNoCallers loses an office while no caller is connected; callers connect again later.
-func patternNoCallers(s *Scenario, r *rand.Rand) {
-	s.Deployment.Hold = Span(15 * time.Second)
-	s.addFault(r, DiscoveryDown, firstFaultAt-200*time.Millisecond, 12*time.Second).Node = -1
-	s.addFault(r, CallersDisconnected, firstFaultAt-100*time.Millisecond, 6*time.Second).Node = -1
-	s.addFault(r, MachineLost, firstFaultAt, 12*time.Second).LateNotice = true
+func patternNoCallers(scenario *Scenario, r *rand.Rand) {
+	scenario.Deployment.Hold = Span(15 * time.Second)
+	scenario.addFault(r, DiscoveryDown, firstFaultAt-200*time.Millisecond, 12*time.Second).Node = -1
+	scenario.addFault(r, CallersDisconnected, firstFaultAt-100*time.Millisecond, 6*time.Second).Node = -1
+	scenario.addFault(r, MachineLost, firstFaultAt, 12*time.Second).LateNotice = true
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,7 +13,7 @@
 var faultActions map[Kind]func(f *fleet, fault Fault)
 
 func init() { // not an initializer, so that functions in the table may use it without an initialization cycle
-	faultActions = map[Kind]func(f *fleet, x Fault){
+	faultActions = map[Kind]func(f *fleet, fault Fault){
 		MachineLost:         (*fleet).loseMachine,
 		Partition:           linkFaultAction(platform.Cut{Out: true, In: true, New: true}),
 		OneWayOut:           linkFaultAction(platform.Cut{Out: true, New: true}),
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -266,13 +266,13 @@
 
 // awaitReady repeats health checks until one is passed. It reports a violation when the time limit is over, and returns an error
 // when the process has ended.
-func (n *node) awaitReady(p *process) error {
+func (n *node) awaitReady(process *process) error {
 	startedAt := n.fleet.env.Now()
 	for n.fleet.env.Now()-startedAt < readyWithin {
 		if n.healthCheck() {
 			return nil
 		}
-		if !p.running() {
+		if !process.running() {
 			return fmt.Errorf("%s: the process has ended before it was ready", n.name)
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -293,30 +293,30 @@
 const minStall = 5 * time.Millisecond
 
 // watch checks the resource limits of a process until it ends, and how it ends. It reports stalls to the checker.
-func (n *node) watch(p *process) {
+func (n *node) watch(process *process) {
 	deployment := n.fleet.scenario.Deployment
 	sample := time.NewTicker(sampleInterval)
 	defer sample.Stop()
-	before, lastSample := p.schedWaits(), n.fleet.env.Now()
+	before, lastSample := process.schedWaits(), n.fleet.env.Now()
 	for {
 		select {
-		case <-p.ended:
+		case <-process.ended:
 			n.fleet.disconnect(n.name)
-			if !p.expected() {
-				n.fleet.processFault(n.name, "ended by itself: %v", p.err)
-			} else if code := p.cmd.ProcessState.ExitCode(); code > 0 {
+			if !process.expected() {
+				n.fleet.processFault(n.name, "ended by itself: %v", process.err)
+			} else if code := process.cmd.ProcessState.ExitCode(); code > 0 {
 				n.fleet.processFault(n.name, "ended with status %d", code)
 			}
 			return
 		case <-sample.C:
-			current, now := p.schedWaits(), n.fleet.env.Now()
+			current, now := process.schedWaits(), n.fleet.env.Now()
 			if stalled := current.longestSince(before); stalled >= minStall {
 				n.fleet.env.Judge(func(_ time.Duration, checker *rulecheck.Platform) {
 					checker.AddStall(n.name, lastSample, now, stalled)
 				})
 			}
 			before, lastSample = current, now
-			memory, descriptors := p.usage()
+			memory, descriptors := process.usage()
 			n.fleet.counts.recordUsage(memory, descriptors)
 			if memory > deployment.MemoryMB {
 				n.fleet.processFault(n.name, "%d MB of %d", memory, deployment.MemoryMB)
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -128,11 +128,11 @@
 
 // Read decodes and checks a Scenario.
 func Read(b []byte) (*Scenario, error) {
-	s := &Scenario{}
-	if err := json.Unmarshal(b, s); err != nil {
+	scenario := &Scenario{}
+	if err := json.Unmarshal(b, scenario); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	return s, s.Check()
+	return scenario, scenario.Check()
 }
 
 // Limits of a Scenario.
