--- a/internal/plant/badday.jsonnet
+++ b/internal/plant/badday.jsonnet
@@ -1,4 +1,4 @@
-// The bad day that finchlatch try plays when it is given no script.
+// The fault schedule that finchlatch try plays by default.
 {
   len: '60s',
   steps: [
--- a/internal/plant/callers.go
+++ b/internal/plant/callers.go
@@ -8,332 +8,352 @@
 	"finchlatch/isup"
 )
 
-// Host is what callers and lines stand on: the association with their call server, and its clock.
-type Host interface {
+// Association is the signalling association of callers or lines with their call server, together with its clock.
+type Association interface {
 	Now() time.Duration
-	// After runs f once, later, never at the same time as anything else of the same end.
+	// After runs f once, after the delay d and never concurrently with other work of the same end.
 	After(d time.Duration, f func())
-	// Send sends a message; it fails while the association takes no traffic.
+	// Send sends a message. It returns an error while the association is not active.
 	Send(m *isup.Message) error
 }
 
-// Callers are the counters at one exchange: they offer calls, wait, hold, hang up and dial again. They reach their call
-// server as an ASP, over circuits that only they seize.
+// Callers simulates the counters at one exchange: they offer calls, wait for the answer, hold the call, hang up and
+// redial. They are connected to their call server as an ASP, over circuits that only they seize.
 type Callers struct {
-	Mix     []Class
+	Classes []Class
 	Habits  Habits
-	Pick    func(rng *rand.Rand) (number string, hot bool)
-	Done    func(Outcome)                                               // called for each caller at the end
-	Ask     func(category byte, number string, then func(route string)) // asks where a call goes before its set-up
-	Asks    float64                                                     // share of the tries that ask
-	Hurry   float64                                                     // share of their patience that callers wait now; 0: all of it
-	Sources int                                                         // callers that there are: those who wait or talk do not call again; 0: no end of them
-	T1      time.Duration                                               // REL is sent again after it
-	Profile func(now time.Duration) float64                             // what the rate is times as large now; nil: 1
+	// PickNumber draws the called number of a new caller, and whether it is the hot number.
+	PickNumber func(rng *rand.Rand) (number string, hot bool)
+	// OnDone is called once for each caller, with the outcome of all its tries.
+	OnDone func(Outcome)
+	// LookUp resolves a number before the set-up; nil: no try is preceded by a look-up. An empty route refuses the call.
+	LookUp func(category byte, number string, then func(route string))
+	// LookUpShare is the share of the tries that start with a look-up.
+	LookUpShare float64
+	// PatienceFactor is the part of their patience that callers wait at present; 0: all of it.
+	PatienceFactor float64
+	// Sources is the number of callers, of whom only idle ones make calls; 0: an unlimited number.
+	Sources int
+	// T1 is the time after which an unconfirmed REL is repeated.
+	T1 time.Duration
+	// RateProfile returns the factor by which the call rate is multiplied at a time; nil: 1 at all times.
+	RateProfile func(now time.Duration) float64
 
-	host    Host
-	id      uint32
-	rng     *rand.Rand // of what does not depend on the router: who calls whom, when and for how long
-	moods   *rand.Rand // of the rest
-	free    bank
-	tries   map[uint16]*try
-	next    uint64
-	rate    float64
-	due     time.Duration // of the next first try
-	running bool
-	live    int
+	association   Association
+	id            uint32
+	demandRand    *rand.Rand // for draws that do not depend on the router: called numbers, arrival times, hold times
+	behaviourRand *rand.Rand // for all other draws
+	freeCircuits  circuitPool
+	tries         map[uint16]*setUpTry // by the first circuit
+	setUpCount    uint64               // number of IAMs sent, which makes calling numbers unique
+	rate          float64              // new callers per second, before RateProfile
+	nextArrival   time.Duration        // when the next caller makes its first try
+	offering      bool                 // between Start and Stop
+	unfinished    int                  // callers for whom OnDone has not been called
 }
 
-// caller is one demand, over all its tries.
+// caller is one subscriber's demand for a call, with all its tries.
 type caller struct {
 	Outcome
-	number string
-	hold   time.Duration
-	left   bool // counted already
+	number   string
+	holdTime time.Duration
+	finished bool // OnDone has been called
 }
 
-// try is one set-up on one circuit, or on several that the first one signals for.
-type try struct {
-	caller         *caller
-	cics           []uint16
-	stands, ending bool
+// setUpTry is one set-up of a caller. A wide call holds several circuits, and all its messages name the first one.
+type setUpTry struct {
+	caller      *caller
+	circuits    []uint16
+	established bool // answered
+	releasing   bool // REL sent, RLC outstanding
 }
 
-// NewCallers makes the counters of an exchange, with circuits of their own. id tells their calling numbers from others'.
-func NewCallers(h Host, id uint32, circuits []uint16, seed, stream uint64) *Callers {
-	c := &Callers{host: h, id: id, rng: rand.New(rand.NewPCG(seed, stream)),
-		moods: rand.New(rand.NewPCG(seed, stream+1<<32)), tries: map[uint16]*try{}, T1: 15 * time.Second}
-	for _, x := range circuits {
-		c.free.put(x)
+// NewCallers creates the counters of an exchange with circuits of their own. The id makes their calling numbers different
+// from those of other exchanges.
+func NewCallers(association Association, id uint32, circuits []uint16, seed, stream uint64) *Callers {
+	c := &Callers{association: association, id: id, demandRand: rand.New(rand.NewPCG(seed, stream)),
+		behaviourRand: rand.New(rand.NewPCG(seed, stream+1<<32)), tries: map[uint16]*setUpTry{}, T1: 15 * time.Second}
+	for _, cic := range circuits {
+		c.freeCircuits.put(cic)
 	}
 	return c
 }
 
-// SetRate changes the first tries a second.
+// SetRate sets the number of new callers per second.
 func (c *Callers) SetRate(perSecond float64) { c.rate = perSecond }
 
-// Begin offers calls until Stop; arrivals are random (Poisson) at the rate of the moment.
-func (c *Callers) Begin() {
-	c.running, c.due = true, c.host.Now()+c.gap()
-	c.wait()
+// Start offers calls until Stop, as a Poisson process whose rate follows SetRate and RateProfile.
+func (c *Callers) Start() {
+	c.offering, c.nextArrival = true, c.association.Now()+c.interarrivalTime()
+	c.scheduleArrivals()
 }
 
-func (c *Callers) wait() {
-	c.host.After(max(0, c.due-c.host.Now()), func() {
-		for now := c.host.Now(); c.running && c.due <= now; c.due += c.gap() {
-			if c.now() > 0 && c.idle() {
+// scheduleArrivals plans the next first try, and from it the one after.
+func (c *Callers) scheduleArrivals() {
+	c.association.After(max(0, c.nextArrival-c.association.Now()), func() {
+		for now := c.association.Now(); c.offering && c.nextArrival <= now; c.nextArrival += c.interarrivalTime() {
+			if c.currentRate() > 0 && c.drawIdle() {
 				c.arrive()
 			}
 		}
-		if c.running {
-			c.wait()
+		if c.offering {
+			c.scheduleArrivals()
 		}
 	})
 }
 
-// idle draws whether the caller whose turn it is has nothing to do: each of few sources calls at the rate of all by their
-// number while it is idle (Engset).
-func (c *Callers) idle() bool {
-	return c.Sources == 0 || c.moods.IntN(c.Sources) >= c.live
+// drawIdle draws whether the source of an arrival is idle. With a limited number of sources each idle one calls at the
+// total rate divided by their number (Engset's model).
+func (c *Callers) drawIdle() bool {
+	return c.Sources == 0 || c.behaviourRand.IntN(c.Sources) >= c.unfinished
 }
 
-// now is the rate of the moment.
-func (c *Callers) now() float64 {
-	if c.Profile != nil {
-		return c.rate * c.Profile(c.host.Now())
+// currentRate returns the number of new callers per second at present.
+func (c *Callers) currentRate() float64 {
+	if c.RateProfile != nil {
+		return c.rate * c.RateProfile(c.association.Now())
 	}
 	return c.rate
 }
 
-// idleGap is how often callers without a rate look again, and slowGap how often those with a very small one do.
+// Callers check at these intervals whether the rate has changed: idlePollInterval while the rate is zero, and
+// maxInterarrivalTime at a very low rate.
 const (
-	idleGap = 50 * time.Millisecond
-	slowGap = 100 * time.Second
+	idlePollInterval    = 50 * time.Millisecond
+	maxInterarrivalTime = 100 * time.Second
 )
 
-func (c *Callers) gap() time.Duration {
-	rate := c.now()
+// interarrivalTime draws the time until the next arrival.
+func (c *Callers) interarrivalTime() time.Duration {
+	rate := c.currentRate()
 	if rate <= 0 {
-		return idleGap
+		return idlePollInterval
 	}
-	return time.Duration(min(c.rng.ExpFloat64()/rate, slowGap.Seconds()) * float64(time.Second))
+	return time.Duration(min(c.demandRand.ExpFloat64()/rate, maxInterarrivalTime.Seconds()) * float64(time.Second))
 }
 
-// Stop ends the offers; calls go on.
-func (c *Callers) Stop() { c.running = false }
+// Stop ends the arrival of new callers. Callers that exist go on, redials included.
+func (c *Callers) Stop() { c.offering = false }
 
-// Live is how many callers are neither done nor talking.
-func (c *Callers) Live() int {
-	n := c.live
+// ActiveCount returns the number of callers that are neither finished nor in an established call.
+func (c *Callers) ActiveCount() int {
+	n := c.unfinished
 	for _, t := range c.tries {
-		if t.stands && !t.ending {
+		if t.established && !t.releasing {
 			n--
 		}
 	}
 	return n
 }
 
-// Finish counts the callers who still talk as done.
-func (c *Callers) Finish() {
+// FinishEstablished reports the callers whose calls are still established as done.
+func (c *Callers) FinishEstablished() {
 	for _, t := range c.tries {
-		if t.stands && !t.ending {
-			c.done(t.caller)
+		if t.established && !t.releasing {
+			c.finish(t.caller)
 		}
 	}
 }
 
+// arrive creates a caller of a random class, who makes its first try at once.
 func (c *Callers) arrive() {
-	k := &caller{}
-	x := c.rng.Float64()
-	for i, m := range c.Mix {
-		if k.Class = i; x < m.Share {
+	caller := &caller{}
+	draw := c.demandRand.Float64()
+	for i, class := range c.Classes {
+		if caller.Class = i; draw < class.Share {
 			break
 		}
-		x -= m.Share
+		draw -= class.Share
 	}
-	k.number, k.Hot = c.Pick(c.rng)
-	k.hold = c.Mix[k.Class].draw(c.rng)
-	k.Began = c.host.Now()
-	c.live++
-	c.dial(k)
+	caller.number, caller.Hot = c.PickNumber(c.demandRand)
+	caller.holdTime = c.Classes[caller.Class].drawHoldTime(c.demandRand)
+	caller.Began = c.association.Now()
+	c.unfinished++
+	c.dial(caller)
 }
 
-// dial makes one try: a set-up at once, or a look-up first.
-func (c *Callers) dial(k *caller) {
-	if c.Ask == nil || c.moods.Float64() >= c.Asks {
-		c.setUp(k, k.number)
+// dial makes one try: a set-up, for a share of the tries after a look-up.
+func (c *Callers) dial(caller *caller) {
+	if c.LookUp == nil || c.behaviourRand.Float64() >= c.LookUpShare {
+		c.setUp(caller, caller.number)
 		return
 	}
-	c.Ask(c.Mix[k.Class].Category, k.number, func(route string) {
+	c.LookUp(c.Classes[caller.Class].Category, caller.number, func(route string) {
 		if route != "" {
-			c.setUp(k, route)
+			c.setUp(caller, route)
 			return
 		}
-		k.Tries++
-		k.Refused++
-		c.again(k, false)
+		caller.Tries++
+		caller.Refused++
+		c.redialOrGiveUp(caller, false)
 	})
 }
 
-// setUp offers a call to a number.
-func (c *Callers) setUp(k *caller, number string) {
-	class := c.Mix[k.Class]
-	cics := c.free.take(class.Width)
-	if cics == nil {
-		k.Refused++
-		c.again(k, false)
+// setUp seizes circuits and sends the IAM. It hangs up if there is no answer within the caller's patience.
+func (c *Callers) setUp(caller *caller, number string) {
+	class := c.Classes[caller.Class]
+	circuits := c.freeCircuits.take(class.Width)
+	if circuits == nil {
+		caller.Refused++
+		c.redialOrGiveUp(caller, false)
 		return
 	}
-	k.Tries++
-	t := &try{caller: k, cics: cics}
-	c.next++
-	m, err := isup.NewSetup(cics[0], isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1},
-		Category: class.Category, Width: class.Width, Map: isup.CircuitMap(cics), Hops: -1})
+	caller.Tries++
+	try := &setUpTry{caller: caller, circuits: circuits}
+	c.setUpCount++
+	iam, err := isup.NewSetup(circuits[0], isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1},
+		Category: class.Category, Width: class.Width, Map: isup.CircuitMap(circuits), Hops: -1})
 	if err == nil {
-		m.Set(isup.ParamCallingNumber, callingNumber(c.id, c.next)...)
-		err = c.host.Send(m)
+		iam.Set(isup.ParamCallingNumber, callingNumber(c.id, c.setUpCount)...)
+		err = c.association.Send(iam)
 	}
-	if err != nil { // no association: nothing was taken
-		c.release(t)
-		k.Refused++
-		c.again(k, false)
+	if err != nil { // the association is not active, so the IAM was not sent
+		c.releaseCircuits(try)
+		caller.Refused++
+		c.redialOrGiveUp(caller, false)
 		return
 	}
-	c.tries[cics[0]] = t
+	c.tries[circuits[0]] = try
 	wait := class.Patience + c.Habits.Overstay
-	if c.Hurry > 0 && c.Hurry < 1 {
-		wait = time.Duration(c.Hurry * float64(class.Patience))
+	if c.PatienceFactor > 0 && c.PatienceFactor < 1 {
+		wait = time.Duration(c.PatienceFactor * float64(class.Patience))
 	}
-	c.host.After(wait, func() {
-		if c.tries[cics[0]] == t && !t.stands && !t.ending {
-			k.Hung++
-			c.hangUp(t)
-			c.again(k, false)
+	c.association.After(wait, func() {
+		if c.tries[circuits[0]] == try && !try.established && !try.releasing {
+			caller.Abandoned++
+			c.hangUp(try)
+			c.redialOrGiveUp(caller, false)
 		}
 	})
 }
 
-// callingNumber is a calling party number that no other try has.
-func callingNumber(id uint32, n uint64) []byte {
+// callingNumber encodes a calling party number that is different for each try.
+func callingNumber(id uint32, serial uint64) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{0x03, 0x11}, uint16(id))
-	return binary.BigEndian.AppendUint64(b, n)
+	return binary.BigEndian.AppendUint64(b, serial)
 }
 
-func (c *Callers) release(t *try) {
-	if c.tries[t.cics[0]] == t {
-		delete(c.tries, t.cics[0])
+// releaseCircuits returns the circuits of a try to the pool.
+func (c *Callers) releaseCircuits(try *setUpTry) {
+	if c.tries[try.circuits[0]] == try {
+		delete(c.tries, try.circuits[0])
 	}
-	for _, x := range t.cics {
-		c.free.put(x)
+	for _, cic := range try.circuits {
+		c.freeCircuits.put(cic)
 	}
 }
 
-// hangUp releases a try, again and again until RLC comes: the association may be down, or the exchange silent. T1 must be
-// longer than any message waits: a repeated REL that comes late releases the next call on its circuit.
-func (c *Callers) hangUp(t *try) {
-	t.ending = true
-	_ = c.host.Send(isup.NewRelease(t.cics[0], isup.ReleaseInfo{Cause: isup.CauseNormalClearing}))
-	c.host.After(c.T1, func() {
-		if c.tries[t.cics[0]] == t {
-			c.hangUp(t)
+// hangUp sends REL and repeats it every T1 until RLC arrives, since the association may be down or the exchange
+// unresponsive. T1 must be longer than any message is queued: a repeated REL that arrives late would release the next call
+// on the circuit.
+func (c *Callers) hangUp(try *setUpTry) {
+	try.releasing = true
+	_ = c.association.Send(isup.NewRelease(try.circuits[0], isup.ReleaseInfo{Cause: isup.CauseNormalClearing}))
+	c.association.After(c.T1, func() {
+		if c.tries[try.circuits[0]] == try {
+			c.hangUp(try)
 		}
 	})
 }
 
-// Take takes a message of the call server.
-func (c *Callers) Take(m *isup.Message) {
-	t := c.tries[m.CIC]
-	switch m.Type {
+// Receive handles a message from the call server.
+func (c *Callers) Receive(message *isup.Message) {
+	try := c.tries[message.CIC]
+	switch message.Type {
 	case isup.ANM, isup.CON:
-		if t != nil && !t.stands && !t.ending {
-			c.stood(t)
+		if try != nil && !try.established && !try.releasing {
+			c.handleAnswer(try)
 		}
 	case isup.REL:
-		_ = c.host.Send(isup.Simple(isup.RLC, m.CIC))
-		if t != nil {
-			c.released(t, m.Release().Cause, false)
+		_ = c.association.Send(isup.Simple(isup.RLC, message.CIC))
+		if try != nil {
+			c.handleRelease(try, message.Release().Cause, false)
 		}
 	case isup.RLC:
-		if t != nil && t.ending {
-			c.release(t)
+		if try != nil && try.releasing {
+			c.releaseCircuits(try)
 		}
 	case isup.GRS:
-		r, err := m.RangeStatus()
+		circuits, err := message.RangeStatus()
 		if err != nil {
 			return
 		}
-		_ = c.host.Send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: r.Range}))
-		for i := range r.Range + 1 {
-			if t := c.tries[m.CIC+uint16(i)]; t != nil {
-				c.released(t, isup.CauseTemporaryFailure, true)
+		_ = c.association.Send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: circuits.Range}))
+		for i := range circuits.Range + 1 {
+			if try := c.tries[message.CIC+uint16(i)]; try != nil {
+				c.handleRelease(try, isup.CauseTemporaryFailure, true)
 			}
 		}
 	case isup.RSC:
-		_ = c.host.Send(isup.Simple(isup.RLC, m.CIC))
-		if t != nil {
-			c.released(t, isup.CauseTemporaryFailure, true)
+		_ = c.association.Send(isup.Simple(isup.RLC, message.CIC))
+		if try != nil {
+			c.handleRelease(try, isup.CauseTemporaryFailure, true)
 		}
 	}
 }
 
-func (c *Callers) stood(t *try) {
-	k := t.caller
-	t.stands, k.Stood, k.Cut = true, true, false
-	if k.SetUp == 0 {
-		k.SetUp = c.host.Now() - k.Began
+// handleAnswer marks the call as established, and hangs up after the hold time.
+func (c *Callers) handleAnswer(try *setUpTry) {
+	caller := try.caller
+	try.established, caller.Stood, caller.Cut = true, true, false
+	if caller.SetUp == 0 {
+		caller.SetUp = c.association.Now() - caller.Began
 	}
-	c.host.After(k.hold, func() {
-		if c.tries[t.cics[0]] == t && !t.ending {
-			c.hangUp(t)
-			c.done(k)
+	c.association.After(caller.holdTime, func() {
+		if c.tries[try.circuits[0]] == try && !try.releasing {
+			c.hangUp(try)
+			c.finish(caller)
 		}
 	})
 }
 
-// released takes a REL of the call server or a reset: an answer, or a cut. Where both ends have sent REL, the circuit is
-// free only with the RLC for the own one (Q.764 2.3.1): it would end the next call on it.
-func (c *Callers) released(t *try, cause isup.Cause, reset bool) {
-	if t.ending && !reset {
+// handleRelease handles a REL or a reset from the call server: it refuses the call, or drops an established one. If both
+// ends have sent REL, the circuit is not free before the RLC for the own REL (Q.764 2.3.1): that REL would release the
+// next call on the circuit.
+func (c *Callers) handleRelease(try *setUpTry, cause isup.Cause, reset bool) {
+	if try.releasing && !reset {
 		return
 	}
-	c.release(t)
-	k := t.caller
+	c.releaseCircuits(try)
+	caller := try.caller
 	switch {
-	case t.ending:
-	case t.stands:
-		k.Cut = true
-		c.again(k, true)
+	case try.releasing:
+	case try.established:
+		caller.Cut = true
+		c.redialOrGiveUp(caller, true)
 	case cause == isup.CauseNoCircuit || cause == isup.CauseCongestion:
-		k.Refused++
-		c.again(k, false)
+		caller.Refused++
+		c.redialOrGiveUp(caller, false)
 	default:
-		k.Failed++
-		c.again(k, false)
+		caller.Failed++
+		c.redialOrGiveUp(caller, false)
 	}
 }
 
-// again lets a caller dial once more, or gives up.
-func (c *Callers) again(k *caller, cut bool) {
-	h := c.Habits
-	pause := h.Pause
-	if k.Hot {
-		pause = h.HotPause
+// redialOrGiveUp lets the caller redial after a pause, unless its redials or its deadline are used up. For a caller whose
+// call was dropped the deadline does not count.
+func (c *Callers) redialOrGiveUp(caller *caller, dropped bool) {
+	habits := c.Habits
+	pause := habits.Pause
+	if caller.Hot {
+		pause = habits.HotPause
 	}
-	wait := time.Duration((0.5 + c.moods.Float64()) * float64(pause))
-	if cut {
-		wait = time.Duration(c.moods.Float64() * float64(h.CutReturn))
+	wait := time.Duration((0.5 + c.behaviourRand.Float64()) * float64(pause))
+	if dropped {
+		wait = time.Duration(c.behaviourRand.Float64() * float64(habits.CutReturn))
 	}
-	if k.Tries > h.Redials || !cut && c.host.Now()-k.Began+wait > c.Mix[k.Class].Deadline {
-		c.done(k)
+	if caller.Tries > habits.Redials || !dropped && c.association.Now()-caller.Began+wait > c.Classes[caller.Class].Deadline {
+		c.finish(caller)
 		return
 	}
-	c.host.After(wait, func() { c.dial(k) })
+	c.association.After(wait, func() { c.dial(caller) })
 }
 
-func (c *Callers) done(k *caller) {
-	if !k.left {
-		k.left = true
-		c.live--
-		c.Done(k.Outcome)
+// finish reports the outcome of a caller, once.
+func (c *Callers) finish(caller *caller) {
+	if !caller.finished {
+		caller.finished = true
+		c.unfinished--
+		c.OnDone(caller.Outcome)
 	}
 }
--- a/internal/plant/lines.go
+++ b/internal/plant/lines.go
@@ -7,80 +7,84 @@
 	"finchlatch/isup"
 )
 
-// Ring is the mean time from the set-up to the answer of a line.
-const Ring = 40 * time.Millisecond
+// MeanRingTime is the mean time from the IAM to the answer of a line.
+const MeanRingTime = 40 * time.Millisecond
 
-// Lines are the subscribers of an exchange's own numbers: they ring and answer, or are busy. They reach their call server
-// as an ASP.
+// Lines simulates the subscriber lines of an exchange's own numbers: they ring and answer, or are busy. They are connected
+// to their call server as an ASP.
 type Lines struct {
-	Ring  time.Duration  // from the set-up to the answer, on average
-	Late  time.Duration  // added to it now
-	Thin  map[string]int // numbers with few lines; others have enough
-	Fault float64        // share of calls that fail with a cause of signalling
+	RingTime   time.Duration  // mean time from the IAM to the answer
+	ExtraDelay time.Duration  // added to the ringing time at present
+	LineCounts map[string]int // lines of a number; a number that is not listed has an unlimited number
+	FaultShare float64        // share of the calls that fail with a cause of a signalling fault
 
-	host Host
-	rng  *rand.Rand
-	busy map[string]int
-	call map[uint16]string // by circuit: the number called
+	association   Association
+	rng           *rand.Rand
+	busyLines     map[string]int    // by called number
+	calledNumbers map[uint16]string // by circuit
 }
 
-// NewLines makes the lines of an exchange.
-func NewLines(h Host, seed, stream uint64) *Lines {
-	return &Lines{Ring: Ring, Thin: map[string]int{}, host: h, rng: rand.New(rand.NewPCG(seed, stream)), busy: map[string]int{},
-		call: map[uint16]string{}}
+// NewLines creates the lines of an exchange.
+func NewLines(association Association, seed, stream uint64) *Lines {
+	return &Lines{RingTime: MeanRingTime, LineCounts: map[string]int{}, association: association,
+		rng: rand.New(rand.NewPCG(seed, stream)), busyLines: map[string]int{}, calledNumbers: map[uint16]string{}}
 }
 
-// Take takes a message of the call server.
-func (l *Lines) Take(m *isup.Message) {
-	switch m.Type {
+// Receive handles a message from the call server.
+func (l *Lines) Receive(message *isup.Message) {
+	switch message.Type {
 	case isup.IAM:
-		l.ring(m)
+		l.answerCall(message)
 	case isup.REL, isup.RSC:
-		l.free(m.CIC)
-		_ = l.host.Send(isup.Simple(isup.RLC, m.CIC))
+		l.release(message.CIC)
+		_ = l.association.Send(isup.Simple(isup.RLC, message.CIC))
 	case isup.GRS:
-		r, err := m.RangeStatus()
+		circuits, err := message.RangeStatus()
 		if err != nil {
 			return
 		}
-		for i := range r.Range + 1 {
-			l.free(m.CIC + uint16(i))
+		for i := range circuits.Range + 1 {
+			l.release(message.CIC + uint16(i))
 		}
-		_ = l.host.Send(isup.NewGroup(isup.GRA, m.CIC, 0, isup.Range{Range: r.Range}))
+		_ = l.association.Send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: circuits.Range}))
 	}
 }
 
-func (l *Lines) free(cic uint16) {
-	if number, ok := l.call[cic]; ok {
-		delete(l.call, cic)
-		if l.busy[number]--; l.busy[number] <= 0 {
-			delete(l.busy, number)
+// release frees the line that a circuit is connected to, if any.
+func (l *Lines) release(cic uint16) {
+	if number, ok := l.calledNumbers[cic]; ok {
+		delete(l.calledNumbers, cic)
+		if l.busyLines[number]--; l.busyLines[number] <= 0 {
+			delete(l.busyLines, number)
 		}
 	}
 }
 
-func (l *Lines) ring(m *isup.Message) {
-	n, err := m.CalledNumber()
+// answerCall rings and answers an IAM, or refuses it: with user busy when all lines of the number are in use, or with a
+// cause of a signalling fault for FaultShare of the calls.
+func (l *Lines) answerCall(iam *isup.Message) {
+	called, err := iam.CalledNumber()
 	if err != nil {
 		return
 	}
-	most, few := l.Thin[n.Digits]
+	lineCount, limited := l.LineCounts[called.Digits]
 	switch {
-	case few && l.busy[n.Digits] >= most:
-		_ = l.host.Send(isup.NewRelease(m.CIC, isup.ReleaseInfo{Cause: isup.CauseUserBusy}))
+	case limited && l.busyLines[called.Digits] >= lineCount:
+		_ = l.association.Send(isup.NewRelease(iam.CIC, isup.ReleaseInfo{Cause: isup.CauseUserBusy}))
 		return
-	case l.Fault > 0 && l.rng.Float64() < l.Fault:
-		_ = l.host.Send(isup.NewRelease(m.CIC, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder, Location: isup.LocationRemote}))
+	case l.FaultShare > 0 && l.rng.Float64() < l.FaultShare:
+		_ = l.association.Send(isup.NewRelease(iam.CIC, isup.ReleaseInfo{Cause: isup.CauseNetworkOutOfOrder,
+			Location: isup.LocationRemote}))
 		return
 	}
-	l.free(m.CIC)
-	l.busy[n.Digits]++
-	l.call[m.CIC] = n.Digits
-	_ = l.host.Send(isup.Simple(isup.ACM, m.CIC))
-	cic := m.CIC
-	l.host.After(l.Late+time.Duration((0.5+l.rng.Float64())*float64(l.Ring)), func() {
-		if l.call[cic] == n.Digits {
-			_ = l.host.Send(isup.Simple(isup.ANM, cic))
+	l.release(iam.CIC)
+	l.busyLines[called.Digits]++
+	l.calledNumbers[iam.CIC] = called.Digits
+	_ = l.association.Send(isup.Simple(isup.ACM, iam.CIC))
+	cic := iam.CIC
+	l.association.After(l.ExtraDelay+time.Duration((0.5+l.rng.Float64())*float64(l.RingTime)), func() {
+		if l.calledNumbers[cic] == called.Digits {
+			_ = l.association.Send(isup.Simple(isup.ANM, cic))
 		}
 	})
 }
--- a/internal/plant/plan.go
+++ b/internal/plant/plan.go
@@ -7,24 +7,24 @@
 	"finchlatch/internal/rulecheck"
 )
 
-// Plan is what a fleet is sized for.
+// Plan is the traffic that the trunk groups and processors of a fleet are dimensioned for.
 type Plan struct {
 	Exchanges int
-	Rate      float64 // first tries a second, of all callers together
+	Rate      float64 // new callers per second in the whole fleet
 	Classes   []Class
 }
 
-// Groups and processors are sized for the plan, with a little to spare.
+// Groups and processors are dimensioned for the plan, with some headroom.
 const (
-	headroom   = 4.0 / 3 // a processor turns over its groups in three quarters of its time
-	setupParts = 1.7     // work of a call at an exchange, counted in set-ups: with its answer and its release
-	spareParts = 0.6     // circuits above the mean, in roots of the mean
+	processorHeadroom  = 4.0 / 3 // the calls that fill all groups take three quarters of a processor's time
+	setUpsPerCall      = 1.7     // work of a call with its answer and release, in units of a set-up
+	spareCircuitFactor = 0.6     // circuits above the mean load, in units of the square root of the mean load
 )
 
-// MaxWait is how long a set-up waits for a processor until it is refused.
+// MaxWait is the longest time that a set-up is queued at a processor. The processor refuses one that has waited longer.
 const MaxWait = 800 * time.Millisecond
 
-// circuitSeconds is what one call holds of circuits, on average.
+// circuitSeconds returns the mean of width times hold time of a call.
 func (p Plan) circuitSeconds() (sum float64) {
 	for _, c := range p.Classes {
 		sum += c.Share * float64(c.Width) * c.Hold.Seconds()
@@ -32,65 +32,68 @@
 	return sum
 }
 
-// Group is how many circuits stand between two exchanges: both ends' calls of the plan and a little more.
-func (p Plan) Group() int {
-	n := float64(p.Exchanges)
-	load := p.Rate / n * p.circuitSeconds() * 2 / (n - 1)
-	return int(math.Ceil(load + spareParts*math.Sqrt(load)))
+// GroupSize returns the number of circuits between two exchanges: enough for the planned calls of both directions, and
+// some more.
+func (p Plan) GroupSize() int {
+	exchanges := float64(p.Exchanges)
+	load := p.Rate / exchanges * p.circuitSeconds() * 2 / (exchanges - 1)
+	return int(math.Ceil(load + spareCircuitFactor*math.Sqrt(load)))
 }
 
-// Capacity is the set-ups a second of a warm processor, where groups have so many circuits.
-func (p Plan) Capacity(group int) float64 {
-	hold, width := 0.0, 0.0
+// ProcessorCapacity returns the set-ups per second of a processor that is not cold, for trunk groups of groupSize
+// circuits.
+func (p Plan) ProcessorCapacity(groupSize int) float64 {
+	holdTime, width := 0.0, 0.0
 	for _, c := range p.Classes {
-		hold, width = hold+c.Share*c.Hold.Seconds(), width+c.Share*float64(c.Width)
+		holdTime, width = holdTime+c.Share*c.Hold.Seconds(), width+c.Share*float64(c.Width)
 	}
-	return headroom * float64(group*(p.Exchanges-1)) / (hold * width)
+	return processorHeadroom * float64(groupSize*(p.Exchanges-1)) / (holdTime * width)
 }
 
-// Work is that of a processor of a capacity.
-func (Plan) Work(capacity float64) Work {
-	unit := time.Duration(float64(time.Second) / (capacity * setupParts))
-	return Work{Setup: unit, Answer: unit * 3 / 10, Other: unit / 20}
+// ServiceTimes returns the service times of a processor with a capacity in set-ups per second.
+func (Plan) ServiceTimes(capacity float64) ServiceTimes {
+	setUpTime := time.Duration(float64(time.Second) / (capacity * setUpsPerCall))
+	return ServiceTimes{SetUp: setUpTime, Answer: setUpTime * 3 / 10, Other: setUpTime / 20}
 }
 
-// Figures are those of the five rules, for callers of these classes.
-func (p Plan) Figures() rulecheck.Figures {
-	f := rulecheck.Figures{Patience: map[byte]time.Duration{}, PointCodes: map[string]uint32{}, Grace: time.Second,
+// Parameters returns the parameters of the five rules for callers of these classes.
+func (p Plan) Parameters() rulecheck.Figures {
+	parameters := rulecheck.Figures{Patience: map[byte]time.Duration{}, PointCodes: map[string]uint32{}, Grace: time.Second,
 		Release: 200 * time.Millisecond, TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 12 * time.Second}
 	for _, c := range p.Classes {
-		f.Patience[c.Category] = c.Patience
+		parameters.Patience[c.Category] = c.Patience
 	}
-	return f
+	return parameters
 }
 
-// Region of an exchange: regions have equal parts of the exchanges, in order.
+// Region returns the region of an exchange, counted from 0. The exchanges are divided among the regions equally and in
+// order.
 func Region(exchange, exchanges, regions int) int { return exchange * regions / exchanges }
 
-// Distance is the delay of signalling between two regions, one way.
-func Distance(a, b int) time.Duration {
+// SignallingDelay returns the one-way signalling delay between two regions.
+func SignallingDelay(a, b int) time.Duration {
 	if a == b {
 		return 2 * time.Millisecond
 	}
 	return 10 * time.Millisecond
 }
 
-// AccessDistance is that between callers or lines and their exchange.
-const AccessDistance = time.Millisecond
+// AccessDelay is the one-way signalling delay between callers or lines and their exchange.
+const AccessDelay = time.Millisecond
 
-// Notices of the exchange list: how late it tells of a change that is planned, and how much later of one that it must
-// find out.
+// Delays with which service discovery notifies a call server of a change: the minimum and the random part, and the
+// additional time for a change that nobody reported, which discovery has to detect.
 const (
-	noticeLeast  = 300 * time.Millisecond
-	noticeSpread = 700 * time.Millisecond
-	noticeSilent = 2 * time.Second
+	minDiscoveryDelay    = 300 * time.Millisecond
+	discoveryDelaySpread = 700 * time.Millisecond
+	detectionDelay       = 2 * time.Second
 )
 
-// Notice is how late the list tells one call server; draw is random in 0 to 1.
-func Notice(draw float64, silent bool) time.Duration {
-	wait := noticeLeast + time.Duration(draw*float64(noticeSpread))
-	if silent {
-		wait += noticeSilent
+// DiscoveryDelay returns the time until one call server is notified of a change; fraction is a random number in [0, 1).
+func DiscoveryDelay(fraction float64, unreported bool) time.Duration {
+	delay := minDiscoveryDelay + time.Duration(fraction*float64(discoveryDelaySpread))
+	if unreported {
+		delay += detectionDelay
 	}
-	return wait
+	return delay
 }
--- a/internal/plant/processor.go
+++ b/internal/plant/processor.go
@@ -6,217 +6,225 @@
 	"finchlatch/internal/rulecheck"
 )
 
-// Work is what the processor of an exchange spends on messages.
-type Work struct {
-	Setup  time.Duration // a set-up; its refusal costs half of it
-	Answer time.Duration // an answer or a release
-	Other  time.Duration
-}
-
-// Letter is a message for an exchange. W names the wire and direction that it came by. Refuse is called in place of
-// Deliver where the processor turns a set-up away.
-type Letter[W comparable] struct {
-	From    W
-	CICs    []uint16 // the circuits of its call
-	Group   bool     // it is about many circuits
-	Setup   bool
-	Answer  bool // it is an answer or a release
-	Peer    bool // it comes from another call server
-	Deliver func()
-	Refuse  func()
-}
-
-// place is a circuit of a wire. Messages of one circuit never overtake each other.
-type place[W comparable] struct {
-	from W
+// ServiceTimes are the times that the processor of an exchange takes for messages.
+type ServiceTimes struct {
+	SetUp  time.Duration // of an IAM; refusing it takes half of this
+	Answer time.Duration // of an answer or a release
+	Other  time.Duration // of any other message
+}
+
+// QueuedMessage is a message that waits at the processor of an exchange. Source identifies the link and direction that it
+// arrived on.
+type QueuedMessage[Source comparable] struct {
+	From           Source
+	Circuits       []uint16 // circuits of the call
+	IsGroup        bool     // a message for a group of circuits
+	IsSetUp        bool     // an IAM
+	IsAnswer       bool     // an answer or a release
+	FromCallServer bool     // from another call server, not from callers or lines
+	Deliver        func()   // hands the message to the call server
+	Refuse         func()   // refuses the set-up in place of Deliver; nil: it cannot be refused
+}
+
+// circuitKey identifies a circuit. Messages of one circuit never overtake each other.
+type circuitKey[Source comparable] struct {
+	from Source
 	cic  uint16
 }
 
-type job[W comparable] struct {
-	Letter[W]
-	came time.Duration
-}
-
-// Processor is the one line of an exchange's processor: everything that comes to the exchange waits here. Answers and
-// releases go ahead of set-ups, but nothing overtakes what is on its own circuit.
-type Processor[W comparable] struct {
-	Work     Work
-	MaxWait  time.Duration // a set-up that has waited longer is refused; 0: none is
-	Lag      time.Duration // how late its driver may wake it: a wait that short is made up by later work
-	Figures  rulecheck.Figures
-	Capacity float64 // set-ups a second when warm
-
-	Waited  time.Duration // all waits of what it handled
-	Handled int
-	Refused int
-	Busy    time.Duration // work done
-
-	high, low []job[W]
-	behind    map[place[W]]int // messages in low by circuit
-	waiting   map[W]int        // and by wire
-	freeAt    time.Duration
-	silent    bool // takes everything and answers nothing
-	hung      bool // takes set-ups and answers none of them
-	fallen    bool
-	stalled   time.Duration
-	slow      float64
-	slowEnds  time.Duration
-	ageing    float64 // slow-down for each second since
-	agedFrom  time.Duration
-	cold      bool
-	coldAt    time.Duration
-	recent    []time.Duration // set-ups of the last TipAfter while cold
-}
-
-// NewProcessor makes a warm, idle processor.
-func NewProcessor[W comparable](work Work, maxWait time.Duration, capacity float64, f rulecheck.Figures) *Processor[W] {
-	return &Processor[W]{Work: work, MaxWait: maxWait, Capacity: capacity, Figures: f, slow: 1,
-		behind: map[place[W]]int{}, waiting: map[W]int{}}
-}
-
-// Submit queues a message. What belongs to a circuit whose set-up still waits stays behind it.
-func (p *Processor[W]) Submit(now time.Duration, l Letter[W]) {
-	if p.silent || p.fallen || p.hung && l.Setup {
+// queueEntry is a message in a queue, with the time of its arrival.
+type queueEntry[Source comparable] struct {
+	QueuedMessage[Source]
+	queuedAt time.Duration
+}
+
+// Processor simulates the processor of an exchange: a single server at which all messages to the exchange queue. Answers
+// and releases have priority over set-ups, but no message overtakes an earlier one of its own circuit.
+type Processor[Source comparable] struct {
+	ServiceTimes    ServiceTimes
+	MaxWait         time.Duration // a set-up that has waited longer is refused; 0: none is
+	TimingTolerance time.Duration // how far from the due time the driver may call Serve; later services make up for it
+	Parameters      rulecheck.Figures
+	Capacity        float64 // set-ups per second when not cold
+
+	TotalWait time.Duration // sum of the queueing times of all messages handled
+	Handled   int           // messages handled, refused set-ups included
+	Refused   int           // set-ups refused
+	BusyTime  time.Duration // sum of the service times
+
+	priorityQueue, setUpQueue []queueEntry[Source]
+	queuedByCircuit           map[circuitKey[Source]]int // messages in setUpQueue
+	queuedBySource            map[Source]int             // messages in setUpQueue
+	freeAt                    time.Duration              // end of the present service
+	unresponsive              bool                       // drops all messages
+	ignoresSetUps             bool                       // drops set-ups
+	collapsed                 bool                       // overloaded while cold: drops all messages
+	stalledUntil              time.Duration
+	slowFactor                float64 // of service times until slowUntil
+	slowUntil                 time.Duration
+	ageingRate                float64 // growth of the service times per second since ageingSince
+	ageingSince               time.Duration
+	isCold                    bool
+	coldSince                 time.Duration
+	recentSetUps              []time.Duration // arrivals within TipAfter of other call servers' set-ups, while cold
+}
+
+// NewProcessor creates an idle processor with full capacity.
+func NewProcessor[Source comparable](serviceTimes ServiceTimes, maxWait time.Duration, capacity float64,
+	parameters rulecheck.Figures) *Processor[Source] {
+	return &Processor[Source]{ServiceTimes: serviceTimes, MaxWait: maxWait, Capacity: capacity, Parameters: parameters, slowFactor: 1,
+		queuedByCircuit: map[circuitKey[Source]]int{}, queuedBySource: map[Source]int{}}
+}
+
+// Submit queues a message: behind the set-ups if it is a set-up or if an earlier message of its circuits is queued there,
+// and with priority otherwise.
+func (p *Processor[Source]) Submit(now time.Duration, message QueuedMessage[Source]) {
+	if p.unresponsive || p.collapsed || p.ignoresSetUps && message.IsSetUp {
 		return
 	}
-	if l.Setup && l.Peer {
-		p.heat(now)
+	if message.IsSetUp && message.FromCallServer {
+		p.countColdSetUp(now)
 	}
-	j := job[W]{l, now}
-	if !l.Setup && !p.held(l) {
-		p.high = append(p.high, j)
+	entry := queueEntry[Source]{message, now}
+	if !message.IsSetUp && !p.mustQueueBehind(message) {
+		p.priorityQueue = append(p.priorityQueue, entry)
 		return
 	}
-	for _, cic := range l.CICs {
-		p.behind[place[W]{l.From, cic}]++
+	for _, cic := range message.Circuits {
+		p.queuedByCircuit[circuitKey[Source]{message.From, cic}]++
 	}
-	p.waiting[l.From]++
-	p.low = append(p.low, j)
+	p.queuedBySource[message.From]++
+	p.setUpQueue = append(p.setUpQueue, entry)
 }
 
-// held tells whether something of the same circuits still waits.
-func (p *Processor[W]) held(l Letter[W]) bool {
-	if l.Group {
-		return p.waiting[l.From] > 0
+// mustQueueBehind reports whether an earlier message of the same circuits is in the set-up queue.
+func (p *Processor[Source]) mustQueueBehind(message QueuedMessage[Source]) bool {
+	if message.IsGroup {
+		return p.queuedBySource[message.From] > 0
 	}
-	for _, cic := range l.CICs {
-		if p.behind[place[W]{l.From, cic}] > 0 {
+	for _, cic := range message.Circuits {
+		if p.queuedByCircuit[circuitKey[Source]{message.From, cic}] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Next tells when Serve has work; false: nothing waits.
-func (p *Processor[W]) Next() (time.Duration, bool) {
-	return max(p.freeAt, p.stalled), len(p.high)+len(p.low) > 0
+// Next returns the time of the next service; false: the queues are empty.
+func (p *Processor[Source]) Next() (time.Duration, bool) {
+	return max(p.freeAt, p.stalledUntil), len(p.priorityQueue)+len(p.setUpQueue) > 0
 }
 
-// Serve takes the next message and gives what is to be done with it; nil where nothing is due. The processor is then
-// busy for its work.
-func (p *Processor[W]) Serve(now time.Duration) func() {
-	if at, ok := p.Next(); !ok || at > now+p.Lag {
+// Serve dequeues the next message and returns its Deliver or Refuse function for the caller to run; nil: nothing is due.
+// The processor is then busy for the service time of the message.
+func (p *Processor[Source]) Serve(now time.Duration) func() {
+	if at, ok := p.Next(); !ok || at > now+p.TimingTolerance {
 		return nil
 	}
-	j := p.take()
-	act, work := j.Deliver, p.Work.Other
+	entry := p.dequeue()
+	action, work := entry.Deliver, p.ServiceTimes.Other
 	switch {
-	case j.Setup && p.MaxWait > 0 && now-j.came > p.MaxWait && j.Refuse != nil:
-		act, work = j.Refuse, p.Work.Setup/2
+	case entry.IsSetUp && p.MaxWait > 0 && now-entry.queuedAt > p.MaxWait && entry.Refuse != nil:
+		action, work = entry.Refuse, p.ServiceTimes.SetUp/2
 		p.Refused++
-	case j.Setup:
-		work = p.Work.Setup
-	case j.Answer:
-		work = p.Work.Answer
-	}
-	work = time.Duration(float64(work) * p.pace(now))
-	p.Waited, p.Handled, p.Busy = p.Waited+now-j.came, p.Handled+1, p.Busy+work
-	p.freeAt = max(p.freeAt, now-p.Lag) + work
-	return act
-}
-
-func (p *Processor[W]) take() (j job[W]) {
-	if len(p.high) > 0 {
-		j, p.high[0] = p.high[0], job[W]{}
-		p.high = p.high[1:]
-		return j
-	}
-	j, p.low[0] = p.low[0], job[W]{}
-	p.low = p.low[1:]
-	for _, cic := range j.CICs {
-		at := place[W]{j.From, cic}
-		if p.behind[at]--; p.behind[at] == 0 {
-			delete(p.behind, at)
+	case entry.IsSetUp:
+		work = p.ServiceTimes.SetUp
+	case entry.IsAnswer:
+		work = p.ServiceTimes.Answer
+	}
+	work = time.Duration(float64(work) * p.slowdown(now))
+	p.TotalWait, p.Handled, p.BusyTime = p.TotalWait+now-entry.queuedAt, p.Handled+1, p.BusyTime+work
+	p.freeAt = max(p.freeAt, now-p.TimingTolerance) + work
+	return action
+}
+
+// dequeue takes the next message from the queues.
+func (p *Processor[Source]) dequeue() (entry queueEntry[Source]) {
+	if len(p.priorityQueue) > 0 {
+		entry, p.priorityQueue[0] = p.priorityQueue[0], queueEntry[Source]{}
+		p.priorityQueue = p.priorityQueue[1:]
+		return entry
+	}
+	entry, p.setUpQueue[0] = p.setUpQueue[0], queueEntry[Source]{}
+	p.setUpQueue = p.setUpQueue[1:]
+	for _, cic := range entry.Circuits {
+		key := circuitKey[Source]{entry.From, cic}
+		if p.queuedByCircuit[key]--; p.queuedByCircuit[key] == 0 {
+			delete(p.queuedByCircuit, key)
 		}
 	}
-	if p.waiting[j.From]--; p.waiting[j.From] == 0 {
-		delete(p.waiting, j.From)
+	if p.queuedBySource[entry.From]--; p.queuedBySource[entry.From] == 0 {
+		delete(p.queuedBySource, entry.From)
 	}
-	return j
+	return entry
 }
 
-// heat counts set-ups of other call servers while it is cold: too many together, and it falls over for good.
-func (p *Processor[W]) heat(now time.Duration) {
-	if !p.cold {
+// countColdSetUp counts the set-ups that arrive from other call servers while the processor is cold. If together they
+// exceed the budget of rule 4, the processor collapses and stays down until Restart.
+func (p *Processor[Source]) countColdSetUp(now time.Duration) {
+	if !p.isCold {
 		return
 	}
-	if now-p.coldAt > p.Figures.ColdFor {
-		p.cold, p.recent = false, nil
+	if now-p.coldSince > p.Parameters.ColdFor {
+		p.isCold, p.recentSetUps = false, nil
 		return
 	}
-	p.recent = append(p.recent, now)
-	for len(p.recent) > 0 && p.recent[0] < now-p.Figures.TipAfter {
-		p.recent = p.recent[1:]
+	p.recentSetUps = append(p.recentSetUps, now)
+	for len(p.recentSetUps) > 0 && p.recentSetUps[0] < now-p.Parameters.TipAfter {
+		p.recentSetUps = p.recentSetUps[1:]
 	}
-	if float64(len(p.recent)) > rulecheck.Budget(p.Figures, p.Capacity, now-p.coldAt) {
-		p.fallen = true
+	if float64(len(p.recentSetUps)) > rulecheck.Budget(p.Parameters, p.Capacity, now-p.coldSince) {
+		p.collapsed = true
 	}
 }
 
-// pace is how many times longer than usual work takes now.
-func (p *Processor[W]) pace(now time.Duration) float64 {
-	f := 1.0
-	if now < p.slowEnds {
-		f *= p.slow
+// slowdown returns the factor by which service times are longer than usual.
+func (p *Processor[Source]) slowdown(now time.Duration) float64 {
+	factor := 1.0
+	if now < p.slowUntil {
+		factor *= p.slowFactor
 	}
-	if p.ageing > 0 {
-		f *= 1 + p.ageing*(now-p.agedFrom).Seconds()
+	if p.ageingRate > 0 {
+		factor *= 1 + p.ageingRate*(now-p.ageingSince).Seconds()
 	}
-	if since := now - p.coldAt; p.cold && since < p.Figures.ColdFor {
-		f /= p.Figures.ColdFrom + (1-p.Figures.ColdFrom)*float64(since)/float64(p.Figures.ColdFor)
+	if since := now - p.coldSince; p.isCold && since < p.Parameters.ColdFor {
+		factor /= p.Parameters.ColdFrom + (1-p.Parameters.ColdFrom)*float64(since)/float64(p.Parameters.ColdFor)
 	}
-	return f
+	return factor
 }
 
-func (p *Processor[W]) clear() {
-	p.high, p.low = nil, nil
-	clear(p.behind)
-	clear(p.waiting)
+// clearQueues drops all queued messages.
+func (p *Processor[Source]) clearQueues() {
+	p.priorityQueue, p.setUpQueue = nil, nil
+	clear(p.queuedByCircuit)
+	clear(p.queuedBySource)
 }
 
-// Silence makes it take everything and answer nothing; what waits is lost.
-func (p *Processor[W]) Silence() { p.silent = true; p.clear() }
+// StopResponding drops the queued messages and all that arrive from now on, until Restart.
+func (p *Processor[Source]) StopResponding() { p.unresponsive = true; p.clearQueues() }
 
-// Hang makes it take set-ups and answer none of them, or ends that.
-func (p *Processor[W]) Hang(on bool) { p.hung = on }
+// IgnoreSetUps sets whether the processor drops set-ups that arrive, while it handles all other messages.
+func (p *Processor[Source]) IgnoreSetUps(ignore bool) { p.ignoresSetUps = ignore }
 
-// Stall makes it stand still and then find all that came meanwhile.
-func (p *Processor[W]) Stall(until time.Duration) { p.stalled = max(p.stalled, until) }
+// Stall pauses the processor. Messages that arrive meanwhile are queued.
+func (p *Processor[Source]) Stall(until time.Duration) { p.stalledUntil = max(p.stalledUntil, until) }
 
-// Slow makes work take factor times as long until then.
-func (p *Processor[W]) Slow(factor float64, until time.Duration) { p.slow, p.slowEnds = factor, until }
+// SlowDown multiplies service times by a factor until a time.
+func (p *Processor[Source]) SlowDown(factor float64, until time.Duration) {
+	p.slowFactor, p.slowUntil = factor, until
+}
 
-// Age makes work take longer and longer: perSecond is what each second adds to the factor; 0 ends it.
-func (p *Processor[W]) Age(now time.Duration, perSecond float64) {
-	p.ageing, p.agedFrom = perSecond, now
+// Age makes service times grow steadily: each second adds ratePerSecond to their factor; 0 ends it.
+func (p *Processor[Source]) Age(now time.Duration, ratePerSecond float64) {
+	p.ageingRate, p.ageingSince = ratePerSecond, now
 }
 
-// Restart brings it back: cold, with nothing waiting, neither silent nor old.
-func (p *Processor[W]) Restart(now time.Duration) {
-	p.silent, p.hung, p.fallen, p.ageing, p.stalled = false, false, false, 0, 0
-	p.recent, p.cold, p.coldAt, p.freeAt = nil, true, now, now
-	p.clear()
+// Restart makes the processor cold, with empty queues, and ends all its faults but SlowDown.
+func (p *Processor[Source]) Restart(now time.Duration) {
+	p.unresponsive, p.ignoresSetUps, p.collapsed, p.ageingRate, p.stalledUntil = false, false, false, 0, 0
+	p.recentSetUps, p.isCold, p.coldSince, p.freeAt = nil, true, now, now
+	p.clearQueues()
 }
 
-// Fallen tells whether it has fallen over.
-func (p *Processor[W]) Fallen() bool { return p.fallen }
+// Collapsed reports whether the processor was overloaded while cold and has not been restarted since.
+func (p *Processor[Source]) Collapsed() bool { return p.collapsed }
--- a/internal/plant/relation.go
+++ b/internal/plant/relation.go
@@ -8,240 +8,252 @@
 	"finchlatch/m3ua"
 )
 
-// Direction of a frame on a relation: 0 from its first end to its second, 1 back.
+// Direction of a frame on a signalling relation: 0 from the first end to the second, 1 the opposite.
 type Direction int
 
-// Frame is one M3UA message on a relation, read once.
+// Frame is an M3UA message on a signalling relation, decoded once.
 type Frame struct {
 	Raw  []byte
-	ISUP *isup.Message // nil: of the association itself, or not readable
+	ISUP *isup.Message // nil: a message that manages the association, or one that cannot be decoded
 	Data m3ua.ProtocolData
 
-	behind *setup // the last set-up that arrived on its circuit; of an IAM, itself
+	setUp *arrivedSetUp // the last set-up that arrived on the circuit; of an IAM, its own
 }
 
-// setup is what became of an IAM at the processor.
-type setup struct{ refused, reset bool }
+// arrivedSetUp records what happened to a set-up after its IAM arrived at the processor.
+type arrivedSetUp struct {
+	refused bool // by the processor
+	reset   bool // its circuit was reset
+}
 
-// ReadFrame reads a whole M3UA message.
+// ReadFrame decodes a whole M3UA message.
 func ReadFrame(raw []byte) Frame {
-	f := Frame{Raw: raw}
-	if m, p, ok := rulecheck.ISUP(raw); ok {
-		f.ISUP, f.Data = m, p
+	frame := Frame{Raw: raw}
+	if message, data, ok := rulecheck.ISUP(raw); ok {
+		frame.ISUP, frame.Data = message, data
 	}
-	return f
+	return frame
 }
 
-// Circuits are those that the IAM of a frame names; of one that cannot be read, its own.
+// Circuits returns the circuits of the call that the frame's IAM sets up, or only the IAM's own circuit if the IAM cannot
+// be decoded.
 func (f Frame) Circuits() []uint16 {
-	set, err := f.ISUP.Setup()
+	setUp, err := f.ISUP.Setup()
 	if err != nil {
 		return []uint16{f.ISUP.CIC}
 	}
-	return set.Circuits(f.ISUP.CIC)
+	return setUp.Circuits(f.ISUP.CIC)
 }
 
-// reply is a message of the stand-in's own, as if from the end that f came to.
-func (f Frame) reply(m *isup.Message) []byte {
-	b, err := m.Append(nil)
+// reply encodes an ISUP message as if the receiver of f answered with it.
+func (f Frame) reply(message *isup.Message) []byte {
+	encoded, err := message.Append(nil)
 	if err != nil {
 		return nil
 	}
-	p := f.Data
-	back := m3ua.ProtocolData{OPC: p.DPC, DPC: p.OPC, SI: m3ua.ServiceISUP, NI: p.NI, SLS: p.SLS, Data: b,
-		HasContext: p.HasContext, RoutingContext: p.RoutingContext}
+	received := f.Data
+	back := m3ua.ProtocolData{OPC: received.DPC, DPC: received.OPC, SI: m3ua.ServiceISUP, NI: received.NI, SLS: received.SLS,
+		Data: encoded, HasContext: received.HasContext, RoutingContext: received.RoutingContext}
 	return back.Message().Append(nil)
 }
 
-// Relation is what stands between two ends of an association while it lasts: it knows the calls that each end has
-// signalled, and lets the processor of an end answer for a call server that never sees a set-up. It is not safe for
-// concurrent use.
+// Relation is the state of the signalling relation between two ends while their association lasts. It tracks the calls
+// that each end has signalled, and lets the processor of an end refuse set-ups in place of its call server, which never
+// receives them. It is not safe for concurrent use.
+//
+// Arrays are indexed by direction, which also stands for the end that sends in it.
 type Relation struct {
-	refused map[uint16]*refusal    // set-ups that a processor has refused, by circuit, until their RLC
-	seized  [2]map[uint16][]uint16 // set-ups that the end of a direction has sent, until their RLC reaches it
-	last    [2]map[uint16][]uint16 // circuits of the last set-up on a circuit, by direction
-	arrived [2]map[uint16]*setup   // the last set-up that arrived on a circuit
-	resets  [2]map[uint16]bool     // circuits that the end of a direction is resetting, until the answer arrives
+	refusals      map[uint16]*refusal         // set-ups refused by a processor, by circuit, until their RLC
+	seized        [2]map[uint16][]uint16      // circuits of the set-ups that an end has sent, until it sends or receives RLC
+	lastCircuits  [2]map[uint16][]uint16      // circuits of the last set-up that an end has sent on a circuit
+	arrivedSetUps [2]map[uint16]*arrivedSetUp // the last set-up that arrived on a circuit
+	pendingResets [2]map[uint16]bool          // circuits that an end is resetting, until the acknowledgement arrives
 }
 
-// refusal keeps the far side's messages on its circuits back while the end that was refused clears them.
+// refusal is a set-up refused by a processor. Until the end that sent it has cleared its circuits, the other end's
+// messages on them are held.
 type refusal struct {
-	to    Direction // direction of the refused IAM
-	cics  []uint16
-	frame Frame // the IAM
-	held  []Frame
+	direction  Direction // of the IAM
+	circuits   []uint16
+	iam        Frame
+	heldFrames []Frame // of the opposite direction
 }
 
-// NewRelation makes one for a new association.
+// NewRelation creates the state for a new association.
 func NewRelation() *Relation { return &Relation{} }
 
-// keep puts into a map that may not have been made yet: most relations of a large fleet never carry a call.
-func keep[V any](m *map[uint16]V, cic uint16, v V) {
-	if *m == nil {
-		*m = map[uint16]V{}
+// putLazily sets a map entry and allocates the map first if it is nil. Most relations of a large fleet never carry a call,
+// so their maps are not allocated in advance.
+func putLazily[V any](values *map[uint16]V, cic uint16, value V) {
+	if *values == nil {
+		*values = map[uint16]V{}
 	}
-	(*m)[cic] = v
+	(*values)[cic] = value
 }
 
-// Sent notes a frame as its end sends it.
-func (r *Relation) Sent(d Direction, f Frame) {
-	if f.ISUP == nil {
+// RecordSent records that an end has sent a frame.
+func (r *Relation) RecordSent(direction Direction, frame Frame) {
+	if frame.ISUP == nil {
 		return
 	}
-	if f.ISUP.Type == isup.IAM {
-		cics := f.Circuits()
-		keep(&r.seized[d], f.ISUP.CIC, cics)
-		keep(&r.last[d], f.ISUP.CIC, cics)
+	if frame.ISUP.Type == isup.IAM {
+		circuits := frame.Circuits()
+		putLazily(&r.seized[direction], frame.ISUP.CIC, circuits)
+		putLazily(&r.lastCircuits[direction], frame.ISUP.CIC, circuits)
 		return
 	}
-	if f.ISUP.Type == isup.GRS || f.ISUP.Type == isup.RSC {
-		for cic := f.ISUP.CIC; cic <= lastReset(f.ISUP); cic++ {
-			keep(&r.resets[d], cic, true)
-			r.forget(1-d, cic)
+	if frame.ISUP.Type == isup.GRS || frame.ISUP.Type == isup.RSC {
+		for cic := frame.ISUP.CIC; cic <= lastNamedCircuit(frame.ISUP); cic++ {
+			putLazily(&r.pendingResets[direction], cic, true)
+			r.markReset(1-direction, cic)
 		}
 	}
-	r.cleared(d, f.ISUP)
+	r.clearSeized(direction, frame.ISUP)
 }
 
-// forget notes that the set-up which arrived on a circuit, and may still wait, is of a call that a reset has ended.
-func (r *Relation) forget(d Direction, cic uint16) {
-	if x := r.arrived[d][cic]; x != nil {
-		x.reset = true
-		delete(r.arrived[d], cic) // what arrives from now on has nothing to do with it
+// markReset records that a reset has ended the call whose set-up arrived on a circuit and may still be queued.
+func (r *Relation) markReset(direction Direction, cic uint16) {
+	if setUp := r.arrivedSetUps[direction][cic]; setUp != nil {
+		setUp.reset = true
+		delete(r.arrivedSetUps[direction], cic) // later messages do not belong to that call
 	}
 }
 
-// Reached notes a frame as it reaches the end that it goes to.
-func (r *Relation) Reached(d Direction, f Frame) {
-	if f.ISUP != nil && f.ISUP.Type != isup.IAM {
-		r.cleared(1-d, f.ISUP)
+// RecordDelivered records that a frame was delivered to the end that it is addressed to.
+func (r *Relation) RecordDelivered(direction Direction, frame Frame) {
+	if frame.ISUP != nil && frame.ISUP.Type != isup.IAM {
+		r.clearSeized(1-direction, frame.ISUP)
 	}
 }
 
-// cleared ends what an end has seized once it has sent or got the RLC.
-func (r *Relation) cleared(end Direction, m *isup.Message) {
-	switch m.Type {
+// clearSeized removes circuits that an end had seized, once it has sent or received RLC or a reset.
+func (r *Relation) clearSeized(end Direction, message *isup.Message) {
+	switch message.Type {
 	case isup.RLC:
-		delete(r.seized[end], m.CIC)
+		delete(r.seized[end], message.CIC)
 	case isup.GRS, isup.RSC:
 		clear(r.seized[end])
 	}
 }
 
-// circuits are those of the calls that were last signalled on a circuit: a wide call's messages name only the first.
-func (r *Relation) circuits(cic uint16) []uint16 {
-	a, b := r.last[0][cic], r.last[1][cic]
-	if len(a) <= 1 && len(b) <= 1 {
+// relatedCircuits returns all circuits of the calls that were last signalled on a circuit, since the messages of a wide
+// call name only its first circuit.
+func (r *Relation) relatedCircuits(cic uint16) []uint16 {
+	forward, backward := r.lastCircuits[0][cic], r.lastCircuits[1][cic]
+	if len(forward) <= 1 && len(backward) <= 1 {
 		return []uint16{cic}
 	}
-	out := append(append([]uint16{cic}, a...), b...)
+	out := append(append([]uint16{cic}, forward...), backward...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// Describe fills what a processor must know of a frame that arrives, and gives the frame as it is then.
-func Describe[W comparable](r *Relation, d Direction, f Frame, l *Letter[W]) Frame {
-	if f.ISUP == nil {
-		return f
+// Classify fills in the properties of an arriving frame that the processor needs, and returns the frame with a reference
+// to the set-up that it belongs to.
+func Classify[Source comparable](relation *Relation, direction Direction, frame Frame, message *QueuedMessage[Source]) Frame {
+	if frame.ISUP == nil {
+		return frame
 	}
-	switch f.behind = r.arrived[d][f.ISUP.CIC]; f.ISUP.Type {
+	switch frame.setUp = relation.arrivedSetUps[direction][frame.ISUP.CIC]; frame.ISUP.Type {
 	case isup.GRS, isup.RSC:
-		for cic := f.ISUP.CIC; cic <= lastReset(f.ISUP); cic++ {
-			r.forget(d, cic)
+		for cic := frame.ISUP.CIC; cic <= lastNamedCircuit(frame.ISUP); cic++ {
+			relation.markReset(direction, cic)
 		}
 	case isup.GRA, isup.RLC:
-		for cic := f.ISUP.CIC; cic <= lastReset(f.ISUP); cic++ {
-			if r.resets[1-d][cic] {
-				delete(r.resets[1-d], cic)
-				r.forget(d, cic)
+		for cic := frame.ISUP.CIC; cic <= lastNamedCircuit(frame.ISUP); cic++ {
+			if relation.pendingResets[1-direction][cic] {
+				delete(relation.pendingResets[1-direction], cic)
+				relation.markReset(direction, cic)
 			}
 		}
 	case isup.IAM:
-		f.behind = &setup{}
-		for _, cic := range f.Circuits() {
-			f.behind.reset = f.behind.reset || r.resets[1-d][cic]
-			keep(&r.arrived[d], cic, f.behind)
+		frame.setUp = &arrivedSetUp{}
+		for _, cic := range frame.Circuits() {
+			frame.setUp.reset = frame.setUp.reset || relation.pendingResets[1-direction][cic]
+			putLazily(&relation.arrivedSetUps[direction], cic, frame.setUp)
 		}
 	}
-	t := f.ISUP.Type
-	l.CICs, l.Setup = r.circuits(f.ISUP.CIC), t == isup.IAM
-	l.Answer = t == isup.ANM || t == isup.CON || t == isup.REL
-	l.Group = t == isup.GRS || t == isup.GRA || t == isup.CGB || t == isup.CGU
-	return f
+	messageType := frame.ISUP.Type
+	message.Circuits, message.IsSetUp = relation.relatedCircuits(frame.ISUP.CIC), messageType == isup.IAM
+	message.IsAnswer = messageType == isup.ANM || messageType == isup.CON || messageType == isup.REL
+	message.IsGroup = messageType == isup.GRS || messageType == isup.GRA || messageType == isup.CGB || messageType == isup.CGU
+	return frame
 }
 
-// Refuse turns an IAM away in place of the call server that never sees it: REL with cause 42 goes back, in the other
-// direction, and whatever that call server sends on the circuits meanwhile waits until the RLC has come. Where the circuit
-// has been reset since, nothing goes back: its end has forgotten the call. seen: that call server has itself seized one of
-// the circuits; the dual seizure is its to judge, so it must see the IAM.
-func (r *Relation) Refuse(d Direction, f Frame) (reply []byte, seen bool) {
-	if f.behind.reset {
-		f.behind.refused = true
+// Refuse refuses an IAM in place of its call server, which never receives it. The reply, REL with cause 42, goes in the
+// opposite direction, and what the call server sends on the circuits is held until RLC has arrived. There is no reply if
+// the circuit was reset meanwhile, as the sender of the IAM has dropped the call. mustDeliver means that the call server
+// has itself seized one of the circuits: it must receive the IAM to resolve the dual seizure.
+func (r *Relation) Refuse(direction Direction, frame Frame) (reply []byte, mustDeliver bool) {
+	if frame.setUp.reset {
+		frame.setUp.refused = true
 		return nil, false
 	}
-	cics := f.Circuits()
-	for _, held := range r.seized[1-d] {
-		if slices.ContainsFunc(cics, func(c uint16) bool { return slices.Contains(held, c) }) {
+	circuits := frame.Circuits()
+	for _, seized := range r.seized[1-direction] {
+		if slices.ContainsFunc(circuits, func(cic uint16) bool { return slices.Contains(seized, cic) }) {
 			return nil, true
 		}
 	}
-	f.behind.refused = true
-	keep(&r.refused, f.ISUP.CIC, &refusal{to: d, cics: cics, frame: f})
-	return refuse(f), false
+	frame.setUp.refused = true
+	putLazily(&r.refusals, frame.ISUP.CIC, &refusal{direction: direction, circuits: circuits, iam: frame})
+	return refusalRelease(frame), false
 }
 
-func refuse(f Frame) []byte {
-	return f.reply(isup.NewRelease(f.ISUP.CIC, isup.ReleaseInfo{Cause: isup.CauseCongestion,
+// refusalRelease encodes the REL that refuses the IAM of a frame.
+func refusalRelease(frame Frame) []byte {
+	return frame.reply(isup.NewRelease(frame.ISUP.CIC, isup.ReleaseInfo{Cause: isup.CauseCongestion,
 		Location: isup.LocationLocalNetwork, Congestion: 2}))
 }
 
-// Repeat gives the REL of a refusal once more, where the set-up's end has not cleared it T1 later (Q.764 2.3.1): a silent
-// processor may have lost it. nil: it is cleared.
-func (r *Relation) Repeat(f Frame) []byte {
-	if x := r.refused[f.ISUP.CIC]; x == nil || x.frame.ISUP != f.ISUP {
+// RepeatRelease returns the REL of a refusal for another transmission if RLC has not arrived within T1 (Q.764 2.3.1): an
+// unresponsive processor may have dropped the REL. nil: the refusal has been cleared.
+func (r *Relation) RepeatRelease(frame Frame) []byte {
+	if refused := r.refusals[frame.ISUP.CIC]; refused == nil || refused.iam.ISUP != frame.ISUP {
 		return nil
 	}
-	return refuse(f)
+	return refusalRelease(frame)
 }
 
-// Clearing handles frames on circuits whose IAM was refused. taken: the frame goes no further for now. reply goes back in
-// the other direction, and after are frames of the other direction that waited and now arrive.
-func (r *Relation) Clearing(d Direction, f Frame) (taken bool, reply []byte, after []Frame) {
-	if len(r.refused) == 0 || f.ISUP == nil {
+// InterceptRefused handles frames on circuits whose IAM was refused. An intercepted frame must not be delivered now. The
+// reply, if any, goes in the opposite direction; resumed are frames of the opposite direction that were held and arrive
+// now.
+func (r *Relation) InterceptRefused(direction Direction, frame Frame) (intercepted bool, reply []byte, resumed []Frame) {
+	if len(r.refusals) == 0 || frame.ISUP == nil {
 		return false, nil, nil
 	}
-	if t := f.ISUP.Type; t == isup.RSC || t == isup.GRS {
-		return false, nil, r.reset(d, f.ISUP)
+	if messageType := frame.ISUP.Type; messageType == isup.RSC || messageType == isup.GRS {
+		return false, nil, r.endResetRefusals(direction, frame.ISUP)
 	}
-	x, at := r.refusalOn(f.ISUP.CIC)
+	refused, iamCIC := r.findRefusal(frame.ISUP.CIC)
 	switch {
-	case x == nil:
+	case refused == nil:
 		return false, nil, nil
-	case d != x.to: // of the end that refused: it may have seized the circuit itself
-		x.held = append(x.held, f)
+	case direction != refused.direction: // from the end that refused, which may itself have seized the circuit
+		refused.heldFrames = append(refused.heldFrames, frame)
 		return true, nil, nil
-	case f.ISUP.Type == isup.REL: // the refused end has given up by itself; its RLC for our REL is still to come
-		return true, f.reply(isup.Simple(isup.RLC, f.ISUP.CIC)), nil
-	case f.ISUP.Type != isup.RLC:
+	case frame.ISUP.Type == isup.REL: // the refused end releases the call itself; its RLC for the refusal is still due
+		return true, frame.reply(isup.Simple(isup.RLC, frame.ISUP.CIC)), nil
+	case frame.ISUP.Type != isup.RLC:
 		return true, nil, nil
 	}
-	return true, nil, r.end(at)
+	return true, nil, r.endRefusal(iamCIC)
 }
 
-// end ends a refusal, and gives what waited. What arrives from now on has nothing to do with it.
-func (r *Relation) end(at uint16) []Frame {
-	x := r.refused[at]
-	delete(r.refused, at)
-	for _, cic := range x.cics {
-		delete(r.arrived[x.to], cic)
+// endRefusal ends a refusal and returns the frames held. Frames that arrive later on its circuits do not belong to it.
+func (r *Relation) endRefusal(iamCIC uint16) []Frame {
+	refused := r.refusals[iamCIC]
+	delete(r.refusals, iamCIC)
+	for _, cic := range refused.circuits {
+		delete(r.arrivedSetUps[refused.direction], cic)
 	}
-	return x.held
+	return refused.heldFrames
 }
 
-// Stale handles a frame that waited at the processor behind a set-up which has been refused since: the call server has
-// never heard of that call. taken and reply are as of Clearing.
-func (f Frame) Stale() (taken bool, reply []byte) {
-	if f.behind == nil || !f.behind.refused || f.ISUP.Type == isup.RSC || f.ISUP.Type == isup.GRS {
+// InterceptStale handles a frame that was queued at the processor behind a set-up which the processor refused: the call
+// server does not know that call. The results are those of InterceptRefused.
+func (f Frame) InterceptStale() (intercepted bool, reply []byte) {
+	if f.setUp == nil || !f.setUp.refused || f.ISUP.Type == isup.RSC || f.ISUP.Type == isup.GRS {
 		return false, nil
 	}
 	if f.ISUP.Type == isup.REL {
@@ -250,34 +262,35 @@
 	return true, reply
 }
 
-// refusalOn finds the refusal that holds a circuit; there is one at most.
-func (r *Relation) refusalOn(cic uint16) (*refusal, uint16) {
-	for at, x := range r.refused {
-		if slices.Contains(x.cics, cic) {
-			return x, at
+// findRefusal returns the refusal that includes a circuit, and its key. There is at most one.
+func (r *Relation) findRefusal(cic uint16) (*refusal, uint16) {
+	for iamCIC, refused := range r.refusals {
+		if slices.Contains(refused.circuits, cic) {
+			return refused, iamCIC
 		}
 	}
 	return nil, 0
 }
 
-// lastReset is the last circuit that a reset or its answer names.
-func lastReset(m *isup.Message) uint16 {
-	if rng, err := m.RangeStatus(); (m.Type == isup.GRS || m.Type == isup.GRA) && err == nil {
-		return m.CIC + uint16(rng.Range)
+// lastNamedCircuit returns the last circuit of a reset or of its acknowledgement.
+func lastNamedCircuit(message *isup.Message) uint16 {
+	if circuits, err := message.RangeStatus(); (message.Type == isup.GRS || message.Type == isup.GRA) && err == nil {
+		return message.CIC + uint16(circuits.Range)
 	}
-	return m.CIC
+	return message.CIC
 }
 
-// reset ends the refusals of circuits that either end resets: the reset itself clears them. It gives what waited.
-func (r *Relation) reset(d Direction, m *isup.Message) (after []Frame) {
-	for cic := m.CIC; cic <= lastReset(m); cic++ {
-		x, at := r.refusalOn(cic)
-		if x == nil {
+// endResetRefusals ends the refusals on circuits that either end resets, since the reset clears them. It returns the
+// frames held that are to be resumed.
+func (r *Relation) endResetRefusals(direction Direction, message *isup.Message) (resumed []Frame) {
+	for cic := message.CIC; cic <= lastNamedCircuit(message); cic++ {
+		refused, iamCIC := r.findRefusal(cic)
+		if refused == nil {
 			continue
 		}
-		if held := r.end(at); d == x.to {
-			after = append(after, held...)
+		if held := r.endRefusal(iamCIC); direction == refused.direction {
+			resumed = append(resumed, held...)
 		}
 	}
-	return after
+	return resumed
 }
--- a/internal/plant/report.go
+++ b/internal/plant/report.go
@@ -10,56 +10,65 @@
 	"finchlatch/internal/rulecheck"
 )
 
-// ClassReport is what callers of one class met.
+// ClassReport sums up the outcomes of the callers of one class.
 type ClassReport struct {
-	Name                                string
-	Callers, InTime, Late, Cut, Without int // Without: never stood
-	Refused, Failed, Hung, Tries        int
-	Earned, Offered                     float64
-	SetUp                               *hdrhistogram.Histogram // microseconds
+	Name             string
+	Callers          int
+	InTime           int // callers whose call was established within the class's aim
+	Late             int // callers whose call was established later
+	Dropped          int // callers whose call was dropped for good
+	NeverEstablished int
+	Refused          int                     // tries refused
+	Failed           int                     // tries failed
+	Abandoned        int                     // tries in which the caller hung up
+	Tries            int                     // tries of all callers
+	Earned           float64                 // worth earned
+	Offered          float64                 // worth offered
+	SetUp            *hdrhistogram.Histogram // set-up times in microseconds
 }
 
-// Report is what a run showed, from the callers and from the sockets.
+// Report is the result of a run: the outcomes of its callers and the verdict of the rule checker.
 type Report struct {
 	Classes []ClassReport
 	Verdict rulecheck.Verdict
-	Fallen  []string // processors that fell over
+	Fallen  []string // exchanges whose processor collapsed
 }
 
-// NewReport sums up what callers met, on sockets or in simulated time, and what the rule checker found.
-func NewReport(classes []Class, results []Outcome, v rulecheck.Verdict) Report {
-	r := Report{Verdict: v}
-	for _, c := range classes {
-		r.Classes = append(r.Classes, ClassReport{Name: c.Name, SetUp: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)})
+// NewReport sums up the outcomes of a run on sockets or in simulated time.
+func NewReport(classes []Class, results []Outcome, verdict rulecheck.Verdict) Report {
+	r := Report{Verdict: verdict}
+	for _, class := range classes {
+		r.Classes = append(r.Classes, ClassReport{Name: class.Name, SetUp: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)})
 	}
-	for _, o := range results {
-		r.Classes[o.Class].add(o, classes[o.Class])
+	for _, outcome := range results {
+		r.Classes[outcome.Class].addOutcome(outcome, classes[outcome.Class])
 	}
 	return r
 }
 
-func (c *ClassReport) add(o Outcome, m Class) {
+// addOutcome adds one caller's outcome.
+func (c *ClassReport) addOutcome(outcome Outcome, class Class) {
 	c.Callers++
-	c.Tries += o.Tries
-	c.Refused, c.Failed, c.Hung = c.Refused+o.Refused, c.Failed+o.Failed, c.Hung+o.Hung
-	earned, offered := o.Worth(m)
+	c.Tries += outcome.Tries
+	c.Refused, c.Failed, c.Abandoned = c.Refused+outcome.Refused, c.Failed+outcome.Failed, c.Abandoned+outcome.Abandoned
+	earned, offered := outcome.Worth(class)
 	c.Earned, c.Offered = c.Earned+earned, c.Offered+offered
 	switch {
-	case !o.Stood:
-		c.Without++
-	case o.Cut:
-		c.Cut++
-	case o.SetUp <= m.Aim:
+	case !outcome.Stood:
+		c.NeverEstablished++
+	case outcome.Cut:
+		c.Dropped++
+	case outcome.SetUp <= class.Aim:
 		c.InTime++
 	default:
 		c.Late++
 	}
-	if o.Stood {
-		_ = c.SetUp.RecordValue(o.SetUp.Microseconds())
+	if outcome.Stood {
+		_ = c.SetUp.RecordValue(outcome.SetUp.Microseconds())
 	}
 }
 
-// Service is the worth earned over the worth offered.
+// Service returns the worth earned divided by the worth offered.
 func (r Report) Service() float64 {
 	earned, offered := 0.0, 0.0
 	for _, c := range r.Classes {
@@ -80,32 +89,32 @@
 		if c.Offered > 0 {
 			service = c.Earned / c.Offered
 		}
-		q := func(p float64) time.Duration {
-			return (time.Duration(c.SetUp.ValueAtQuantile(p)) * time.Microsecond).Round(100 * time.Microsecond)
+		quantile := func(percentile float64) time.Duration {
+			return (time.Duration(c.SetUp.ValueAtQuantile(percentile)) * time.Microsecond).Round(100 * time.Microsecond)
 		}
-		fmt.Fprintf(w, "%-16s %8d %8d %6d %6d %8d %8d %7d %7d %8.3f  %v / %v / %v\n", c.Name, c.Callers, c.InTime, c.Late, c.Cut,
-			c.Without, c.Refused, c.Failed, c.Hung, service, q(50), q(99), q(99.9))
+		fmt.Fprintf(w, "%-16s %8d %8d %6d %6d %8d %8d %7d %7d %8.3f  %v / %v / %v\n", c.Name, c.Callers, c.InTime, c.Late, c.Dropped,
+			c.NeverEstablished, c.Refused, c.Failed, c.Abandoned, service, quantile(50), quantile(99), quantile(99.9))
 	}
-	v := r.Verdict
+	verdict := r.Verdict
 	fmt.Fprintf(w, "service %.3f of the worth offered; %d calls taken, %d final answers, %d attempts, %d dual seizures, %d cold starts\n",
-		r.Service(), v.Calls, v.Answers, v.Attempts, v.Dual, v.Cold)
-	if v.LookUps > 0 {
-		fmt.Fprintf(w, "%d look-ups, %d of them granted a lease\n", v.LookUps, v.Leases)
+		r.Service(), verdict.Calls, verdict.Answers, verdict.Attempts, verdict.Dual, verdict.Cold)
+	if verdict.LookUps > 0 {
+		fmt.Fprintf(w, "%d look-ups, %d of them granted a lease\n", verdict.LookUps, verdict.Leases)
 	}
-	for _, n := range r.Fallen {
-		fmt.Fprintf(w, "processor of %s fell over\n", n)
+	for _, exchange := range r.Fallen {
+		fmt.Fprintf(w, "processor of %s fell over\n", exchange)
 	}
-	if len(v.Breaches) == 0 {
+	if len(verdict.Breaches) == 0 {
 		fmt.Fprintf(w, "rules 1 to 5 kept, judged from what passed on the wires\n")
 		return
 	}
-	const most = 20
-	fmt.Fprintf(w, "RULES BROKEN: %d\n", len(v.Breaches))
-	for i, b := range v.Breaches {
-		if i == most {
-			fmt.Fprintf(w, "... and %d more\n", len(v.Breaches)-most)
+	const maxListed = 20
+	fmt.Fprintf(w, "RULES BROKEN: %d\n", len(verdict.Breaches))
+	for i, violation := range verdict.Breaches {
+		if i == maxListed {
+			fmt.Fprintf(w, "... and %d more\n", len(verdict.Breaches)-maxListed)
 			break
 		}
-		fmt.Fprintln(w, b)
+		fmt.Fprintln(w, violation)
 	}
 }
--- a/internal/plant/script.go
+++ b/internal/plant/script.go
@@ -12,87 +12,88 @@
 	"finchlatch/config"
 )
 
-// Step is one trouble of a script. What its figures mean depends on the kind; KindNames tells.
+// Step is one fault of a script. The meaning of its values depends on the kind: KindNames describes it.
 type Step struct {
 	At       config.Span `json:"at"`
 	Kind     string      `json:"kind"`
 	Len      config.Span `json:"len"`
-	Part     float64     `json:"part"` // of the exchanges, or of what is struck
+	Part     float64     `json:"part"` // share of the exchanges, or of the calls, circuits or associations affected
 	Size     float64     `json:"size"`
 	Region   int         `json:"region"`
-	Exchange string      `json:"exchange,omitempty"` // strikes this one in place of a draw
+	Exchange string      `json:"exchange,omitempty"` // affects this exchange instead of a random selection
 }
 
-// Script is a day of troubles. Both executors play the same ones.
+// Script is a fault schedule. It can be played on sockets and in simulated time.
 type Script struct {
 	Len   config.Span `json:"len"`
 	Steps []Step      `json:"steps"`
 }
 
-// kind is what a trouble means and needs.
-type kind struct {
-	about       string
-	least, most float64 // of Size
-	lasts       bool    // it ends after Len
-	drawn       bool    // it strikes exchanges drawn by lot, Part of them
+// faultKind describes a kind of fault and the values that it takes.
+type faultKind struct {
+	description      string
+	minSize, maxSize float64 // range of Step.Size; maxSize 0: the kind has no size
+	hasEnd           bool    // ends after Step.Len, which must be positive
+	drawsExchanges   bool    // affects randomly selected exchanges, Step.Part of all
 }
 
-var kinds = map[string]kind{
-	"jump":        {"calls jump to size times the usual", 1, 10, true, false},
-	"flood":       {"one exchange's callers, or part of them, offer size times the usual", 1, 20, true, true},
-	"hot_number":  {"part of all calls go to one number with size lines", 1, 100, true, false},
-	"region_loss": {"groups between region and the others keep 1-part of their circuits", 0, 0, true, false},
-	"mass_cut":    {"part of the standing calls are cut", 0, 0, false, false},
-	"silence":     {"processors of part of the exchanges go silent and come back cold", 0, 0, true, true},
-	"hang":        {"processors take set-ups and answer none", 0, 0, true, true},
+// faultKinds are the kinds of fault by name.
+var faultKinds = map[string]faultKind{
+	"jump":        {"the call rate jumps to size times the usual", 1, 10, true, false},
+	"flood":       {"the callers of part of the exchanges offer size times the usual rate", 1, 20, true, true},
+	"hot_number":  {"part of all calls are to one number with size lines", 1, 100, true, false},
+	"region_loss": {"part of the circuits between region and the others are blocked", 0, 0, true, false},
+	"mass_cut":    {"part of the established calls are dropped", 0, 0, false, false},
+	"silence":     {"processors of part of the exchanges stop responding and restart cold", 0, 0, true, true},
+	"hang":        {"processors of part of the exchanges accept set-ups and answer none", 0, 0, true, true},
 	"late_answer": {"lines of part of the exchanges answer size seconds later", 0, 10, true, true},
-	"replace":     {"new processors take the place of the old ones, one exchange after the other", 0, 0, false, true},
-	"unit":        {"all exchanges that share a unit restart at once and come back cold", 0, 0, false, false},
-	"restart":     {"call servers of part of the exchanges restart, with nothing but their last list", 0, 0, false, true},
-	"stall":       {"call servers stand still for size seconds, again and again", 0.05, 2.5, false, true},
-	"slow":        {"all processors run size times slower", 1, 10, false, false},
-	"ageing":      {"processors get slower up to size times, then crash and come back cold", 1, 20, true, true},
-	"late_list":   {"the exchange list is size seconds later", 0, 30, true, false},
-	"flap":        {"associations between exchanges are broken, part of them", 0, 0, false, false},
-	"give_up":     {"callers wait only size of their patience", 0.05, 1, true, false},
-	"client_flap": {"the associations of counters are broken", 0, 0, false, true},
+	"replace":     {"part of the exchanges drain and restart on a new, cold processor, one after the other", 0, 0, false, true},
+	"unit":        {"all exchanges that share a unit crash at once and restart cold", 0, 0, false, false},
+	"restart":     {"call servers of part of the exchanges restart, with only their last snapshot of service discovery", 0, 0, false, true},
+	"stall":       {"processors of part of the exchanges pause for size seconds, repeatedly", 0.05, 2.5, false, true},
+	"slow":        {"all processors are size times slower", 1, 10, false, false},
+	"ageing":      {"processors of part of the exchanges become slower, up to size times, then crash and restart cold", 1, 20, true, true},
+	"late_list":   {"service discovery is delayed by size more seconds", 0, 30, true, false},
+	"flap":        {"part of the associations between exchanges lose their connection", 0, 0, false, false},
+	"give_up":     {"callers wait only a share of size of their patience", 0.05, 1, true, false},
+	"client_flap": {"the associations of counters at part of the exchanges lose their connection", 0, 0, false, true},
 }
 
-// Kinds lists the kinds of trouble in order.
-func Kinds() (out []string) {
-	for name := range kinds {
+// FaultKinds returns the names of all kinds of fault in alphabetical order.
+func FaultKinds() (out []string) {
+	for name := range faultKinds {
 		out = append(out, name)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// KindNames lists the kinds in order, each with what its figures mean.
-func KindNames() (out []string) {
-	for _, name := range Kinds() {
-		out = append(out, name+": "+kinds[name].about)
+// KindNames returns the kinds of fault in alphabetical order, each with a description of its values.
+func KindNames() (descriptions []string) {
+	for _, name := range FaultKinds() {
+		descriptions = append(descriptions, name+": "+faultKinds[name].description)
 	}
-	return out
+	return descriptions
 }
 
-// Draw makes a step of a kind that Check takes, within the first part of a script.
-func Draw(rng *rand.Rand, name string, within time.Duration) Step {
-	k := kinds[name]
-	between := func(least, most float64) float64 { return least + rng.Float64()*(most-least) }
-	s := Step{Kind: name, At: rounded(between(0.05, 0.6) * float64(within)), Len: rounded(between(0.05, 0.5) * float64(within)),
-		Part: math.Round(between(0.05, 0.8)*100) / 100}
-	if k.most > 0 { // the lower values are the likelier ones
-		s.Size = math.Round((k.least+(k.most-k.least)*rng.Float64()*rng.Float64())*100) / 100
+// DrawStep draws a valid step of a kind, which starts in the first 60% of a script of the given length.
+func DrawStep(rng *rand.Rand, kindName string, length time.Duration) Step {
+	kind := faultKinds[kindName]
+	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
+	step := Step{Kind: kindName, At: roundToMillisecond(between(0.05, 0.6) * float64(length)),
+		Len: roundToMillisecond(between(0.05, 0.5) * float64(length)), Part: math.Round(between(0.05, 0.8)*100) / 100}
+	if kind.maxSize > 0 { // low values are more likely than high ones
+		step.Size = math.Round((kind.minSize+(kind.maxSize-kind.minSize)*rng.Float64()*rng.Float64())*100) / 100
 	}
-	return s
+	return step
 }
 
-// rounded keeps scripts short to read.
-func rounded(ns float64) config.Span {
-	return config.Span(time.Duration(ns).Round(time.Millisecond))
+// roundToMillisecond keeps the durations in scripts short and readable.
+func roundToMillisecond(nanoseconds float64) config.Span {
+	return config.Span(time.Duration(nanoseconds).Round(time.Millisecond))
 }
 
-// ParseScript reads a script from Jsonnet; name stands for its file in errors.
+// ParseScript reads and checks a script in Jsonnet; name stands for its file in errors.
 func ParseScript(name, text string) (Script, error) {
 	var s Script
 	if err := Read(name, text, &s); err != nil {
@@ -102,41 +103,42 @@
 }
 
 //go:embed badday.jsonnet
-var badDay string
+var defaultScript string
 
-// BadDay is the script that is played when none is given.
-func BadDay() (Script, error) { return ParseScript("badday.jsonnet", badDay) }
+// BadDay returns the embedded script, which is played by default.
+func BadDay() (Script, error) { return ParseScript("badday.jsonnet", defaultScript) }
 
-// Check names the first step that makes no sense.
+// Check returns an error that names the first invalid step.
 func (s Script) Check(name string) error {
 	if s.Len <= 0 {
 		return fmt.Errorf("%s: len: must be positive", name)
 	}
-	for i, x := range s.Steps {
-		k, ok := kinds[x.Kind]
+	for i, step := range s.Steps {
+		kind, ok := faultKinds[step.Kind]
 		switch {
 		case !ok:
-			return fmt.Errorf("%s: steps[%d].kind: %q is none of %s", name, i, x.Kind, strings.Join(KindNames(), "; "))
-		case !(x.Part >= 0 && x.Part <= 1):
-			return fmt.Errorf("%s: steps[%d].part: %v is not 0 to 1", name, i, x.Part)
-		case k.most > 0 && !(x.Size >= k.least && x.Size <= k.most):
-			return fmt.Errorf("%s: steps[%d].size: %v is not %v to %v for %s", name, i, x.Size, k.least, k.most, x.Kind)
-		case x.At > s.Len || x.At < 0 || x.Len < 0 || k.lasts && x.Len <= 0:
+			return fmt.Errorf("%s: steps[%d].kind: %q is none of %s", name, i, step.Kind, strings.Join(KindNames(), "; "))
+		case !(step.Part >= 0 && step.Part <= 1):
+			return fmt.Errorf("%s: steps[%d].part: %v is not 0 to 1", name, i, step.Part)
+		case kind.maxSize > 0 && !(step.Size >= kind.minSize && step.Size <= kind.maxSize):
+			return fmt.Errorf("%s: steps[%d].size: %v is not %v to %v for %s", name, i, step.Size, kind.minSize, kind.maxSize, step.Kind)
+		case step.At > s.Len || step.At < 0 || step.Len < 0 || kind.hasEnd && step.Len <= 0:
 			return fmt.Errorf("%s: steps[%d]: starts before the beginning or after the end, or has no len", name, i)
 		}
 	}
 	return nil
 }
 
-// units is how many units exchanges share: those with the same number modulo it.
-const units = 3
+// unitCount is the number of units that exchanges share: those with equal index modulo unitCount share one.
+const unitCount = 3
 
-// Strike draws the exchanges that a step is about, by their places among the names.
-func (s Step) Strike(rng *rand.Rand, names []string) (out []int) {
+// SelectExchanges returns the indexes of the exchanges that a step affects: the one that it names, or a random selection.
+// The result is empty for kinds that do not select exchanges.
+func (s Step) SelectExchanges(rng *rand.Rand, names []string) (out []int) {
 	if s.Kind == "unit" {
-		unit := rng.IntN(units)
+		unit := rng.IntN(unitCount)
 		for i := range names {
-			if i%units == unit {
+			if i%unitCount == unit {
 				out = append(out, i)
 			}
 		}
@@ -145,7 +147,7 @@
 	if i := slices.Index(names, s.Exchange); i >= 0 {
 		return []int{i}
 	}
-	if !kinds[s.Kind].drawn {
+	if !faultKinds[s.Kind].drawsExchanges {
 		return nil
 	}
 	count := min(len(names), max(1, int(math.Round(s.Part*float64(len(names))))))
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -9,17 +9,23 @@
 	"finchlatch/m3ua"
 )
 
-// host lets callers and lines stand on a socket.
-type host struct {
+// Streams of the random numbers of callers and lines, with the seed of the exchange.
+const (
+	callersStream = 11
+	linesStream   = 7
+)
+
+// socketAssociation implements plant.Association on an endpoint.
+type socketAssociation struct {
 	*Endpoint
 	clock func() time.Duration
 }
 
-// Now is the time on the fleet's clock.
-func (h host) Now() time.Duration { return h.clock() }
+// Now returns the time on the fleet's clock.
+func (h socketAssociation) Now() time.Duration { return h.clock() }
 
-// After runs f later, as a handler of the endpoint; once it is closed, never.
-func (h host) After(d time.Duration, f func()) {
+// After runs f after a delay as a handler of the endpoint, unless the endpoint has been closed by then.
+func (h socketAssociation) After(d time.Duration, f func()) {
 	time.AfterFunc(d, func() {
 		h.Do(func() {
 			if !h.closed {
@@ -29,44 +35,44 @@
 	})
 }
 
-// Callers are the counters at one exchange on a socket. What plant.Callers does is called inside Do.
+// Callers are the counters at one exchange on a socket. Methods of plant.Callers must be called inside Do.
 type Callers struct {
 	*Endpoint
 	*plant.Callers
-	Where func() string                                      // address for look-ups
-	Tap   func(kind rulecheck.Kind, who string, data []byte) // of look-ups
+	EnumAddress  func() string                                      // address of the ENUM server; empty: the server is down
+	RecordLookUp func(kind rulecheck.Kind, who string, data []byte) // taps the queries and responses of an ENUM client
 }
 
-// NewCallers makes the counters of an exchange, with circuits of their own.
-func NewCallers(own, exchange uint32, id uint32, circuits []uint16, seed uint64, clock func() time.Duration) *Callers {
-	c := &Callers{Endpoint: &Endpoint{Own: own, Peer: exchange, Role: m3ua.RoleASP}}
-	c.Callers = plant.NewCallers(host{c.Endpoint, clock}, id, circuits, seed, 11)
-	c.OnMessage = func(_ *Endpoint, m *isup.Message) { c.Take(m) }
+// NewCallers creates the counters of an exchange, with circuits of their own.
+func NewCallers(ownCode, exchangeCode uint32, id uint32, circuits []uint16, seed uint64, clock func() time.Duration) *Callers {
+	c := &Callers{Endpoint: &Endpoint{OwnPointCode: ownCode, PeerPointCode: exchangeCode, Role: m3ua.RoleASP}}
+	c.Callers = plant.NewCallers(socketAssociation{c.Endpoint, clock}, id, circuits, seed, callersStream)
+	c.OnMessage = func(_ *Endpoint, message *isup.Message) { c.Receive(message) }
 	return c
 }
 
-// Look lets a share of the tries ask by ENUM first where the call goes.
-func (c *Callers) Look(share float64) {
-	c.Asks = share
-	c.Ask = func(category byte, number string, then func(string)) {
-		where := c.Where()
+// EnableLookUps lets a share of the tries start with an ENUM query.
+func (c *Callers) EnableLookUps(share float64) {
+	c.LookUpShare = share
+	c.LookUp = func(category byte, number string, then func(string)) {
+		address := c.EnumAddress()
 		go func() {
-			route := c.lookUp(where, category, number)
+			route := c.queryENUM(address, category, number)
 			c.Do(func() { then(route) })
 		}()
 	}
 }
 
-// Lines are the subscribers of an exchange on a socket. What plant.Lines does is called inside Do.
+// Lines are the subscriber lines of an exchange on a socket. Methods of plant.Lines must be called inside Do.
 type Lines struct {
 	*Endpoint
 	*plant.Lines
 }
 
-// NewLines makes the lines of an exchange.
-func NewLines(own, exchange uint32, seed uint64, clock func() time.Duration) *Lines {
-	l := &Lines{Endpoint: &Endpoint{Own: own, Peer: exchange, Role: m3ua.RoleASP}}
-	l.Lines = plant.NewLines(host{l.Endpoint, clock}, seed, 7)
-	l.OnMessage = func(_ *Endpoint, m *isup.Message) { l.Take(m) }
+// NewLines creates the lines of an exchange.
+func NewLines(ownCode, exchangeCode uint32, seed uint64, clock func() time.Duration) *Lines {
+	l := &Lines{Endpoint: &Endpoint{OwnPointCode: ownCode, PeerPointCode: exchangeCode, Role: m3ua.RoleASP}}
+	l.Lines = plant.NewLines(socketAssociation{l.Endpoint, clock}, seed, linesStream)
+	l.OnMessage = func(_ *Endpoint, message *isup.Message) { l.Receive(message) }
 	return l
 }
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -1,6 +1,6 @@
-// Package standin holds what stands in for the outside world on loopback sockets: scripted M3UA endpoints, callers
-// and subscribers, processors with their delays and troubles on the way to a call server, the exchange list, and
-// fleets made of them. It is for tests and trials; nothing of the product imports it but the command try.
+// Package standin runs fleets of call servers on loopback sockets with stand-ins for their environment: M3UA endpoints
+// with callers and subscriber lines, links and processors with their delays, fault injection, and service discovery. It is
+// for tests and trials. Within the product only the commands that play a fleet import it.
 package standin
 
 import (
@@ -14,31 +14,31 @@
 	"finchlatch/m3ua"
 )
 
-// Endpoint is one end of an M3UA association on a socket that sends and gets ISUP messages by script. Its
-// handlers run one at a time.
+// Endpoint is one end of an M3UA association on a socket, which sends and receives ISUP messages. Its handlers run one at
+// a time.
 type Endpoint struct {
-	Own, Peer uint32 // point codes
-	Role      m3ua.Role
-	OnMessage func(e *Endpoint, m *isup.Message)
-	OnState   func(e *Endpoint, s m3ua.State)
-
-	mu     sync.Mutex
-	began  time.Time
-	conn   net.Conn
-	assoc  *m3ua.Assoc
-	wg     sync.WaitGroup
-	closed bool
-	stop   chan struct{}
-	active chan struct{}
-	once   sync.Once
+	OwnPointCode, PeerPointCode uint32
+	Role                        m3ua.Role
+	OnMessage                   func(e *Endpoint, m *isup.Message)
+	OnState                     func(e *Endpoint, s m3ua.State)
+
+	mu         sync.Mutex
+	createdAt  time.Time // origin of the association's clock
+	conn       net.Conn  // nil: not connected
+	assoc      *m3ua.Assoc
+	wg         sync.WaitGroup
+	closed     bool
+	stop       chan struct{} // closed by Close
+	active     chan struct{} // closed when the association becomes active for the first time
+	activeOnce sync.Once
 }
 
-// endpointWrite is how long a write of a stand-in may take before it gives its connection up.
-const endpointWrite = 5 * time.Second
+// writeTimeout is the time that a write may take before the endpoint closes its connection.
+const writeTimeout = 5 * time.Second
 
-// Dial connects as an asking end (ASP or IPSP client), and again whenever the connection is lost.
+// Dial connects as a client (ASP or IPSP client), and reconnects whenever the connection is lost.
 func (e *Endpoint) Dial(addr string) {
-	e.prepare()
+	e.initialize()
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -54,9 +54,9 @@
 	}()
 }
 
-// Serve works on an accepted connection in the background.
+// Serve handles an accepted connection in the background.
 func (e *Endpoint) Serve(conn net.Conn) {
-	e.prepare()
+	e.initialize()
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -64,12 +64,13 @@
 	}()
 }
 
-func (e *Endpoint) prepare() {
+// initialize creates the association on the first call.
+func (e *Endpoint) initialize() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stop == nil {
-		e.stop, e.active, e.began = make(chan struct{}), make(chan struct{}), time.Now()
-		e.assoc = m3ua.NewAssoc(m3ua.Settings{Role: e.Role, ASPID: e.Own, TAck: 500 * time.Millisecond})
+		e.stop, e.active, e.createdAt = make(chan struct{}), make(chan struct{}), time.Now()
+		e.assoc = m3ua.NewAssoc(m3ua.Settings{Role: e.Role, ASPID: e.OwnPointCode, TAck: 500 * time.Millisecond})
 	}
 }
 
@@ -79,8 +80,9 @@
 	return e.closed
 }
 
-func (e *Endpoint) now() time.Duration { return time.Since(e.began) }
+func (e *Endpoint) now() time.Duration { return time.Since(e.createdAt) }
 
+// serve handles a connection until it is lost.
 func (e *Endpoint) serve(conn net.Conn) {
 	defer conn.Close()
 	e.mu.Lock()
@@ -90,18 +92,18 @@
 	}
 	e.conn = conn
 	e.assoc.Connected(e.now())
-	e.settle()
+	e.handleIndications()
 	e.mu.Unlock()
 	buf := make([]byte, 16384)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(500 * time.Millisecond)) // the state machine has timers too
+		_ = conn.SetReadDeadline(time.Now().Add(500 * time.Millisecond)) // so that the association's timers run while nothing arrives
 		n, err := conn.Read(buf)
 		e.mu.Lock()
 		if n > 0 {
 			e.assoc.Receive(e.now(), append([]byte(nil), buf[:n]...))
 		}
 		e.assoc.Tick(e.now())
-		e.settle()
+		e.handleIndications()
 		e.mu.Unlock()
 		var timeout net.Error
 		if err != nil && !(errors.As(err, &timeout) && timeout.Timeout()) {
@@ -113,36 +115,38 @@
 	if e.conn == conn {
 		e.conn = nil
 		e.assoc.Lost()
-		e.settle()
+		e.handleIndications()
 	}
 }
 
-// settle passes on what the association has to say. The lock is held; handlers may call Send.
-func (e *Endpoint) settle() {
+// handleIndications calls the handlers for the association's indications and writes its output. The lock is held; handlers
+// may call Send.
+func (e *Endpoint) handleIndications() {
 	for {
-		ind := e.assoc.Indications()
+		indications := e.assoc.Indications()
 		e.flush()
-		if len(ind) == 0 {
+		if len(indications) == 0 {
 			return
 		}
-		for _, i := range ind {
-			e.indicated(i)
+		for _, indication := range indications {
+			e.handleIndication(indication)
 		}
 	}
 }
 
-func (e *Endpoint) indicated(i m3ua.Indication) {
-	switch i.Kind {
+// handleIndication calls the handler for one indication.
+func (e *Endpoint) handleIndication(indication m3ua.Indication) {
+	switch indication.Kind {
 	case m3ua.IndState:
-		if i.State == m3ua.Active {
-			e.once.Do(func() { close(e.active) })
+		if indication.State == m3ua.Active {
+			e.activeOnce.Do(func() { close(e.active) })
 		}
 		if e.OnState != nil {
-			e.OnState(e, i.State)
+			e.OnState(e, indication.State)
 		}
 	case m3ua.IndData:
-		if m, err := isup.Decode(i.Data.Data); err == nil && e.OnMessage != nil {
-			e.OnMessage(e, m)
+		if message, err := isup.Decode(indication.Data.Data); err == nil && e.OnMessage != nil {
+			e.OnMessage(e, message)
 		}
 	case m3ua.IndClose:
 		if e.conn != nil {
@@ -151,40 +155,42 @@
 	}
 }
 
+// flush writes the association's output to the connection.
 func (e *Endpoint) flush() {
-	if b := e.assoc.Output(); len(b) > 0 && e.conn != nil {
-		_ = e.conn.SetWriteDeadline(time.Now().Add(endpointWrite))
-		if _, err := e.conn.Write(b); err != nil {
+	if output := e.assoc.Output(); len(output) > 0 && e.conn != nil {
+		_ = e.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := e.conn.Write(output); err != nil {
 			e.conn.Close()
 		}
 	}
 }
 
-// Do runs f while no handler runs. Send may be called inside.
+// Do runs f while no handler runs. f may call Send.
 func (e *Endpoint) Do(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
-	e.settle()
+	e.handleIndications()
 }
 
-// Send sends a message; call it from a handler or inside Do. It fails while the association is not active.
-func (e *Endpoint) Send(m *isup.Message) error {
-	b, err := m.Append(nil)
+// Send sends a message. It must be called from a handler or inside Do, and fails while the association is not active.
+func (e *Endpoint) Send(message *isup.Message) error {
+	encoded, err := message.Append(nil)
 	if err != nil {
 		return err
 	}
-	err = e.assoc.Send(m3ua.ProtocolData{OPC: e.Own, DPC: e.Peer, SI: m3ua.ServiceISUP, NI: 2, SLS: byte(m.CIC & 15), Data: b})
+	err = e.assoc.Send(m3ua.ProtocolData{OPC: e.OwnPointCode, DPC: e.PeerPointCode, SI: m3ua.ServiceISUP, NI: 2,
+		SLS: byte(message.CIC & 15), Data: encoded})
 	if err != nil {
-		return fmt.Errorf("standin: %d to %d: %w", e.Own, e.Peer, err)
+		return fmt.Errorf("standin: send from point code %d to %d: %w", e.OwnPointCode, e.PeerPointCode, err)
 	}
 	return nil
 }
 
-// Active is closed when the association takes traffic for the first time.
+// Active returns a channel that is closed when the association becomes active for the first time.
 func (e *Endpoint) Active() <-chan struct{} { return e.active }
 
-// Break closes the connection as a network fault would. An endpoint that dials connects again.
+// Break closes the connection as a network fault would. An endpoint that dials reconnects.
 func (e *Endpoint) Break() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -193,7 +199,7 @@
 	}
 }
 
-// Close ends the endpoint.
+// Close stops the endpoint and waits for its goroutines.
 func (e *Endpoint) Close() {
 	e.mu.Lock()
 	if !e.closed && e.stop != nil {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -22,177 +22,197 @@
 //go:embed fleet.jsonnet
 var fleetTemplate string
 
-// FleetSettings say how large a fleet is and what it carries.
+// FleetSettings are the size of a fleet, its traffic and the settings of its call servers.
 type FleetSettings struct {
 	Exchanges int
 	Regions   int
-	Rate      float64 // first tries a second, of all callers together
+	Rate      float64 // new callers per second in the whole fleet
 	Seed      uint64
 	Classes   []plant.Class
 	Habits    plant.Habits
-	Asks      float64       // share of the tries that ask by ENUM first
-	Release   time.Duration // rule 5 as the call servers are told it; for planting breaches
-	Log       *slog.Logger
-	Baseline  func(s logic.Settings, seed int64) (router.Policy, error) // in place of the module, to compare with
+	Asks      float64       // share of the tries that start with an ENUM query
+	Release   time.Duration // release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule
+	Log       *slog.Logger  // of the call servers; nil: none
+
+	// Baseline creates a policy that replaces the decision module, for comparison; nil: the module decides.
+	Baseline func(s logic.Settings, seed int64) (router.Policy, error)
 }
 
-// counterCICs are the circuits of callers and of lines, each.
-const counterCICs = 400
+// accessCircuits is the number of circuits to the callers of an exchange, and of those to its lines.
+const accessCircuits = 400
+
+// Point codes of the first exchange, of its callers and of its lines, as in fleet.jsonnet. Those of the other exchanges
+// follow in order.
+const (
+	firstPointCode        = 101
+	firstCallersPointCode = 2001
+	firstLinesPointCode   = 3001
+)
+
+// minRelease is the shortest release time that the settings of a call server may have, and the default.
+const minRelease = 200 * time.Millisecond
+
+// startTimeout is the time within which all associations of a new fleet must become active.
+const startTimeout = 90 * time.Second
 
-// Node is one exchange of a fleet with all that stands around it.
+// Node is one exchange of a fleet: its call server, processor, callers and lines.
 type Node struct {
 	Name      string
 	Region    int
 	Processor *Processor
 	Callers   *Callers
 	Lines     *Lines
-	Rate      float64
+	Rate      float64 // new callers per second without faults
 
 	fleet  *Fleet
 	index  int
 	mu     sync.Mutex
-	server *server.Server
-	alive  bool
+	server *server.Server // the last one started
+	alive  bool           // server is running
 }
 
 // Fleet is a set of exchanges on loopback, each with its own call server, processor, callers and lines.
 type Fleet struct {
-	Set     FleetSettings
-	Nodes   []*Node
-	Figures rulecheck.Figures
-	Rec     *rulecheck.Recorder
-	List    *List
-	Group   int // circuits between two exchanges
-
-	wires   map[[2]int]*Wire
-	access  []*Wire
-	began   time.Time
-	mu      sync.Mutex
-	results []plant.Outcome
-	plan    plant.Plan
-	hot     hot
-	running sync.WaitGroup
+	Settings   FleetSettings
+	Nodes      []*Node
+	Parameters rulecheck.Figures
+	Rec        *rulecheck.Recorder // messages and events at call servers, for the rule checker
+	Discovery  *Discovery
+	Group      int // circuits between two exchanges
+
+	links       map[[2]int]*Link // between exchanges, by their indexes in ascending order
+	accessLinks []*Link          // for each exchange, to its callers and to its lines
+	createdAt   time.Time        // origin of the fleet's clock
+	mu          sync.Mutex
+	outcomes    []plant.Outcome
+	plan        plant.Plan
+	hotNumber   hotNumber
+	background  sync.WaitGroup // faults that are still being carried out
 }
 
-type hot struct {
+// hotNumber is a number that a share of all callers calls.
+type hotNumber struct {
 	number string
-	share  float64
-	owner  int
+	share  float64 // of the callers of other exchanges; 0: there is no hot number
+	owner  int     // index of the exchange that the number belongs to
 }
 
-// NewFleet makes and starts a fleet; callers are silent until Go.
-func NewFleet(set FleetSettings) (*Fleet, error) {
-	f := &Fleet{Set: set, Rec: &rulecheck.Recorder{}, wires: map[[2]int]*Wire{}, began: time.Now()}
-	if set.Regions < 1 {
-		f.Set.Regions = 1
+// NewFleet creates and starts a fleet. There are no calls before StartCallers.
+func NewFleet(settings FleetSettings) (*Fleet, error) {
+	f := &Fleet{Settings: settings, Rec: &rulecheck.Recorder{}, links: map[[2]int]*Link{}, createdAt: time.Now()}
+	if settings.Regions < 1 {
+		f.Settings.Regions = 1
 	}
-	if f.Set.Release == 0 {
-		f.Set.Release = 200 * time.Millisecond
+	if f.Settings.Release == 0 {
+		f.Settings.Release = minRelease
 	}
-	f.size()
-	f.List = newList(f)
-	for i := range set.Exchanges {
+	f.applyPlan()
+	f.Discovery = newDiscovery(f)
+	for i := range settings.Exchanges {
 		if err := f.addNode(i); err != nil {
 			f.Close()
 			return nil, err
 		}
 	}
-	if err := f.connect(); err != nil {
+	if err := f.openLinks(); err != nil {
 		f.Close()
 		return nil, err
 	}
 	for _, n := range f.Nodes {
-		if err := n.start(nil); err != nil {
+		if err := n.startServer(nil); err != nil {
 			f.Close()
 			return nil, err
 		}
 	}
 	for i, n := range f.Nodes {
-		n.Callers.Dial(f.access[2*i].Addr())
-		n.Lines.Dial(f.access[2*i+1].Addr())
+		n.Callers.Dial(f.accessLinks[2*i].Addr())
+		n.Lines.Dial(f.accessLinks[2*i+1].Addr())
 	}
-	if err := f.await(90 * time.Second); err != nil {
+	if err := f.awaitAssociations(startTimeout); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// size finds the circuits and the processors for the plan.
-func (f *Fleet) size() {
-	f.plan = plant.Plan{Exchanges: f.Set.Exchanges, Rate: f.Set.Rate, Classes: f.Set.Classes}
-	f.Group, f.Figures = f.plan.Group(), f.plan.Figures()
-	f.Figures.AskWithin, f.Figures.Slack, f.Figures.Skew = time.Second, 100*time.Millisecond, 30*time.Millisecond
-	for i := range f.Set.Exchanges {
-		f.Figures.PointCodes[nodeName(i)] = 101 + uint32(i)
+// applyPlan dimensions the trunk groups for the planned traffic and sets the parameters of the rule checker.
+func (f *Fleet) applyPlan() {
+	f.plan = plant.Plan{Exchanges: f.Settings.Exchanges, Rate: f.Settings.Rate, Classes: f.Settings.Classes}
+	f.Group, f.Parameters = f.plan.GroupSize(), f.plan.Parameters()
+	f.Parameters.AskWithin, f.Parameters.Slack, f.Parameters.Skew = time.Second, 100*time.Millisecond, 30*time.Millisecond
+	for i := range f.Settings.Exchanges {
+		f.Parameters.PointCodes[nodeName(i)] = firstPointCode + uint32(i)
 	}
 }
 
+// nodeName returns the name of an exchange.
 func nodeName(i int) string { return fmt.Sprintf("ex%02d", i+1) }
 
-// Now is the time since the fleet was made: that of all records.
-func (f *Fleet) Now() time.Duration { return time.Since(f.began) }
+// Now returns the time since the fleet was created, which all records use.
+func (f *Fleet) Now() time.Duration { return time.Since(f.createdAt) }
 
+// addNode creates an exchange without its call server.
 func (f *Fleet) addNode(i int) error {
-	capacity := f.plan.Capacity(f.Group)
-	n := &Node{Name: nodeName(i), Region: plant.Region(i, f.Set.Exchanges, f.Set.Regions), fleet: f, index: i,
-		Processor: NewProcessor(plant.NewProcessor[queueKey](f.plan.Work(capacity), plant.MaxWait, capacity, f.Figures), f.Now),
-		Rate:      f.Set.Rate / float64(f.Set.Exchanges)}
-	seed := f.Set.Seed*1000 + uint64(i)
-	circuits := config.Circuits{First: 1, Count: counterCICs}.Codes()
-	n.Callers = NewCallers(2001+uint32(i), 101+uint32(i), uint32(i+1), circuits, seed, f.Now)
-	n.Callers.Mix, n.Callers.Habits, n.Callers.Pick = f.Set.Classes, f.Set.Habits, n.pick
-	n.Callers.Done = f.result
-	n.Callers.Where = n.enumAddress
-	n.Callers.Look(f.Set.Asks)
-	n.Callers.Tap = func(kind rulecheck.Kind, who string, data []byte) {
-		f.Rec.Add(rulecheck.Record{At: f.Now(), Kind: kind, Exchange: n.Name, Peer: who, Data: data})
-	}
-	n.Lines = NewLines(3001+uint32(i), 101+uint32(i), seed, f.Now)
+	capacity := f.plan.ProcessorCapacity(f.Group)
+	n := &Node{Name: nodeName(i), Region: plant.Region(i, f.Settings.Exchanges, f.Settings.Regions), fleet: f, index: i,
+		Processor: NewProcessor(plant.NewProcessor[queueKey](f.plan.ServiceTimes(capacity), plant.MaxWait, capacity, f.Parameters), f.Now),
+		Rate:      f.Settings.Rate / float64(f.Settings.Exchanges)}
+	seed := f.Settings.Seed*1000 + uint64(i)
+	circuits := config.Circuits{First: 1, Count: accessCircuits}.Codes()
+	n.Callers = NewCallers(firstCallersPointCode+uint32(i), firstPointCode+uint32(i), uint32(i+1), circuits, seed, f.Now)
+	n.Callers.Classes, n.Callers.Habits, n.Callers.PickNumber = f.Settings.Classes, f.Settings.Habits, n.pickNumber
+	n.Callers.OnDone = f.addOutcome
+	n.Callers.EnumAddress = n.enumAddress
+	n.Callers.EnableLookUps(f.Settings.Asks)
+	n.Callers.RecordLookUp = func(kind rulecheck.Kind, client string, data []byte) {
+		f.Rec.Add(rulecheck.Record{At: f.Now(), Kind: kind, Exchange: n.Name, Peer: client, Data: data})
+	}
+	n.Lines = NewLines(firstLinesPointCode+uint32(i), firstPointCode+uint32(i), seed, f.Now)
 	f.Nodes = append(f.Nodes, n)
 	return nil
 }
 
-// connect lays the wires: one between each two exchanges, and two to the callers and the lines of each.
-func (f *Fleet) connect() error {
-	end := func(n *Node) side { return side{name: n.Name, processor: n.Processor, tapped: true} }
+// openLinks opens one link between each two exchanges, and from each exchange one to its callers and one to its lines.
+func (f *Fleet) openLinks() error {
+	serverEnd := func(n *Node) linkEnd { return linkEnd{name: n.Name, processor: n.Processor, tapped: true} }
 	for i, a := range f.Nodes {
 		for j := i + 1; j < len(f.Nodes); j++ {
 			b := f.Nodes[j]
-			w, err := NewWire(end(a), end(b), b.address, plant.Distance(a.Region, b.Region), f.Rec, f.Now)
+			link, err := NewLink(serverEnd(a), serverEnd(b), b.address, plant.SignallingDelay(a.Region, b.Region), f.Rec, f.Now)
 			if err != nil {
 				return err
 			}
-			f.wires[[2]int{i, j}] = w
+			f.links[[2]int{i, j}] = link
 		}
 		for _, name := range []string{"counters", "lines"} {
-			w, err := NewWire(side{name: name}, end(a), a.address, plant.AccessDistance, f.Rec, f.Now)
+			link, err := NewLink(linkEnd{name: name}, serverEnd(a), a.address, plant.AccessDelay, f.Rec, f.Now)
 			if err != nil {
 				return err
 			}
-			f.access = append(f.access, w)
+			f.accessLinks = append(f.accessLinks, link)
 		}
 	}
 	return nil
 }
 
-// pick chooses whom a caller of this exchange calls: any other exchange alike, or the hot number.
-func (n *Node) pick(rng *rand.Rand) (string, bool) {
+// pickNumber draws the number that a caller of this exchange calls: the hot number, or one of any other exchange with
+// equal probability.
+func (n *Node) pickNumber(rng *rand.Rand) (string, bool) {
 	f := n.fleet
 	f.mu.Lock()
-	h := f.hot
+	hot := f.hotNumber
 	f.mu.Unlock()
-	if h.share > 0 && rng.Float64() < h.share && h.owner != n.index {
-		return h.number, true
+	if hot.share > 0 && rng.Float64() < hot.share && hot.owner != n.index {
+		return hot.number, true
 	}
-	to := rng.IntN(len(f.Nodes) - 1)
-	if to >= n.index {
-		to++
+	destination := rng.IntN(len(f.Nodes) - 1)
+	if destination >= n.index {
+		destination++
 	}
-	return fmt.Sprintf("55%02d%05d", to+1, rng.IntN(100000)), false
+	return fmt.Sprintf("55%02d%05d", destination+1, rng.IntN(100000)), false
 }
 
-// settings evaluates the template for a node.
+// settings evaluates the settings template for a node.
 func (n *Node) settings() (*config.Config, error) {
 	f := n.fleet
 	type class struct {
@@ -216,39 +236,39 @@
 		Release   string   `json:"release"`
 		Wires     []string `json:"wires"`
 		Classes   []class  `json:"classes"`
-	}{Me: n.index, Seed: f.Set.Seed, Exchanges: f.Set.Exchanges, Group: f.Group, Counters: counterCICs,
-		Lines: counterCICs, Release: max(f.Set.Release, 200*time.Millisecond).String(), Wires: make([]string, f.Set.Exchanges)}
-	for j := n.index + 1; j < f.Set.Exchanges; j++ {
-		facts.Wires[j] = f.wires[[2]int{n.index, j}].Addr()
+	}{Me: n.index, Seed: f.Settings.Seed, Exchanges: f.Settings.Exchanges, Group: f.Group, Counters: accessCircuits,
+		Lines: accessCircuits, Release: max(f.Settings.Release, minRelease).String(), Wires: make([]string, f.Settings.Exchanges)}
+	for j := n.index + 1; j < f.Settings.Exchanges; j++ {
+		facts.Wires[j] = f.links[[2]int{n.index, j}].Addr()
 	}
-	for _, c := range f.Set.Classes {
+	for _, c := range f.Settings.Classes {
 		facts.Classes = append(facts.Classes, class{c.Name, c.Category, c.Worth, c.LateShare, c.Aim.String(),
 			c.Patience.String(), c.Deadline.String(), c.Hold.String(), c.Width})
 	}
-	text, err := json.Marshal(facts)
+	encoded, err := json.Marshal(facts)
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := config.Evaluate("fleet.jsonnet", fleetTemplate, map[string]string{"fleet": string(text)})
+	cfg, err := config.Evaluate("fleet.jsonnet", fleetTemplate, map[string]string{"fleet": string(encoded)})
 	if err != nil {
 		return nil, err
 	}
-	cfg.Router.Baseline = f.Set.Baseline
-	cfg.Router.Release = f.Set.Release // below what config allows only where a test plants a breach
+	cfg.Router.Baseline = f.Settings.Baseline
+	cfg.Router.Release = f.Settings.Release // below the allowed minimum only in tests of faulty call servers
 	return cfg, nil
 }
 
-// start starts the call server of a node with a list as it was last known.
-func (n *Node) start(list []logic.Office) error {
+// startServer starts the call server of a node with a service discovery snapshot.
+func (n *Node) startServer(offices []logic.Office) error {
 	cfg, err := n.settings()
 	if err != nil {
 		return err
 	}
-	log := n.fleet.Set.Log
+	log := n.fleet.Settings.Log
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	s, err := server.New(cfg, log, server.WithList(list))
+	s, err := server.New(cfg, log, server.WithList(offices))
 	if err != nil {
 		return err
 	}
@@ -261,6 +281,7 @@
 	return nil
 }
 
+// enumAddress returns the address of the call server's ENUM interface; empty: the call server is down.
 func (n *Node) enumAddress() string {
 	if s := n.Server(); s != nil {
 		return s.EnumAddr().String()
@@ -268,6 +289,7 @@
 	return ""
 }
 
+// address returns the address that the call server listens on for associations.
 func (n *Node) address() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -277,7 +299,7 @@
 	return n.server.Addr().String()
 }
 
-// Server is the call server that runs now, or nil.
+// Server returns the running call server; nil: it is down.
 func (n *Node) Server() *server.Server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -287,25 +309,26 @@
 	return n.server
 }
 
-// Kill ends the call server as a crash would.
+// Kill stops the call server as a crash would.
 func (n *Node) Kill() {
-	if s := n.down(); s != nil {
+	if s := n.markDown(); s != nil {
 		n.fleet.Rec.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
 		s.Kill()
 	}
 }
 
-// Leave drains the call server for a while and ends it.
-func (n *Node) Leave(within time.Duration) {
+// Drain drains the call server for up to the given time and stops it.
+func (n *Node) Drain(within time.Duration) {
 	n.mu.Lock()
 	s := n.server
 	n.mu.Unlock()
 	_ = s.Shutdown(within)
-	n.down()
+	n.markDown()
 	n.fleet.Rec.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
 }
 
-func (n *Node) down() *server.Server {
+// markDown marks the call server as stopped and returns it; nil: it was down already.
+func (n *Node) markDown() *server.Server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.alive {
@@ -315,20 +338,20 @@
 	return n.server
 }
 
-// Return starts the call server again, with the list as the exchange list had it last.
-func (n *Node) Return() error {
-	return n.start(n.fleet.List.restored(n.Name))
+// Restart starts the call server again, with the present snapshot of service discovery.
+func (n *Node) Restart() error {
+	return n.startServer(n.fleet.Discovery.snapshotFor(n.Name))
 }
 
-// Cold restarts the processor of a node.
-func (n *Node) Cold() {
-	n.Processor.Change(func(core *plant.Processor[queueKey], now time.Duration) {
+// RestartProcessor restarts the processor of a node, which is cold then.
+func (n *Node) RestartProcessor() {
+	n.Processor.WithCore(func(core *plant.Processor[queueKey], now time.Duration) {
 		core.Restart(now)
 		n.fleet.Rec.Add(rulecheck.Record{At: now, Kind: rulecheck.Started, Exchange: n.Name, Capacity: core.Capacity})
 	})
 }
 
-// Console sends one command to the operators' console of a node and gives the reply.
+// Console sends one command to the operators' console of a node and returns the reply.
 func (n *Node) Console(format string, args ...any) ([]string, error) {
 	s := n.Server()
 	if s == nil {
@@ -355,32 +378,32 @@
 	return c.ReadDotLines()
 }
 
-// await waits until every association takes traffic and no circuit is being reset.
-func (f *Fleet) await(within time.Duration) error {
-	late := time.Now().Add(within)
+// awaitAssociations waits until every association is active and no circuit is being reset.
+func (f *Fleet) awaitAssociations(within time.Duration) error {
+	deadline := time.Now().Add(within)
 	for _, n := range f.Nodes {
 		for {
-			waits := ""
+			pendingPeer := ""
 			err := n.server.Do(func(r *router.Router, now time.Duration) {
 				for _, a := range r.Associations() {
 					if a.State != m3ua.Active {
-						waits = a.Peer
+						pendingPeer = a.Peer
 					}
 				}
 				for _, g := range r.Groups() {
 					if g.Resetting > 0 {
-						waits = g.Peer
+						pendingPeer = g.Peer
 					}
 				}
 			})
 			if err != nil {
 				return err
 			}
-			if waits == "" {
+			if pendingPeer == "" {
 				break
 			}
-			if time.Now().After(late) {
-				return fmt.Errorf("standin: %s and %s do not come up", n.Name, waits)
+			if time.Now().After(deadline) {
+				return fmt.Errorf("standin: association of %s with %s is not ready in time", n.Name, pendingPeer)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -388,88 +411,90 @@
 	return nil
 }
 
-// Go lets the callers begin.
-func (f *Fleet) Go() {
+// StartCallers starts the arrival of callers at all exchanges.
+func (f *Fleet) StartCallers() {
 	for _, n := range f.Nodes {
 		n.Callers.Do(func() {
 			n.Callers.SetRate(n.Rate)
-			n.Callers.Begin()
+			n.Callers.Start()
 		})
 	}
 }
 
-// Quiet stops the offers and waits until the callers are done, or for a while.
-func (f *Fleet) Quiet(within time.Duration) {
+// StopCallers ends the arrival of callers, waits up to the given time until no caller is active, and then reports the
+// callers in established calls as done.
+func (f *Fleet) StopCallers(within time.Duration) {
 	for _, n := range f.Nodes {
 		n.Callers.Do(n.Callers.Stop)
 	}
-	f.running.Wait()
-	for late := time.Now().Add(within); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
-		live := 0
+	f.background.Wait()
+	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		active := 0
 		for _, n := range f.Nodes {
-			n.Callers.Do(func() { live += n.Callers.Live() })
+			n.Callers.Do(func() { active += n.Callers.ActiveCount() })
 		}
-		if live == 0 {
+		if active == 0 {
 			break
 		}
 	}
 	for _, n := range f.Nodes {
-		n.Callers.Do(n.Callers.Finish)
+		n.Callers.Do(n.Callers.FinishEstablished)
 	}
 }
 
-func (f *Fleet) result(o plant.Outcome) {
+// addOutcome stores the outcome of a caller.
+func (f *Fleet) addOutcome(outcome plant.Outcome) {
 	f.mu.Lock()
-	f.results = append(f.results, o)
+	f.outcomes = append(f.outcomes, outcome)
 	f.mu.Unlock()
 }
 
-// Results are the callers that are done.
+// Results returns the outcomes of all callers that are done.
 func (f *Fleet) Results() []plant.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]plant.Outcome(nil), f.results...)
+	return append([]plant.Outcome(nil), f.outcomes...)
 }
 
-// Report sums the run up.
+// Report sums up the run.
 func (f *Fleet) Report() plant.Report {
-	r := plant.NewReport(f.Set.Classes, f.Results(), f.Verdict())
+	r := plant.NewReport(f.Settings.Classes, f.Results(), f.Verdict())
 	for _, n := range f.Nodes {
-		if n.Processor.Down() {
+		if n.Processor.Collapsed() {
 			r.Fallen = append(r.Fallen, n.Name)
 		}
 	}
 	return r
 }
 
-// Verdict judges the rules on what passed until now.
+// Verdict checks the five rules on all records so far.
 func (f *Fleet) Verdict() rulecheck.Verdict {
-	return rulecheck.Check(f.Figures, f.Rec.Records(), f.Now())
+	return rulecheck.Check(f.Parameters, f.Rec.Records(), f.Now())
 }
 
-// Close ends everything.
+// Close stops the fleet with all its call servers and connections.
 func (f *Fleet) Close() {
-	f.List.close()
+	f.Discovery.close()
 	for _, n := range f.Nodes {
 		n.Callers.Close()
 		n.Lines.Close()
 	}
-	var ends sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, n := range f.Nodes {
-		ends.Add(1)
+		stopping.Add(1)
 		go func() {
-			defer ends.Done()
-			if s := n.down(); s != nil {
+			defer stopping.Done()
+			if s := n.markDown(); s != nil {
 				s.Kill()
 			}
 		}()
 	}
-	ends.Wait()
-	for _, w := range f.wires {
-		w.Close()
+	stopping.Wait()
+	for _, link := range f.links {
+		link.Close()
 	}
-	for _, w := range f.access {
-		w.Close()
+	for _, link := range f.accessLinks {
+		link.Close()
 	}
 	for _, n := range f.Nodes {
 		n.Processor.Close()
--- a/internal/standin/fleet.jsonnet
+++ b/internal/standin/fleet.jsonnet
@@ -1,4 +1,4 @@
-// The settings of one call server of a stand-in fleet. The fleet hands its own facts in.
+// The settings of one call server of a fleet. The fleet passes the values of the call server in as 'fleet'.
 local fleet = std.parseJson(std.extVar('fleet'));
 local name(i) = 'ex%02d' % (i + 1);
 local code(i) = 101 + i;
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// quickClasses are the default ones with times that fit a test.
-func quickClasses() []plant.Class {
+// shortClasses returns the default classes with times short enough for tests.
+func shortClasses() []plant.Class {
 	classes := plant.DefaultClasses()
 	for i := range classes {
 		c := &classes[i]
@@ -26,15 +26,16 @@
 	return classes
 }
 
-func quickFleet(t *testing.T, seed uint64, change func(*FleetSettings)) *Fleet {
+// startFleet starts a fleet with short times; change adapts its settings and may be nil.
+func startFleet(t *testing.T, seed uint64, change func(*FleetSettings)) *Fleet {
 	t.Helper()
-	set := FleetSettings{Exchanges: 4, Regions: 2, Rate: 40, Seed: seed, Classes: quickClasses(),
+	settings := FleetSettings{Exchanges: 4, Regions: 2, Rate: 40, Seed: seed, Classes: shortClasses(),
 		Habits: plant.Habits{Redials: 2, Pause: 300 * time.Millisecond, HotPause: 100 * time.Millisecond,
 			CutReturn: 500 * time.Millisecond, Overstay: 400 * time.Millisecond}}
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	f, err := NewFleet(set)
+	f, err := NewFleet(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,144 +43,147 @@
 	return f
 }
 
-// judged plays a script and fails the test on a broken rule, with what passed on the circuits of the first call.
-func judged(t *testing.T, f *Fleet, s plant.Script) plant.Report {
+// playAndCheck plays a script and fails the test if a rule was violated, with a trace of the circuits of the first call
+// concerned.
+func playAndCheck(t *testing.T, f *Fleet, script plant.Script) plant.Report {
 	t.Helper()
-	if err := s.Check(t.Name()); err != nil {
+	if err := script.Check(t.Name()); err != nil {
 		t.Fatal(err)
 	}
-	f.Play(s, nil)
+	f.Play(script, nil)
 	r := f.Report()
 	if len(r.Verdict.Breaches) > 0 {
 		trace := rulecheck.Trace(f.Rec.Records(), r.Verdict.Breaches[0].Call)
-		t.Errorf("%d breaches, the first:\n%v\n%s", len(r.Verdict.Breaches), r.Verdict.Breaches[0], strings.Join(trace, "\n"))
+		t.Errorf("%d violations, the first:\n%v\n%s", len(r.Verdict.Breaches), r.Verdict.Breaches[0], strings.Join(trace, "\n"))
 	}
 	if r.Verdict.Unread > 0 {
-		t.Errorf("%d messages at the taps cannot be read", r.Verdict.Unread)
+		t.Errorf("%d messages at the taps cannot be decoded", r.Verdict.Unread)
 	}
 	return r
 }
 
-func seconds(x float64) config.Span { return config.Span(x * float64(time.Second)) }
+func span(seconds float64) config.Span { return config.Span(seconds * float64(time.Second)) }
 
-func steps(length float64, s ...plant.Step) plant.Script {
-	return plant.Script{Len: seconds(length), Steps: s}
+func newScript(length float64, steps ...plant.Step) plant.Script {
+	return plant.Script{Len: span(length), Steps: steps}
 }
 
-// TestEveryTroubleAlone plays each kind of trouble by itself, and three combinations, on sockets.
-func TestEveryTroubleAlone(t *testing.T) {
+// TestEveryFaultAlone plays each kind of fault by itself, and three combinations, on sockets.
+func TestEveryFaultAlone(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays for half a minute")
 	}
-	base := map[string]plant.Step{
+	steps := map[string]plant.Step{
 		"jump": {Size: 1.6}, "flood": {Part: 0.25, Size: 4}, "hot_number": {Part: 0.4, Size: 2}, "region_loss": {Part: 0.5},
 		"mass_cut": {Part: 0.5}, "silence": {Part: 0.25}, "hang": {Part: 0.25}, "replace": {Part: 0.25}, "unit": {},
 		"restart": {Part: 0.5}, "stall": {Part: 0.5, Size: 0.4}, "slow": {Size: 2.5}, "ageing": {Part: 0.25, Size: 8},
 		"late_list": {Size: 1}, "flap": {Part: 0.5}, "give_up": {Size: 0.3}, "client_flap": {Part: 0.5},
 		"late_answer": {Part: 0.5, Size: 1.49},
 	}
-	plays := map[string][]plant.Step{}
-	for kind := range troubles {
-		s, ok := base[kind]
+	scripts := map[string][]plant.Step{}
+	for kind := range faults {
+		step, ok := steps[kind]
 		if !ok {
 			t.Errorf("kind %s is not played", kind)
 		}
-		s.Kind, s.At, s.Len = kind, seconds(1), seconds(1.5)
-		plays[kind] = []plant.Step{s}
+		step.Kind, step.At, step.Len = kind, span(1), span(1.5)
+		scripts[kind] = []plant.Step{step}
 	}
 	join := func(names ...string) {
 		var all []plant.Step
 		for _, n := range names {
-			all = append(all, plays[n]...)
+			all = append(all, scripts[n]...)
 		}
-		plays[strings.Join(names, "+")] = all
+		scripts[strings.Join(names, "+")] = all
 	}
 	join("jump", "region_loss", "late_list")
 	join("mass_cut", "silence", "give_up")
 	join("unit", "hot_number", "flap")
 	slots := make(chan struct{}, 5)
-	for name, s := range plays {
+	for name, step := range scripts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			r := judged(t, quickFleet(t, uint64(len(name)), nil), steps(4, s...))
+			r := playAndCheck(t, startFleet(t, uint64(len(name)), nil), newScript(4, step...))
 			if r.Verdict.Calls < 100 || r.Classes[0].InTime == 0 {
-				t.Errorf("hardly a call: %+v", r.Verdict)
+				t.Errorf("too few calls: %+v", r.Verdict)
 			}
 		})
 	}
 }
 
-// TestBadDay is the short form of the bad day, at three seeds.
-func TestBadDay(t *testing.T) {
+// TestManyFaults plays a short form of the default script with three seeds.
+func TestManyFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays for a quarter of a minute")
 	}
-	day := steps(9, plant.Step{At: seconds(1), Kind: "jump", Len: seconds(1), Size: 1.5},
-		plant.Step{At: seconds(1.5), Kind: "hot_number", Len: seconds(2), Part: 0.3, Size: 2},
-		plant.Step{At: seconds(2.5), Kind: "region_loss", Len: seconds(1.5), Part: 0.45},
-		plant.Step{At: seconds(3), Kind: "late_list", Len: seconds(4), Size: 0.5},
-		plant.Step{At: seconds(3.5), Kind: "mass_cut", Part: 0.4},
-		plant.Step{At: seconds(4), Kind: "silence", Len: seconds(2), Part: 0.17},
-		plant.Step{At: seconds(5), Kind: "unit"},
-		plant.Step{At: seconds(6), Kind: "stall", Len: seconds(1.5), Part: 0.34, Size: 0.3},
-		plant.Step{At: seconds(6.5), Kind: "flap", Part: 0.2},
-		plant.Step{At: seconds(7), Kind: "replace", Len: seconds(1.5), Part: 0.17})
+	faults := newScript(9, plant.Step{At: span(1), Kind: "jump", Len: span(1), Size: 1.5},
+		plant.Step{At: span(1.5), Kind: "hot_number", Len: span(2), Part: 0.3, Size: 2},
+		plant.Step{At: span(2.5), Kind: "region_loss", Len: span(1.5), Part: 0.45},
+		plant.Step{At: span(3), Kind: "late_list", Len: span(4), Size: 0.5},
+		plant.Step{At: span(3.5), Kind: "mass_cut", Part: 0.4},
+		plant.Step{At: span(4), Kind: "silence", Len: span(2), Part: 0.17},
+		plant.Step{At: span(5), Kind: "unit"},
+		plant.Step{At: span(6), Kind: "stall", Len: span(1.5), Part: 0.34, Size: 0.3},
+		plant.Step{At: span(6.5), Kind: "flap", Part: 0.2},
+		plant.Step{At: span(7), Kind: "replace", Len: span(1.5), Part: 0.17})
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed+1), func(t *testing.T) {
 			t.Parallel()
-			f := quickFleet(t, seed+1, func(s *FleetSettings) {
+			f := startFleet(t, seed+1, func(s *FleetSettings) {
 				if s.Exchanges, s.Rate = 6, 60; seed == 2 {
-					s.Asks = 0.5 // half of the calls by the second front
+					s.Asks = 0.5 // half of the calls start with an ENUM query
 				}
 			})
-			r := judged(t, f, day)
+			r := playAndCheck(t, f, faults)
 			if seed == 2 && r.Verdict.Leases < 100 {
 				t.Errorf("%d look-ups, %d leases", r.Verdict.LookUps, r.Verdict.Leases)
 			}
 			if r.Verdict.Cold < 3 || r.Verdict.Calls < 500 {
-				t.Errorf("the day was not played: %+v", r.Verdict)
+				t.Errorf("the faults were not played: %+v", r.Verdict)
 			}
 		})
 	}
 }
 
-// TestClientsInAnOverload is the short form of a minute at 40 exchanges and 350 calls a second: 115% of the plan, with
-// lost connections of clients and exchanges, and answers that come about when callers give up.
+// TestClientsInAnOverload is the short form of a minute with 40 exchanges and 350 calls per second: 115% of the planned
+// traffic, with lost connections of clients and exchanges, and answers at about the time at which callers hang up.
 func TestClientsInAnOverload(t *testing.T) {
 	t.Parallel()
-	f := quickFleet(t, 8, func(s *FleetSettings) { s.Exchanges, s.Rate = 10, 100 })
-	r := judged(t, f, steps(6, plant.Step{At: seconds(0.5), Kind: "jump", Len: seconds(5), Size: 1.15},
-		plant.Step{At: seconds(1), Kind: "client_flap", Part: 0.5},
-		plant.Step{At: seconds(1.5), Kind: "late_answer", Len: seconds(3), Part: 0.3, Size: 1.48},
-		plant.Step{At: seconds(2), Kind: "flap", Part: 0.2}, plant.Step{At: seconds(3), Kind: "client_flap", Part: 0.5},
-		plant.Step{At: seconds(3.5), Kind: "flap", Part: 0.2}, plant.Step{At: seconds(4), Kind: "hang", Len: seconds(1), Part: 0.2}))
+	f := startFleet(t, 8, func(s *FleetSettings) { s.Exchanges, s.Rate = 10, 100 })
+	r := playAndCheck(t, f, newScript(6, plant.Step{At: span(0.5), Kind: "jump", Len: span(5), Size: 1.15},
+		plant.Step{At: span(1), Kind: "client_flap", Part: 0.5},
+		plant.Step{At: span(1.5), Kind: "late_answer", Len: span(3), Part: 0.3, Size: 1.48},
+		plant.Step{At: span(2), Kind: "flap", Part: 0.2}, plant.Step{At: span(3), Kind: "client_flap", Part: 0.5},
+		plant.Step{At: span(3.5), Kind: "flap", Part: 0.2}, plant.Step{At: span(4), Kind: "hang", Len: span(1), Part: 0.2}))
 	if r.Verdict.Calls < 800 || r.Verdict.Answers > r.Verdict.Calls || r.Verdict.Answers < r.Verdict.Calls*8/10 {
 		t.Errorf("%d calls taken, %d answers", r.Verdict.Calls, r.Verdict.Answers)
 	}
 }
 
-// TestLookUpsTowardColdExchanges: all calls of all servers ask first while a third of the exchanges comes back cold.
+// TestLookUpsTowardColdExchanges: all calls of all call servers start with an ENUM query while a third of the exchanges
+// restarts cold.
 func TestLookUpsTowardColdExchanges(t *testing.T) {
 	t.Parallel()
-	f := quickFleet(t, 9, func(s *FleetSettings) { s.Exchanges, s.Rate, s.Asks = 6, 90, 1 })
-	r := judged(t, f, steps(5, plant.Step{At: seconds(0.5), Kind: "jump", Len: seconds(4), Size: 1.5}, plant.Step{At: seconds(1), Kind: "unit"}))
+	f := startFleet(t, 9, func(s *FleetSettings) { s.Exchanges, s.Rate, s.Asks = 6, 90, 1 })
+	r := playAndCheck(t, f, newScript(5, plant.Step{At: span(0.5), Kind: "jump", Len: span(4), Size: 1.5},
+		plant.Step{At: span(1), Kind: "unit"}))
 	if r.Verdict.Leases < 100 || r.Verdict.Cold < 2 {
 		t.Errorf("%+v", r.Verdict)
 	}
 }
 
-// TestPlantedBreachOnSockets: call servers that are told to wait only 1 ms after a failed attempt break rule 5, and
-// the taps show it.
-func TestPlantedBreachOnSockets(t *testing.T) {
+// TestFaultyCallServerOnSockets: call servers with a release time of only 1 ms violate rule 5 (no new attempt within the
+// release time after a failed one), and the rule checker finds it.
+func TestFaultyCallServerOnSockets(t *testing.T) {
 	t.Parallel()
-	f := quickFleet(t, 5, func(s *FleetSettings) { s.Release = time.Millisecond })
-	f.Play(steps(3, plant.Step{At: seconds(0.5), Kind: "mass_cut", Part: 1}, plant.Step{At: seconds(1), Kind: "flap", Part: 1},
-		plant.Step{At: seconds(1.5), Kind: "flap", Part: 1}, plant.Step{At: seconds(2), Kind: "flap", Part: 1}), nil)
+	f := startFleet(t, 5, func(s *FleetSettings) { s.Release = time.Millisecond })
+	f.Play(newScript(3, plant.Step{At: span(0.5), Kind: "mass_cut", Part: 1}, plant.Step{At: span(1), Kind: "flap", Part: 1},
+		plant.Step{At: span(1.5), Kind: "flap", Part: 1}, plant.Step{At: span(2), Kind: "flap", Part: 1}), nil)
 	v := f.Verdict()
 	if got := v.Breaches; len(got) == 0 {
-		t.Fatalf("no breach found: %+v", v)
+		t.Fatalf("no violation found: %+v", v)
 	}
 	for _, b := range v.Breaches {
 		if b.Rule != 5 {
@@ -188,30 +192,30 @@
 	}
 }
 
-// TestTermInABurst drains a call server while calls come fast: every call it has taken gets its answer.
-func TestTermInABurst(t *testing.T) {
+// TestDrainUnderLoad drains a call server at a high call rate: every call that it has taken gets its final answer.
+func TestDrainUnderLoad(t *testing.T) {
 	t.Parallel()
-	f := quickFleet(t, 6, func(s *FleetSettings) { s.Rate = 80 })
-	f.Go()
+	f := startFleet(t, 6, func(s *FleetSettings) { s.Rate = 80 })
+	f.StartCallers()
 	time.Sleep(time.Second)
-	f.List.Change(f.Nodes[1].Name, rulecheck.Draining, false, false)
-	f.Nodes[1].Leave(4 * time.Second)
-	f.Quiet(3 * time.Second)
+	f.Discovery.Announce(f.Nodes[1].Name, rulecheck.Draining, false, false)
+	f.Nodes[1].Drain(4 * time.Second)
+	f.StopCallers(3 * time.Second)
 	if v := f.Verdict(); len(v.Breaches) > 0 || v.Calls < 50 {
 		t.Errorf("%+v", v)
 	}
-	owed := map[string]int{}
+	killed := map[string]int{}
 	for _, r := range f.Rec.Records() {
 		if r.Kind == rulecheck.Killed {
-			owed[r.Exchange]++
+			killed[r.Exchange]++
 		}
 	}
-	if owed[f.Nodes[1].Name] != 1 {
-		t.Errorf("ended %v", owed)
+	if killed[f.Nodes[1].Name] != 1 {
+		t.Errorf("stopped call servers: %v", killed)
 	}
 }
 
-func TestScriptFaults(t *testing.T) {
+func TestInvalidScripts(t *testing.T) {
 	for text, want := range map[string]string{
 		`{len:'0s'}`:                       "len: must be positive",
 		`{len:'9s',steps:[{kind:'rain'}]}`: `steps[0].kind: "rain"`,
@@ -221,7 +225,7 @@
 		`{len:'9s',steps:[{kind:'flap',at:'10s'}]}`:         "after the end",
 		`{len:'9s',step:[]}`:                                "invalid keys: step",
 		`{len:`:                                             "day.jsonnet",
-		`{len:'9s',steps:[{at:'x',kind:'flap'}]}`:           "no time span",
+		`{len:'9s',steps:[{at:'x',kind:'flap'}]}`:           "not a duration",
 	} {
 		if _, err := plant.ParseScript("day.jsonnet", text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
@@ -232,22 +236,22 @@
 	}
 }
 
-// TestQuietDay: without troubles callers get through.
-func TestQuietDay(t *testing.T) {
+// TestNoFaults: without faults callers get through.
+func TestNoFaults(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	notes := 0
-	f := quickFleet(t, 7, nil)
-	f.Play(steps(2), func(string) { mu.Lock(); notes++; mu.Unlock() })
+	reported := 0
+	f := startFleet(t, 7, nil)
+	f.Play(newScript(2), func(string) { mu.Lock(); reported++; mu.Unlock() })
 	r := f.Report()
-	stood, without := 0, 0
-	for _, c := range r.Classes { // of the rare class there are nine: one that meets full groups is no sign of anything
-		stood, without = stood+c.InTime+c.Late, without+c.Without
+	established, neverEstablished := 0, 0
+	for _, c := range r.Classes { // both together: the rare class has about nine callers, of whom one may find all circuits busy
+		established, neverEstablished = established+c.InTime+c.Late, neverEstablished+c.NeverEstablished
 	}
-	if without > stood/10 {
-		t.Errorf("%d callers never got through, %d did", without, stood)
+	if neverEstablished > established/10 {
+		t.Errorf("%d callers without an established call, %d with one", neverEstablished, established)
 	}
-	if len(r.Verdict.Breaches) > 0 || stood < 40 || r.Service() < 0.8 || notes != 0 {
-		t.Errorf("service %.3f, %d stood, %v", r.Service(), stood, r.Verdict.Breaches)
+	if len(r.Verdict.Breaches) > 0 || established < 40 || r.Service() < 0.8 || reported != 0 {
+		t.Errorf("service %.3f, %d established, %v", r.Service(), established, r.Verdict.Breaches)
 	}
 }
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -11,8 +11,8 @@
 	"finchlatch/router"
 )
 
-// BenchmarkOverload offers 80% to 200% of the plan to a fleet of 8 call servers on sockets for some seconds, with the
-// module, with a policy that admits all, and with a plain limit on the calls that wait. Processors are stand-ins.
+// BenchmarkOverload offers 80% to 200% of the planned traffic to a fleet of 8 call servers on sockets for 12 seconds, with
+// the decision module, a policy that admits all calls, and a fixed limit on waiting calls. Processors are simulated.
 func BenchmarkOverload(b *testing.B) {
 	policies := []struct {
 		name string
@@ -28,11 +28,11 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					day := steps(12)
+					script := newScript(12)
 					if load != 1 {
-						day = steps(12, plant.Step{Kind: "jump", Len: seconds(12), Size: max(load, 0.05)})
+						script = newScript(12, plant.Step{Kind: "jump", Len: span(12), Size: max(load, 0.05)})
 					}
-					f.Play(day, nil)
+					f.Play(script, nil)
 					r := f.Report()
 					f.Close()
 					worst := time.Duration(0)
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -7,8 +7,8 @@
 	"finchlatch/internal/plant"
 )
 
-// Processor drives the processor of an exchange by the clock: everything that comes to the exchange waits here. It is
-// safe for concurrent use.
+// Processor runs the simulated processor of an exchange in real time. All messages to the exchange queue at it. It is safe
+// for concurrent use.
 type Processor struct {
 	mu     sync.Mutex
 	wake   *sync.Cond
@@ -18,39 +18,42 @@
 	done   chan struct{}
 }
 
-// queueKey is one direction of a connection.
+// queueKey identifies one direction of a session.
 type queueKey struct {
-	s *session
-	d plant.Direction
+	session   *session
+	direction plant.Direction
 }
 
-// nap is the least wait that is worth a sleep: shorter ones are made up by later work.
-const nap = 300 * time.Microsecond
+// minSleep is the shortest wait for which the processor sleeps. A message that is due sooner is served at once, and later
+// services make up for the difference.
+const minSleep = 300 * time.Microsecond
 
 // NewProcessor starts a processor.
 func NewProcessor(core *plant.Processor[queueKey], clock func() time.Duration) *Processor {
-	core.Lag = nap
+	core.TimingTolerance = minSleep
 	p := &Processor{clock: clock, core: core, done: make(chan struct{})}
 	p.wake = sync.NewCond(&p.mu)
 	go p.run()
 	return p
 }
 
-// Submit queues a message.
-func (p *Processor) Submit(l plant.Letter[queueKey]) {
-	p.Change(func(core *plant.Processor[queueKey], now time.Duration) { core.Submit(now, l) })
+// Submit queues a message for the processor.
+func (p *Processor) Submit(message plant.QueuedMessage[queueKey]) {
+	p.WithCore(func(core *plant.Processor[queueKey], now time.Duration) { core.Submit(now, message) })
 }
 
-// Change does something to the processor while it does nothing else.
-func (p *Processor) Change(f func(core *plant.Processor[queueKey], now time.Duration)) {
+// WithCore calls a function with the simulated processor and the present time, while the processor does nothing else. It
+// does nothing once the processor is closed.
+func (p *Processor) WithCore(change func(core *plant.Processor[queueKey], now time.Duration)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.closed {
-		f(p.core, p.clock())
+		change(p.core, p.clock())
 		p.wake.Signal()
 	}
 }
 
+// run serves messages until Close.
 func (p *Processor) run() {
 	defer close(p.done)
 	p.mu.Lock()
@@ -61,11 +64,11 @@
 			p.wake.Wait()
 			continue
 		}
-		act := p.core.Serve(p.clock())
+		action := p.core.Serve(p.clock())
 		wait := at - p.clock()
 		p.mu.Unlock()
-		if act != nil {
-			act()
+		if action != nil {
+			action()
 		} else {
 			time.Sleep(min(wait, 50*time.Millisecond))
 		}
@@ -73,7 +76,7 @@
 	}
 }
 
-// Close ends the processor; what waits is lost.
+// Close stops the processor and drops the queued messages.
 func (p *Processor) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -82,8 +85,8 @@
 	<-p.done
 }
 
-// Down tells whether it has fallen over.
-func (p *Processor) Down() (fallen bool) {
-	p.Change(func(core *plant.Processor[queueKey], _ time.Duration) { fallen = core.Fallen() })
-	return fallen
+// Collapsed reports whether the processor has collapsed under load while cold.
+func (p *Processor) Collapsed() (collapsed bool) {
+	p.WithCore(func(core *plant.Processor[queueKey], _ time.Duration) { collapsed = core.Collapsed() })
+	return collapsed
 }
--- a/model/engine.go
+++ b/model/engine.go
@@ -1,50 +1,54 @@
-// Package model plays fleets of call servers in simulated time: the very Routers of the product, with processors, wires,
-// callers, lines and an exchange list around them (package plant) as discrete events on one goroutine. The same settings,
-// seed and script give the same run to the byte. It decides nothing about calls.
+// Package model runs fleets of call servers in simulated time: the product's Routers in the simulated environment of
+// package plant, with links and service discovery, as discrete events on one goroutine. Two runs with the same settings,
+// seed and script are identical to the byte. The package takes no decisions about calls.
 package model
 
 import "time"
 
-// engine runs events in the order of their times, and of their making where these agree.
+// engine runs events in the order of their times. Events of the same time run in the order in which they were scheduled.
 type engine struct {
-	now    time.Duration
-	seq    uint64
-	queue  []event // a heap of four children a node: half as deep as one of two, and kind to caches
-	played uint64
+	now        time.Duration
+	sequence   uint64
+	queue      []event // min-heap; with four children per node it is half as deep as a binary heap and uses caches better
+	eventCount uint64  // events run
 }
 
+// event is a function scheduled for a time.
 type event struct {
-	at  time.Duration
-	seq uint64
-	run func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-func (x event) before(y event) bool { return x.at < y.at || x.at == y.at && x.seq < y.seq }
+// before reports whether an event runs before another one.
+func (e event) before(other event) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
+}
 
-// arity is the number of children of a node of the heap.
+// arity is the number of children per node of the heap.
 const arity = 4
 
-// after plans an event.
-func (e *engine) after(d time.Duration, run func()) {
-	e.seq++
-	x := event{e.now + max(0, d), e.seq, run}
-	e.queue = append(e.queue, x)
+// schedule adds an event after a delay; a negative delay counts as 0.
+func (e *engine) schedule(delay time.Duration, run func()) {
+	e.sequence++
+	added := event{e.now + max(0, delay), e.sequence, run}
+	e.queue = append(e.queue, added)
 	i := len(e.queue) - 1
 	for i > 0 {
-		up := (i - 1) / arity
-		if !x.before(e.queue[up]) {
+		parent := (i - 1) / arity
+		if !added.before(e.queue[parent]) {
 			break
 		}
-		e.queue[i] = e.queue[up]
-		i = up
+		e.queue[i] = e.queue[parent]
+		i = parent
 	}
-	e.queue[i] = x
+	e.queue[i] = added
 }
 
-// pop takes the next event.
+// pop removes and returns the next event.
 func (e *engine) pop() event {
 	next, last := e.queue[0], len(e.queue)-1
-	x := e.queue[last]
+	moved := e.queue[last]
 	e.queue[last] = event{}
 	e.queue = e.queue[:last]
 	if last == 0 {
@@ -56,29 +60,29 @@
 		if first >= last {
 			break
 		}
-		least := first
-		for c := first + 1; c < min(first+arity, last); c++ {
-			if e.queue[c].before(e.queue[least]) {
-				least = c
+		earliest := first
+		for child := first + 1; child < min(first+arity, last); child++ {
+			if e.queue[child].before(e.queue[earliest]) {
+				earliest = child
 			}
 		}
-		if !e.queue[least].before(x) {
+		if !e.queue[earliest].before(moved) {
 			break
 		}
-		e.queue[i] = e.queue[least]
-		i = least
+		e.queue[i] = e.queue[earliest]
+		i = earliest
 	}
-	e.queue[i] = x
+	e.queue[i] = moved
 	return next
 }
 
-// until plays all events up to a time.
-func (e *engine) until(t time.Duration) {
-	for len(e.queue) > 0 && e.queue[0].at <= t {
-		x := e.pop()
-		e.now = x.at
-		e.played++
-		x.run()
+// runUntil runs all events up to and including a time.
+func (e *engine) runUntil(end time.Duration) {
+	for len(e.queue) > 0 && e.queue[0].at <= end {
+		next := e.pop()
+		e.now = next.at
+		e.eventCount++
+		next.run()
 	}
-	e.now = t
+	e.now = end
 }
--- a/model/fleet.go
+++ b/model/fleet.go
@@ -14,200 +14,215 @@
 	"finchlatch/router"
 )
 
-// Settings of a fleet.
+// Settings are the size of a fleet, its traffic and the settings of its call servers.
 type Settings struct {
 	Exchanges int
 	Regions   int
-	Rate      float64 // first tries a second, of all callers together
-	Planned   float64 // the rate that groups and processors are sized for; 0: Rate
-	Group     int     // circuits between two exchanges; 0: for the plan
+	Rate      float64 // new callers per second in the whole fleet
+	Planned   float64 // rate that groups and processors are dimensioned for; 0: Rate
+	Group     int     // circuits between two exchanges; 0: dimensioned for the planned traffic
 	Seed      uint64
 	Classes   []plant.Class
 	Habits    plant.Habits
 	Traffic   Traffic
-	Sources   int                                                       // callers of each exchange, where there are few; 0: no end of them
-	MaxWait   time.Duration                                             // a set-up that has waited longer for a processor is refused; 0: none is
-	Baseline  func(s logic.Settings, seed int64) (router.Policy, error) // in place of the module, to compare with
-	Groups    func(a, b int) int                                        // circuits between two exchanges, counted from 0; nil: as Group says
-	Measure   bool                                                      // call servers measure their traffic: Measured gives it
-	Free      bool                                                      // processors cost nothing
-	Release   time.Duration                                             // rule 5 as the call servers are told it, for planting breaches; 0: as it is
-	Records   func(r rulecheck.Record)                                  // taps; nil: none
-	Done      func(o plant.Outcome)                                     // callers that are done; nil: they are kept for Results
+	Sources   int           // callers at each exchange, of whom only idle ones make calls; 0: an unlimited number
+	MaxWait   time.Duration // a set-up that has been queued at a processor for longer is refused; 0: none is
+
+	// Baseline creates a policy that replaces the decision module, for comparison; nil: the module decides.
+	Baseline func(s logic.Settings, seed int64) (router.Policy, error)
+	// Groups returns the number of circuits between two exchanges, counted from 0; nil: all groups have the size Group.
+	Groups func(a, b int) int
+	// Measure lets the call servers measure their traffic; Measured returns the result.
+	Measure bool
+	// Free sets the service times of processors to 0.
+	Free bool
+	// Release is the release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule.
+	Release time.Duration
+	// Records receives the records for the rule checker; nil: nothing is recorded.
+	Records func(r rulecheck.Record)
+	// Done receives the outcome of each caller; nil: the outcomes are stored for Results.
+	Done func(o plant.Outcome)
 }
 
 // Fleet is a fleet in simulated time.
 type Fleet struct {
 	engine
-	set            Settings
-	Figures        rulecheck.Figures
+	settings       Settings
+	Figures        rulecheck.Figures // parameters of the rule checker
 	nodes          []*node
-	names          []string
-	group          int
-	capacity       float64
-	work           plant.Work
-	release        time.Duration
-	between        []uint16 // circuits between two exchanges
-	accessCircuits []uint16 // enough for the callers and the lines of one exchange, each
+	names          []string // of the exchanges
+	group          int      // circuits between two exchanges
+	capacity       float64  // of a processor, in set-ups per second
+	serviceTimes   plant.ServiceTimes
+	releaseTime    time.Duration
+	groupCircuits  []uint16 // between two exchanges, unless Settings.Groups is set
+	accessCircuits []uint16 // to the callers of an exchange, and the same to its lines
 	exchanges      []router.Exchange
 	numbering      []numbering.Entry
-	traffic        *matrix
+	matrix         *trafficMatrix
 	rng            *rand.Rand
-	list           []logic.Office // by exchange; Started on the fleet's clock; 0: long ago
-	late           time.Duration
-	hot            string
-	hotPart        float64
-	hotAt          int
-	results        []plant.Outcome
-	measured       []measure.Interval
+	offices        []logic.Office // by exchange; Started is on the fleet's clock, 0 means long ago
+	discoveryDelay time.Duration  // added to the delay of service discovery
+	hotNumber      string
+	hotShare       float64 // of the callers of other exchanges, who call hotNumber
+	hotOwner       int     // index of the exchange that hotNumber belongs to
+	outcomes       []plant.Outcome
+	measured       []measure.Interval // of Routers that have ended
 }
 
-// epoch is when a fleet begins on its own clock.
-const epoch = time.Hour
-
-// settle is how long associations and groups have to come up.
-const settle = 2 * time.Second
-
-// New makes a fleet and brings its associations up; callers are silent until Play.
-func New(set Settings) (*Fleet, error) {
-	if set.Exchanges < 2 || set.Exchanges > 4000 || !(set.Rate > 0) {
-		return nil, fmt.Errorf("model: %d exchanges at %v calls a second: 2 to 4000 and more than 0 are played", set.Exchanges, set.Rate)
-	}
-	f := &Fleet{set: set, rng: rand.New(rand.NewPCG(set.Seed, 1)), traffic: newMatrix(set.Traffic, set.Seed, set.Exchanges)}
-	f.now = epoch
-	f.set.Regions = max(1, set.Regions)
-	f.size()
-	f.prepare()
-	for i := range set.Exchanges {
-		f.list = append(f.list, logic.Office{ID: name(i), Exchange: i + 1})
-		f.names = append(f.names, name(i))
+// startTime is the time on the fleet's clock at which a fleet starts.
+const startTime = time.Hour
+
+// startUpTime is the time for associations to become active and for circuits to be reset.
+const startUpTime = 2 * time.Second
+
+// reconnectTime is the time after which a broken association between two exchanges is connected again.
+const reconnectTime = 50 * time.Millisecond
+
+// New creates a fleet and starts its associations. There are no calls before Play.
+func New(settings Settings) (*Fleet, error) {
+	if settings.Exchanges < 2 || settings.Exchanges > 4000 || !(settings.Rate > 0) {
+		return nil, fmt.Errorf("model: %d exchanges at %v calls per second: must be 2 to 4000 exchanges and a positive rate",
+			settings.Exchanges, settings.Rate)
+	}
+	f := &Fleet{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 1)),
+		matrix: newTrafficMatrix(settings.Traffic, settings.Seed, settings.Exchanges)}
+	f.now = startTime
+	f.settings.Regions = max(1, settings.Regions)
+	f.applyPlan()
+	f.prepareSharedConfig()
+	for i := range settings.Exchanges {
+		f.offices = append(f.offices, logic.Office{ID: exchangeName(i), Exchange: i + 1})
+		f.names = append(f.names, exchangeName(i))
 		f.nodes = append(f.nodes, f.newNode(i))
 	}
 	for _, n := range f.nodes {
-		if err := n.start(); err != nil {
+		if err := n.startRouter(); err != nil {
 			return nil, err
 		}
 	}
 	for _, n := range f.nodes {
-		n.connectAll()
+		n.connectPeers()
 	}
-	f.until(f.now + settle)
+	f.runUntil(f.now + startUpTime)
 	return f, nil
 }
 
-// size finds circuits and figures for the plan.
-func (f *Fleet) size() {
-	plan := plant.Plan{Exchanges: f.set.Exchanges, Rate: f.set.Planned, Classes: f.set.Classes}
+// applyPlan dimensions circuits and processors for the planned traffic and sets the parameters of the rule checker.
+func (f *Fleet) applyPlan() {
+	plan := plant.Plan{Exchanges: f.settings.Exchanges, Rate: f.settings.Planned, Classes: f.settings.Classes}
 	if plan.Rate == 0 {
-		plan.Rate = f.set.Rate
+		plan.Rate = f.settings.Rate
 	}
-	f.Figures = plan.Figures()
+	f.Figures = plan.Parameters()
 	f.Figures.Slack = 20 * time.Millisecond
-	for i := range f.set.Exchanges {
-		f.Figures.PointCodes[name(i)] = uint32(firstCode + i)
+	for i := range f.settings.Exchanges {
+		f.Figures.PointCodes[exchangeName(i)] = uint32(firstPointCode + i)
 	}
-	if f.release = f.set.Release; f.release == 0 {
-		f.release = f.Figures.Release
+	if f.releaseTime = f.settings.Release; f.releaseTime == 0 {
+		f.releaseTime = f.Figures.Release
 	}
-	if f.group = f.set.Group; f.group == 0 {
-		f.group = plan.Group()
+	if f.group = f.settings.Group; f.group == 0 {
+		f.group = plan.GroupSize()
 	}
-	f.capacity = plan.Capacity(f.group)
-	if !f.set.Free {
-		f.work = plan.Work(f.capacity)
+	f.capacity = plan.ProcessorCapacity(f.group)
+	if !f.settings.Free {
+		f.serviceTimes = plan.ServiceTimes(f.capacity)
 	}
-	f.between = circuits(f.group)
-	f.accessCircuits = circuits(min(3900, 200+int(20*plan.Rate/float64(f.set.Exchanges))))
+	f.groupCircuits = circuitCodes(f.group)
+	f.accessCircuits = circuitCodes(min(3900, 200+int(20*plan.Rate/float64(f.settings.Exchanges))))
 }
 
-// circuits are n circuit identification codes.
-func circuits(n int) (out []uint16) {
-	for c := uint16(1); len(out) < n && c < 4096; c++ {
-		if c%32 != 0 {
-			out = append(out, c)
+// circuitCodes returns the first n circuit identification codes, without time slot 0 of each system.
+func circuitCodes(n int) (codes []uint16) {
+	for code := uint16(1); len(codes) < n && code < 4096; code++ {
+		if code%32 != 0 {
+			codes = append(codes, code)
 		}
 	}
-	return out
+	return codes
 }
 
-// profile is the rate over the day, where it changes.
-func (f *Fleet) profile() func(time.Duration) float64 {
-	if len(f.set.Traffic.Profile) == 0 {
+// rateProfile returns the factor of the call rate over the day; nil: the rate is constant.
+func (f *Fleet) rateProfile() func(time.Duration) float64 {
+	if len(f.settings.Traffic.Profile) == 0 {
 		return nil
 	}
-	return func(now time.Duration) float64 { return f.set.Traffic.at(now - epoch - settle) }
+	return func(now time.Duration) float64 { return f.settings.Traffic.rateFactor(now - startTime - startUpTime) }
 }
 
-func (f *Fleet) done(o plant.Outcome) {
-	if f.set.Done != nil {
-		f.set.Done(o)
+// addOutcome passes the outcome of a caller on, or stores it.
+func (f *Fleet) addOutcome(outcome plant.Outcome) {
+	if f.settings.Done != nil {
+		f.settings.Done(outcome)
 		return
 	}
-	f.results = append(f.results, o)
+	f.outcomes = append(f.outcomes, outcome)
 }
 
-// change tells all call servers what became of an exchange, each late by a time of its own.
-func (f *Fleet) change(about *node, state logic.OfficeState, started, silent bool) {
-	o := &f.list[about.index]
-	if o.State = state; started {
-		o.Started = f.now
+// announce changes the state of an exchange in service discovery and updates all call servers, each after a random delay.
+func (f *Fleet) announce(changed *node, state logic.OfficeState, justStarted, unreported bool) {
+	office := &f.offices[changed.index]
+	if office.State = state; justStarted {
+		office.Started = f.now
 	}
 	for _, n := range f.nodes {
-		f.after(f.late+plant.Notice(f.rng.Float64(), silent), func() {
-			if n.r != nil {
-				o := f.list[about.index]
-				n.tapTold(o)
-				n.r.List(f.now, logic.ListUpdate, []logic.Office{o})
-				n.carry()
+		f.schedule(f.discoveryDelay+plant.DiscoveryDelay(f.rng.Float64(), unreported), func() {
+			if n.router != nil {
+				office := f.offices[changed.index]
+				n.recordNotification(office)
+				n.router.List(f.now, logic.ListUpdate, []logic.Office{office})
+				n.applyEffects()
 			}
 		})
 	}
 }
 
-// breakWire breaks the association between two exchanges for a moment.
-func (f *Fleet) breakWire(a, b *node) {
-	if a.r == nil || b.r == nil {
+// breakAssociation breaks the connection between two exchanges, which is restored after reconnectTime.
+func (f *Fleet) breakAssociation(a, b *node) {
+	if a.router == nil || b.router == nil {
 		return
 	}
-	f.forget(a, b)
-	for _, x := range [][2]*node{{a, b}, {b, a}} {
-		x[0].tapKind(rulecheck.Lost, x[1].name)
-		x[0].r.Disconnected(f.now, x[0].linkOf(x[1].index), -1)
-		x[0].carry()
-	}
-	births := [2]uint64{a.birth, b.birth}
-	f.after(50*time.Millisecond, func() {
-		for i, x := range [][2]*node{{a, b}, {b, a}} {
-			if x[0].birth == births[i] && x[1].birth == births[1-i] && x[0].r != nil {
-				x[0].r.Connected(f.now, x[0].linkOf(x[1].index))
-				x[0].carry()
+	f.dropRelation(a, b)
+	for _, ends := range [][2]*node{{a, b}, {b, a}} {
+		ends[0].recordEvent(rulecheck.Lost, ends[1].name)
+		ends[0].router.Disconnected(f.now, ends[0].linkOf(ends[1].index), -1)
+		ends[0].applyEffects()
+	}
+	generations := [2]uint64{a.generation, b.generation}
+	f.schedule(reconnectTime, func() {
+		for i, ends := range [][2]*node{{a, b}, {b, a}} {
+			if ends[0].generation == generations[i] && ends[1].generation == generations[1-i] && ends[0].router != nil {
+				ends[0].router.Connected(f.now, ends[0].linkOf(ends[1].index))
+				ends[0].applyEffects()
 			}
 		}
 	})
 }
 
-// Results are the callers that are done, where Settings.Done did not take them.
-func (f *Fleet) Results() []plant.Outcome { return slices.Clone(f.results) }
+// Results returns the outcomes of all callers that are done; none if Settings.Done is set.
+func (f *Fleet) Results() []plant.Outcome { return slices.Clone(f.outcomes) }
 
-// Wall is the clock's time in a fleet: it begins on a midnight.
-func (f *Fleet) Wall() time.Time { return time.Unix(0, 0).UTC().Add(f.now - epoch) }
+// WallClock returns the time of day in the fleet, which starts at midnight.
+func (f *Fleet) WallClock() time.Time { return time.Unix(0, 0).UTC().Add(f.now - startTime) }
 
-// Measured gives what the call servers have measured so far, the open intervals too; call it once, at the end.
+// Measured returns the traffic measured by the call servers, open intervals included. It may be called only once, at the
+// end of a run.
 func (f *Fleet) Measured() []measure.Interval {
 	for _, n := range f.nodes {
-		n.unmeter()
+		n.endMeasurement()
 	}
 	return f.measured
 }
 
-// Events is the number of events played.
-func (f *Fleet) Events() uint64 { return f.played }
+// Events returns the number of events run so far.
+func (f *Fleet) Events() uint64 { return f.eventCount }
 
-// Now is the simulated time; a fleet begins at one hour.
+// Now returns the simulated time. A fleet starts at one hour.
 func (f *Fleet) Now() time.Duration { return f.now }
 
-// Group is the number of circuits between two exchanges.
+// Group returns the number of circuits between two exchanges.
 func (f *Fleet) Group() int { return f.group }
 
-// Part is what share of the calls from an exchange goes to another, now.
-func (f *Fleet) Part(from, to int) float64 { return f.traffic.part(from, to, f.now) }
+// Part returns the share of the calls from an exchange that go to another one at present.
+func (f *Fleet) Part(from, to int) float64 { return f.matrix.share(from, to, f.now) }
--- a/model/node.go
+++ b/model/node.go
@@ -16,148 +16,161 @@
 	"finchlatch/trunk"
 )
 
-// node is one exchange.
+// node is one exchange: its Router, processor, callers and lines.
 type node struct {
-	f       *Fleet
-	index   int
-	name    string
-	region  int
-	proc    *plant.Processor[router.LinkID]
-	armed   bool // an event will serve the processor
-	r       *router.Router
-	birth   uint64        // generation of the Router: timers of an older one are lost
-	wake    time.Duration // event planned for its next timer
-	callers *plant.Callers
-	lines   *plant.Lines
-	access  [2]*end // of the callers and the lines
-	meter   *measure.Meter
-	rels    []*plant.Relation // with exchanges of higher index
-}
-
-// wire is how a message comes to an exchange.
-type wire struct {
-	rel  *plant.Relation
-	d    plant.Direction
-	link router.LinkID
-	who  string
-	peer bool
-	back func(raw []byte) // carries what the processor answers in place of the call server
-}
-
-// firstCode is the point code of the first exchange.
-const firstCode = 101
-
-func name(i int) string { return fmt.Sprintf("ex%03d", i+1) }
-
-func (n *node) code() uint32 { return uint32(firstCode + n.index) }
+	fleet          *Fleet
+	index          int
+	name           string
+	region         int
+	processor      *plant.Processor[router.LinkID]
+	serveScheduled bool           // an event is scheduled that serves the processor
+	router         *router.Router // nil: the call server is down
+	generation     uint64         // incremented at each start and crash; timers of earlier generations are ignored
+	timerAt        time.Duration  // time of the event scheduled for the Router's next timer; 0: none
+	callers        *plant.Callers
+	lines          *plant.Lines
+	access         [2]*accessEndpoint // of the callers and of the lines
+	meter          *measure.Meter
+	relations      []*plant.Relation // with the exchange itself and those of higher index, created when needed
+}
+
+// messageSource describes where a message to an exchange comes from.
+type messageSource struct {
+	relation       *plant.Relation
+	direction      plant.Direction
+	link           router.LinkID    // of the receiving Router
+	name           string           // of the sender, in records
+	fromCallServer bool             // from another exchange, not from callers or lines
+	reply          func(raw []byte) // transmits the processor's reply in place of the call server's
+}
+
+// firstPointCode is the point code of the first exchange. Those of the others follow in order.
+const firstPointCode = 101
+
+// Point codes of the first exchange's callers and lines. Those of the other exchanges follow in order.
+const (
+	firstCallersPointCode = 5000
+	firstLinesPointCode   = 10000
+)
+
+// exchangeName returns the name of an exchange.
+func exchangeName(i int) string { return fmt.Sprintf("ex%03d", i+1) }
+
+// pointCode returns the point code of an exchange.
+func (n *node) pointCode() uint32 { return uint32(firstPointCode + n.index) }
 
+// newNode creates an exchange without its Router.
 func (f *Fleet) newNode(i int) *node {
-	n := &node{f: f, index: i, name: name(i), region: plant.Region(i, f.set.Exchanges, f.set.Regions)}
-	n.proc = plant.NewProcessor[router.LinkID](f.work, f.set.MaxWait, f.capacity, f.Figures)
-	callers := n.newEnd(uint32(5000+i), n.countersLink(), "counters")
-	lines := n.newEnd(uint32(10000+i), n.linesLink(), "lines")
-	n.access = [2]*end{callers, lines}
-	n.callers = plant.NewCallers(callers, uint32(i), f.accessCircuits, f.set.Seed, 1000+uint64(i))
-	n.lines = plant.NewLines(lines, f.set.Seed, 2000+uint64(i))
-	n.callers.Mix, n.callers.Habits, n.callers.Done, n.callers.T1 = f.set.Classes, f.set.Habits, f.done, t1
-	n.callers.Pick, n.callers.Profile = n.pick, f.profile()
-	n.callers.Sources = f.set.Sources
-	n.callers.SetRate(f.set.Rate / float64(f.set.Exchanges))
-	callers.take, lines.take = n.callers.Take, n.lines.Take
+	n := &node{fleet: f, index: i, name: exchangeName(i), region: plant.Region(i, f.settings.Exchanges, f.settings.Regions)}
+	n.processor = plant.NewProcessor[router.LinkID](f.serviceTimes, f.settings.MaxWait, f.capacity, f.Figures)
+	callers := n.newAccessEndpoint(uint32(firstCallersPointCode+i), n.countersLink(), "counters")
+	lines := n.newAccessEndpoint(uint32(firstLinesPointCode+i), n.linesLink(), "lines")
+	n.access = [2]*accessEndpoint{callers, lines}
+	n.callers = plant.NewCallers(callers, uint32(i), f.accessCircuits, f.settings.Seed, 1000+uint64(i))
+	n.lines = plant.NewLines(lines, f.settings.Seed, 2000+uint64(i))
+	n.callers.Classes, n.callers.Habits, n.callers.OnDone, n.callers.T1 = f.settings.Classes, f.settings.Habits, f.addOutcome, t1
+	n.callers.PickNumber, n.callers.RateProfile = n.pickNumber, f.rateProfile()
+	n.callers.Sources = f.settings.Sources
+	n.callers.SetRate(f.settings.Rate / float64(f.settings.Exchanges))
+	callers.onMessage, lines.onMessage = n.callers.Receive, n.lines.Receive
 	return n
 }
 
-// pick chooses whom a caller calls.
-func (n *node) pick(rng *rand.Rand) (string, bool) {
-	f := n.f
-	if f.hotPart > 0 && f.hotAt != n.index && rng.Float64() < f.hotPart {
-		return f.hot, true
+// pickNumber draws the number that a caller of this exchange calls, and whether it is the hot number.
+func (n *node) pickNumber(rng *rand.Rand) (string, bool) {
+	f := n.fleet
+	if f.hotShare > 0 && f.hotOwner != n.index && rng.Float64() < f.hotShare {
+		return f.hotNumber, true
 	}
-	to := f.traffic.pick(rng, n.index, f.now)
-	return fmt.Sprintf("5%04d%05d", to+1, rng.IntN(100000)), false
+	destination := f.matrix.pickDestination(rng, n.index, f.now)
+	return fmt.Sprintf("5%04d%05d", destination+1, rng.IntN(100000)), false
 }
 
-// t1 is T1 of Q.764, 15 to 60 s. It must be longer than any message waits at a processor: the swarm found that with 1 s a
-// repeated REL reached the next call on its circuit, which no end can tell from its own.
+// t1 is T1 of Q.764, 15 to 60 s. It must be longer than any message is queued at a processor: with 1 s a repeated REL
+// reached the next call on its circuit, and no end can tell that it belongs to the previous one.
 const t1 = 15 * time.Second
 
-// Quiet is how long a fleet needs until releases that were lost have been repeated and answered.
+// Quiet is the time that a fleet needs until lost releases have been repeated and confirmed.
 const Quiet = 12 * t1
 
-// config is that of one call server: peers are the other exchanges, then the counters, then the lines.
-func (n *node) config() router.Config {
-	f := n.f
-	c := router.Config{Name: n.name, Attempts: 5, Tick: time.Millisecond, Release: f.release, DrainGrace: f.Figures.Grace,
+// routerConfig returns the configuration of a call server. Its peers are the other exchanges, the counters and the lines,
+// in this order.
+func (n *node) routerConfig() router.Config {
+	f := n.fleet
+	config := router.Config{Name: n.name, Attempts: 5, Tick: time.Millisecond, Release: f.releaseTime, DrainGrace: f.Figures.Grace,
 		TipAfter: f.Figures.TipAfter, Overload: f.Figures.Overload, ColdFrom: f.Figures.ColdFrom, ColdFor: f.Figures.ColdFor,
-		Network: 2, Recovery: 2 * time.Second, LogLevel: 12, Baseline: f.set.Baseline, Exchanges: f.exchanges, Numbering: f.numbering,
+		Network: 2, Recovery: 2 * time.Second, LogLevel: 12, Baseline: f.settings.Baseline, Exchanges: f.exchanges, Numbering: f.numbering,
 		Timers: trunk.Timers{T1: t1, T5: 4 * t1, T12: t1, T13: 4 * t1}}
-	for _, k := range f.set.Classes {
-		c.Classes = append(c.Classes, router.Class{Category: k.Category, Patience: k.Patience, Class: logic.Class{Name: k.Name,
-			Worth: k.Worth, LateShare: k.LateShare, Aim: k.Aim, Deadline: k.Deadline, Hold: k.Hold, Width: k.Width, Safe: true}})
+	for _, class := range f.settings.Classes {
+		config.Classes = append(config.Classes, router.Class{Category: class.Category, Patience: class.Patience,
+			Class: logic.Class{Name: class.Name, Worth: class.Worth, LateShare: class.LateShare, Aim: class.Aim,
+				Deadline: class.Deadline, Hold: class.Hold, Width: class.Width, Safe: true}})
 	}
 	client, server := []m3ua.Settings{{Role: m3ua.RoleIPSPClient, Beat: -1}}, []m3ua.Settings{{Role: m3ua.RoleIPSPServer, Beat: -1}}
-	for i, e := range f.exchanges {
+	for i, exchange := range f.exchanges {
 		if i != n.index {
 			role := server
 			if n.index < i {
 				role = client
 			}
-			c.Peers = append(c.Peers, router.Peer{Name: e.Name, PointCode: e.PointCode, Circuits: f.circuitsBetween(n.index, i), ASPs: role})
+			config.Peers = append(config.Peers, router.Peer{Name: exchange.Name, PointCode: exchange.PointCode,
+				Circuits: f.circuitsBetween(n.index, i), ASPs: role})
 		}
 	}
-	sgp := []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}
-	c.Peers = append(c.Peers, router.Peer{Name: "counters", Kind: router.PeerClient, PointCode: n.access[0].own, Circuits: f.accessCircuits, ASPs: sgp},
-		router.Peer{Name: "lines", Kind: router.PeerSubscribers, PointCode: n.access[1].own, Circuits: f.accessCircuits, ASPs: sgp})
-	return c
+	signallingGateway := []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}
+	config.Peers = append(config.Peers, router.Peer{Name: "counters", Kind: router.PeerClient, PointCode: n.access[0].pointCode,
+		Circuits: f.accessCircuits, ASPs: signallingGateway}, router.Peer{Name: "lines", Kind: router.PeerSubscribers,
+		PointCode: n.access[1].pointCode, Circuits: f.accessCircuits, ASPs: signallingGateway})
+	return config
 }
 
-// circuitsBetween are those of the group of two exchanges.
+// circuitsBetween returns the circuits of the trunk group between two exchanges.
 func (f *Fleet) circuitsBetween(a, b int) []uint16 {
-	if f.set.Groups == nil {
-		return f.between
+	if f.settings.Groups == nil {
+		return f.groupCircuits
 	}
-	return circuits(max(1, f.set.Groups(min(a, b), max(a, b))))
+	return circuitCodes(max(1, f.settings.Groups(min(a, b), max(a, b))))
 }
 
-// unmeter ends the measuring of a Router that ends.
-func (n *node) unmeter() {
+// endMeasurement stores the measured traffic of a Router that ends.
+func (n *node) endMeasurement() {
 	if n.meter != nil {
-		n.f.measured = append(append(n.f.measured, n.meter.Take(n.f.now)...), n.meter.Open(n.f.now))
+		n.fleet.measured = append(append(n.fleet.measured, n.meter.Take(n.fleet.now)...), n.meter.Open(n.fleet.now))
 		n.meter = nil
 	}
 }
 
-// prepare makes what the settings of all call servers share.
-func (f *Fleet) prepare() {
-	for i := range f.set.Exchanges {
-		f.exchanges = append(f.exchanges, router.Exchange{Number: i + 1, Name: name(i), PointCode: uint32(firstCode + i)})
+// prepareSharedConfig creates the parts of the configuration that all call servers share.
+func (f *Fleet) prepareSharedConfig() {
+	for i := range f.settings.Exchanges {
+		f.exchanges = append(f.exchanges, router.Exchange{Number: i + 1, Name: exchangeName(i), PointCode: uint32(firstPointCode + i)})
 		f.numbering = append(f.numbering, numbering.Entry{Prefix: fmt.Sprintf("5%04d", i+1), Exchange: i + 1, Class: -1})
 	}
 }
 
-// start makes the Router of a node, with the list as it is known.
-func (n *node) start() error {
-	cfg := n.config()
-	if n.f.set.Measure {
-		n.meter = measure.New(measure.Settings{Home: n.index + 1, Classes: cfg.LogicClasses()}, n.f.now, n.f.Wall())
+// startRouter creates and starts the Router of a node, with the present snapshot of service discovery.
+func (n *node) startRouter() error {
+	cfg := n.routerConfig()
+	if n.fleet.settings.Measure {
+		n.meter = measure.New(measure.Settings{Home: n.index + 1, Classes: cfg.LogicClasses()}, n.fleet.now, n.fleet.WallClock())
 		cfg.Meter = n.meter
 	}
-	r, err := router.New(cfg, int64(n.f.set.Seed*1000)+int64(n.index))
+	r, err := router.New(cfg, int64(n.fleet.settings.Seed*1000)+int64(n.index))
 	if err != nil {
 		return err
 	}
-	n.r, n.wake = r, 0
-	n.birth++
-	list := make([]logic.Office, 0, len(n.f.nodes))
-	for _, o := range n.f.list {
-		list = append(list, o)
-		n.tapTold(o)
+	n.router, n.timerAt = r, 0
+	n.generation++
+	offices := make([]logic.Office, 0, len(n.fleet.nodes))
+	for _, office := range n.fleet.offices {
+		offices = append(offices, office)
+		n.recordNotification(office)
 	}
-	r.Start(n.f.now, list)
+	r.Start(n.fleet.now, offices)
 	return nil
 }
 
-// link numbers: the other exchanges in order, then counters, then lines.
+// linkOf returns the link to another exchange. Links are numbered like the peers of the configuration.
 func (n *node) linkOf(peer int) router.LinkID {
 	if peer > n.index {
 		peer--
@@ -165,276 +178,288 @@
 	return router.LinkID(peer)
 }
 
-func (n *node) peerOf(l router.LinkID) int {
-	if int(l) >= n.index {
-		return int(l) + 1
+// peerOf returns the index of the exchange at the other end of a link.
+func (n *node) peerOf(link router.LinkID) int {
+	if int(link) >= n.index {
+		return int(link) + 1
 	}
-	return int(l)
+	return int(link)
 }
 
-func (n *node) countersLink() router.LinkID { return router.LinkID(n.f.set.Exchanges - 1) }
-func (n *node) linesLink() router.LinkID    { return router.LinkID(n.f.set.Exchanges) }
+// countersLink returns the link to the counters.
+func (n *node) countersLink() router.LinkID { return router.LinkID(n.fleet.settings.Exchanges - 1) }
 
-// relation is what stands between two exchanges while their association lasts, with the direction from a to b.
-func (f *Fleet) relation(a, b *node) (*plant.Relation, plant.Direction) {
-	d := plant.Direction(0)
+// linesLink returns the link to the lines.
+func (n *node) linesLink() router.LinkID { return router.LinkID(n.fleet.settings.Exchanges) }
+
+// relationBetween returns the state of the signalling relation between two exchanges, and the direction from a to b.
+func (f *Fleet) relationBetween(a, b *node) (*plant.Relation, plant.Direction) {
+	direction := plant.Direction(0)
 	if a.index > b.index {
-		a, b, d = b, a, 1
+		a, b, direction = b, a, 1
 	}
-	if a.rels == nil {
-		a.rels = make([]*plant.Relation, len(f.nodes)-a.index)
+	if a.relations == nil {
+		a.relations = make([]*plant.Relation, len(f.nodes)-a.index)
 	}
-	r := &a.rels[b.index-a.index]
-	if *r == nil {
-		*r = plant.NewRelation()
+	relation := &a.relations[b.index-a.index]
+	if *relation == nil {
+		*relation = plant.NewRelation()
 	}
-	return *r, d
+	return *relation, direction
 }
 
-// forget ends the relation of two exchanges: what is on its way is lost.
-func (f *Fleet) forget(a, b *node) {
+// dropRelation drops the signalling relation of two exchanges. Messages in transit are lost.
+func (f *Fleet) dropRelation(a, b *node) {
 	if a.index > b.index {
 		a, b = b, a
 	}
-	if a.rels != nil {
-		a.rels[b.index-a.index] = nil
+	if a.relations != nil {
+		a.relations[b.index-a.index] = nil
 	}
 }
 
-func (f *Fleet) lasts(a, b *node, rel *plant.Relation) bool {
+// isCurrentRelation reports whether a signalling relation of two exchanges has not been dropped.
+func (f *Fleet) isCurrentRelation(a, b *node, relation *plant.Relation) bool {
 	if a.index > b.index {
 		a, b = b, a
 	}
-	return a.rels != nil && a.rels[b.index-a.index] == rel
+	return a.relations != nil && a.relations[b.index-a.index] == relation
 }
 
-// connectAll brings up the links of a node: those to exchanges that run, its counters and its lines.
-func (n *node) connectAll() {
-	for i, m := range n.f.nodes {
-		if i != n.index && m.r != nil {
-			n.r.Connected(n.f.now, n.linkOf(i))
+// connectPeers connects the links of a node to its counters, its lines and the exchanges whose call servers are up.
+func (n *node) connectPeers() {
+	for i, peer := range n.fleet.nodes {
+		if i != n.index && peer.router != nil {
+			n.router.Connected(n.fleet.now, n.linkOf(i))
 		}
 	}
-	n.r.Connected(n.f.now, n.countersLink())
-	n.r.Connected(n.f.now, n.linesLink())
+	n.router.Connected(n.fleet.now, n.countersLink())
+	n.router.Connected(n.fleet.now, n.linesLink())
 	n.access[0].connect()
 	n.access[1].connect()
-	n.carry()
+	n.applyEffects()
 }
 
-// carry takes the effects of a Router: bytes go on their way, its next timer is planned.
-func (n *node) carry() {
-	if n.r == nil {
+// applyEffects carries out the effects of a Router: it transmits the output and schedules the next timer.
+func (n *node) applyEffects() {
+	if n.router == nil {
 		return
 	}
-	for _, e := range n.r.Effects() {
-		if w, ok := e.(router.Write); ok {
-			for _, raw := range frames(w.Bytes) {
-				n.write(w.Link, raw)
+	for _, effect := range n.router.Effects() {
+		if write, ok := effect.(router.Write); ok {
+			for _, raw := range splitMessages(write.Bytes) {
+				n.transmit(write.Link, raw)
 			}
 		}
 	}
-	if at, ok := n.r.Next(); ok && (n.wake == 0 || at < n.wake || n.wake <= n.f.now) {
-		n.wake = at
-		birth := n.birth
-		n.f.after(at-n.f.now, func() {
-			if n.birth == birth && n.r != nil && n.wake == at {
-				n.wake = 0
-				n.r.Advance(n.f.now)
-				n.carry()
+	if at, ok := n.router.Next(); ok && (n.timerAt == 0 || at < n.timerAt || n.timerAt <= n.fleet.now) {
+		n.timerAt = at
+		generation := n.generation
+		n.fleet.schedule(at-n.fleet.now, func() {
+			if n.generation == generation && n.router != nil && n.timerAt == at {
+				n.timerAt = 0
+				n.router.Advance(n.fleet.now)
+				n.applyEffects()
 			}
 		})
 	}
 }
 
-// frames takes bytes of whole messages apart.
-func frames(b []byte) (out [][]byte) {
-	for len(b) >= 8 {
-		l := min(len(b), int(binary.BigEndian.Uint32(b[4:])))
-		out = append(out, b[:l:l])
-		b = b[l:]
+// splitMessages splits bytes into M3UA messages. The bytes must hold whole messages only.
+func splitMessages(output []byte) (messages [][]byte) {
+	for len(output) >= 8 {
+		length := min(len(output), int(binary.BigEndian.Uint32(output[4:])))
+		messages = append(messages, output[:length:length])
+		output = output[length:]
 	}
-	return out
+	return messages
 }
 
-// write sends what a Router writes to where it goes.
-func (n *node) write(link router.LinkID, raw []byte) {
-	if at := link - n.countersLink(); at >= 0 {
-		n.tap(n.access[at].who, true, raw)
-		n.access[at].fromServer(raw)
+// transmit sends a message of a Router to the other end of the link.
+func (n *node) transmit(link router.LinkID, raw []byte) {
+	if access := link - n.countersLink(); access >= 0 {
+		n.recordMessage(n.access[access].name, true, raw)
+		n.access[access].receiveFromServer(raw)
 		return
 	}
-	f, m := n.f, n.f.nodes[n.peerOf(link)]
-	n.tap(m.name, true, raw)
+	fleet, peer := n.fleet, n.fleet.nodes[n.peerOf(link)]
+	n.recordMessage(peer.name, true, raw)
 	frame := plant.ReadFrame(raw)
-	rel, d := f.relation(n, m)
-	rel.Sent(d, frame)
-	f.after(plant.Distance(n.region, m.region), func() {
-		if f.lasts(n, m, rel) && m.r != nil {
-			m.arrive(m.wireFrom(n, rel, d), frame)
+	relation, direction := fleet.relationBetween(n, peer)
+	relation.RecordSent(direction, frame)
+	fleet.schedule(plant.SignallingDelay(n.region, peer.region), func() {
+		if fleet.isCurrentRelation(n, peer, relation) && peer.router != nil {
+			peer.arrive(peer.sourceFrom(n, relation, direction), frame)
 		}
 	})
 }
 
-// wireFrom is the way from another exchange.
-func (n *node) wireFrom(m *node, rel *plant.Relation, d plant.Direction) wire {
-	return wire{rel: rel, d: d, link: n.linkOf(m.index), who: m.name, peer: true, back: func(raw []byte) {
-		n.f.after(plant.Distance(n.region, m.region), func() {
-			if n.f.lasts(n, m, rel) && m.r != nil {
-				m.handle(m.wireFrom(n, rel, 1-d), plant.ReadFrame(raw))
-			}
-		})
-	}}
+// sourceFrom describes messages from another exchange to this one.
+func (n *node) sourceFrom(peer *node, relation *plant.Relation, direction plant.Direction) messageSource {
+	return messageSource{relation: relation, direction: direction, link: n.linkOf(peer.index), name: peer.name,
+		fromCallServer: true, reply: func(raw []byte) {
+			n.fleet.schedule(plant.SignallingDelay(n.region, peer.region), func() {
+				if n.fleet.isCurrentRelation(n, peer, relation) && peer.router != nil {
+					peer.submit(peer.sourceFrom(n, relation, 1-direction), plant.ReadFrame(raw))
+				}
+			})
+		}}
 }
 
-// lasts tells whether the association of a wire is still the same.
-func (n *node) lasts(w wire) bool {
-	if at := w.link - n.countersLink(); at >= 0 {
-		return n.access[at].rel == w.rel
+// isCurrent reports whether the connection that a message arrived on still exists.
+func (n *node) isCurrent(source messageSource) bool {
+	if access := source.link - n.countersLink(); access >= 0 {
+		return n.access[access].relation == source.relation
 	}
-	return n.f.lasts(n, n.f.nodes[n.peerOf(w.link)], w.rel)
+	return n.fleet.isCurrentRelation(n, n.fleet.nodes[n.peerOf(source.link)], source.relation)
 }
 
-// arrive takes a message at an exchange: what is on circuits whose set-up was refused here goes no further.
-func (n *node) arrive(w wire, f plant.Frame) {
-	taken, reply, after := w.rel.Clearing(w.d, f)
+// arrive handles a message that has reached an exchange. Messages on circuits of a refused set-up are intercepted.
+func (n *node) arrive(source messageSource, frame plant.Frame) {
+	intercepted, reply, resumed := source.relation.InterceptRefused(source.direction, frame)
 	if reply != nil {
-		w.back(reply)
+		source.reply(reply)
 	}
-	for _, x := range after { // of this call server, toward the other end
-		n.resume(w, x)
+	for _, waiting := range resumed { // messages of this call server
+		n.deliverHeld(source, waiting)
 	}
-	if !taken {
-		n.handle(w, f)
+	if !intercepted {
+		n.submit(source, frame)
 	}
 }
 
-// resume carries on a message of this call server that waited for a refusal to be cleared.
-func (n *node) resume(w wire, f plant.Frame) {
-	if at := w.link - n.countersLink(); at >= 0 {
-		n.access[at].deliver(f)
+// deliverHeld delivers a message of this call server that was held until a refusal was cleared.
+func (n *node) deliverHeld(source messageSource, frame plant.Frame) {
+	if access := source.link - n.countersLink(); access >= 0 {
+		n.access[access].deliver(frame)
 		return
 	}
-	m := n.f.nodes[n.peerOf(w.link)]
-	m.handle(m.wireFrom(n, w.rel, 1-w.d), f)
+	peer := n.fleet.nodes[n.peerOf(source.link)]
+	peer.submit(peer.sourceFrom(n, source.relation, 1-source.direction), frame)
 }
 
-// handle gives a message to the processor; what it lets through reaches the Router.
-func (n *node) handle(w wire, f plant.Frame) {
-	l := plant.Letter[router.LinkID]{From: w.link, Peer: w.peer}
-	f = plant.Describe(w.rel, w.d, f, &l)
-	l.Deliver, l.Refuse = func() { n.deliver(w, f) }, func() { n.refuse(w, f) }
-	n.proc.Submit(n.f.now, l)
-	n.serve()
+// submit queues a message at the processor, which delivers it to the Router or refuses it.
+func (n *node) submit(source messageSource, frame plant.Frame) {
+	message := plant.QueuedMessage[router.LinkID]{From: source.link, FromCallServer: source.fromCallServer}
+	frame = plant.Classify(source.relation, source.direction, frame, &message)
+	message.Deliver, message.Refuse = func() { n.deliver(source, frame) }, func() { n.refuseSetUp(source, frame) }
+	n.processor.Submit(n.fleet.now, message)
+	n.scheduleServe()
 }
 
-// serve plans the next work of the processor.
-func (n *node) serve() {
-	at, ok := n.proc.Next()
-	if n.armed || !ok {
+// scheduleServe schedules the next service of the processor.
+func (n *node) scheduleServe() {
+	at, ok := n.processor.Next()
+	if n.serveScheduled || !ok {
 		return
 	}
-	n.armed = true
-	n.f.after(at-n.f.now, func() {
-		n.armed = false
-		if act := n.proc.Serve(n.f.now); act != nil {
-			act()
+	n.serveScheduled = true
+	n.fleet.schedule(at-n.fleet.now, func() {
+		n.serveScheduled = false
+		if action := n.processor.Serve(n.fleet.now); action != nil {
+			action()
 		}
-		n.serve()
+		n.scheduleServe()
 	})
 }
 
-func (n *node) deliver(w wire, f plant.Frame) {
-	if n.r == nil || !n.lasts(w) {
-		return // its connection was lost while it waited
+// deliver hands a message that the processor has served to the Router, unless it belongs to a refused set-up.
+func (n *node) deliver(source messageSource, frame plant.Frame) {
+	if n.router == nil || !n.isCurrent(source) {
+		return // the connection was lost while the message was queued
 	}
-	if taken, reply := f.Stale(); taken {
+	if intercepted, reply := frame.InterceptStale(); intercepted {
 		if reply != nil {
-			w.back(reply)
+			source.reply(reply)
 		}
 		return
 	}
-	n.tap(w.who, false, f.Raw)
-	w.rel.Reached(w.d, f)
-	n.r.Receive(n.f.now, w.link, f.Raw)
-	n.carry()
+	n.recordMessage(source.name, false, frame.Raw)
+	source.relation.RecordDelivered(source.direction, frame)
+	n.router.Receive(n.fleet.now, source.link, frame.Raw)
+	n.applyEffects()
 }
 
-// refuse answers an IAM in place of the Router.
-func (n *node) refuse(w wire, f plant.Frame) {
-	if n.r == nil || !n.lasts(w) {
+// refuseSetUp refuses an IAM in place of the Router, which never receives it.
+func (n *node) refuseSetUp(source messageSource, frame plant.Frame) {
+	if n.router == nil || !n.isCurrent(source) {
 		return
 	}
-	reply, seen := w.rel.Refuse(w.d, f)
-	if seen {
-		n.deliver(w, f)
+	reply, mustDeliver := source.relation.Refuse(source.direction, frame)
+	if mustDeliver {
+		n.deliver(source, frame)
 	}
 	if reply != nil {
-		w.back(reply)
-		n.repeat(w, f)
+		source.reply(reply)
+		n.repeatRelease(source, frame)
 	}
 }
 
-// repeat sends the REL of a refusal again, T1 after T1, until it is cleared.
-func (n *node) repeat(w wire, f plant.Frame) {
-	n.f.after(t1, func() {
-		if reply := w.rel.Repeat(f); reply != nil && n.lasts(w) {
-			w.back(reply)
-			n.repeat(w, f)
+// repeatRelease repeats the REL of a refusal every T1 until the refusal is cleared.
+func (n *node) repeatRelease(source messageSource, frame plant.Frame) {
+	n.fleet.schedule(t1, func() {
+		if reply := source.relation.RepeatRelease(frame); reply != nil && n.isCurrent(source) {
+			source.reply(reply)
+			n.repeatRelease(source, frame)
 		}
 	})
 }
 
-func (n *node) tap(peer string, out bool, raw []byte) {
-	if n.f.set.Records != nil {
-		n.f.set.Records(rulecheck.Record{At: n.f.now, Kind: rulecheck.Message, Exchange: n.name, Peer: peer, Out: out, Data: raw})
+// recordMessage records a message that a call server sends or receives.
+func (n *node) recordMessage(peer string, out bool, raw []byte) {
+	if n.fleet.settings.Records != nil {
+		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Message, Exchange: n.name, Peer: peer, Out: out,
+			Data: raw})
 	}
 }
 
-func (n *node) tapTold(o logic.Office) {
-	if n.f.set.Records != nil {
-		n.f.set.Records(rulecheck.Record{At: n.f.now, Kind: rulecheck.Told, Exchange: n.name, Peer: o.ID,
-			State: rulecheck.State(o.State), Cold: o.Started > 0})
+// recordNotification records that a call server was notified of the state of an exchange.
+func (n *node) recordNotification(office logic.Office) {
+	if n.fleet.settings.Records != nil {
+		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Told, Exchange: n.name, Peer: office.ID,
+			State: rulecheck.State(office.State), Cold: office.Started > 0})
 	}
 }
 
-func (n *node) tapKind(k rulecheck.Kind, peer string) {
-	if n.f.set.Records != nil {
-		n.f.set.Records(rulecheck.Record{At: n.f.now, Kind: k, Exchange: n.name, Peer: peer, Capacity: n.proc.Capacity})
+// recordEvent records another event of a call server.
+func (n *node) recordEvent(kind rulecheck.Kind, peer string) {
+	if n.fleet.settings.Records != nil {
+		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: kind, Exchange: n.name, Peer: peer,
+			Capacity: n.processor.Capacity})
 	}
 }
 
-// kill ends a Router as a crash would; its neighbours lose their associations.
-func (n *node) kill() {
-	n.tapKind(rulecheck.Killed, "")
-	n.unmeter()
-	n.r = nil
-	n.birth++
-	n.access[0].lost()
-	n.access[1].lost()
-	for _, m := range n.f.nodes {
-		if m == n {
+// crash stops a Router as a crash would. Its peers lose their associations with it.
+func (n *node) crash() {
+	n.recordEvent(rulecheck.Killed, "")
+	n.endMeasurement()
+	n.router = nil
+	n.generation++
+	n.access[0].loseConnection()
+	n.access[1].loseConnection()
+	for _, peer := range n.fleet.nodes {
+		if peer == n {
 			continue
 		}
-		n.f.forget(m, n)
-		if m.r != nil {
-			m.tapKind(rulecheck.Lost, n.name)
-			m.r.Disconnected(n.f.now, m.linkOf(n.index), -1)
-			m.carry()
+		n.fleet.dropRelation(peer, n)
+		if peer.router != nil {
+			peer.recordEvent(rulecheck.Lost, n.name)
+			peer.router.Disconnected(n.fleet.now, peer.linkOf(n.index), -1)
+			peer.applyEffects()
 		}
 	}
 }
 
-// back starts a Router again.
-func (n *node) back() {
-	if err := n.start(); err != nil {
-		panic(err) // the same settings were good before
+// restart starts a Router again and connects it with its peers.
+func (n *node) restart() {
+	if err := n.startRouter(); err != nil {
+		panic(err) // cannot happen: the same configuration was valid before
 	}
-	n.connectAll()
-	for _, m := range n.f.nodes {
-		if m != n && m.r != nil {
-			m.r.Connected(n.f.now, m.linkOf(n.index))
-			m.carry()
+	n.connectPeers()
+	for _, peer := range n.fleet.nodes {
+		if peer != n && peer.router != nil {
+			peer.router.Connected(n.fleet.now, peer.linkOf(n.index))
+			peer.applyEffects()
 		}
 	}
 }
