--- a/model/play.go
+++ b/model/play.go
@@ -11,256 +11,283 @@
 	"finchlatch/router"
 )
 
-// trouble strikes a fleet, and ends.
-type trouble struct {
-	begin, end func(f *Fleet, s plant.Step, struck []*node)
+// fault injects a kind of fault into a fleet, and ends it; end is nil if the fault ends by itself.
+type fault struct {
+	begin, end func(f *Fleet, step plant.Step, affected []*node)
 }
 
-// troubles are the kinds of the scripts that fleets on sockets take, in simulated time.
-var troubles = map[string]trouble{
-	"jump": {func(f *Fleet, s plant.Step, _ []*node) { f.scale(f.nodes, s.Size) },
-		func(f *Fleet, s plant.Step, _ []*node) { f.scale(f.nodes, 1) }},
-	"flood": {func(f *Fleet, s plant.Step, x []*node) { f.scale(x, s.Size) },
-		func(f *Fleet, s plant.Step, x []*node) { f.scale(x, 1) }},
-	"hot_number":  {(*Fleet).heat, func(f *Fleet, _ plant.Step, _ []*node) { f.hotPart = 0 }},
-	"region_loss": {func(f *Fleet, s plant.Step, _ []*node) { f.block(s, true) }, func(f *Fleet, s plant.Step, _ []*node) { f.block(s, false) }},
-	"mass_cut":    {(*Fleet).cut, nil},
-	"silence": {func(f *Fleet, _ plant.Step, x []*node) {
-		for _, n := range x {
-			n.proc.Silence()
-			f.change(n, logic.Gone, false, true)
+// Down times of a call server that restarts, and the time between releasing all calls and stopping in a replacement.
+const (
+	restartTime     = 350 * time.Millisecond // on the same processor
+	replaceTime     = 700 * time.Millisecond // on a new, cold processor
+	releaseAllGrace = 100 * time.Millisecond
+)
+
+// faults are the kinds of fault by their names in scripts: the same as on sockets.
+var faults = map[string]fault{
+	"jump": {func(f *Fleet, step plant.Step, _ []*node) { f.scaleRates(f.nodes, step.Size) },
+		func(f *Fleet, step plant.Step, _ []*node) { f.scaleRates(f.nodes, 1) }},
+	"flood": {func(f *Fleet, step plant.Step, affected []*node) { f.scaleRates(affected, step.Size) },
+		func(f *Fleet, step plant.Step, affected []*node) { f.scaleRates(affected, 1) }},
+	"hot_number": {(*Fleet).startHotNumber, func(f *Fleet, _ plant.Step, _ []*node) { f.hotShare = 0 }},
+	"region_loss": {func(f *Fleet, step plant.Step, _ []*node) { f.setBlocked(step, true) },
+		func(f *Fleet, step plant.Step, _ []*node) { f.setBlocked(step, false) }},
+	"mass_cut": {(*Fleet).dropCalls, nil},
+	"silence": {func(f *Fleet, _ plant.Step, affected []*node) {
+		for _, n := range affected {
+			n.processor.StopResponding()
+			f.announce(n, logic.Gone, false, true)
 		}
-	}, (*Fleet).awake},
-	"hang": {each(func(n *node, _ plant.Step) { n.proc.Hang(true) }), each(func(n *node, _ plant.Step) { n.proc.Hang(false) })},
-	"late_answer": {each(func(n *node, s plant.Step) { n.lines.Late = time.Duration(s.Size * float64(time.Second)) }),
-		each(func(n *node, _ plant.Step) { n.lines.Late = 0 })},
-	"replace": {(*Fleet).replace, nil},
-	"unit": {func(f *Fleet, _ plant.Step, x []*node) {
-		for _, n := range x {
-			f.down(n, 700*time.Millisecond, true)
+	}, (*Fleet).restartProcessors},
+	"hang": {forEach(func(n *node, _ plant.Step) { n.processor.IgnoreSetUps(true) }),
+		forEach(func(n *node, _ plant.Step) { n.processor.IgnoreSetUps(false) })},
+	"late_answer": {forEach(func(n *node, step plant.Step) { n.lines.ExtraDelay = time.Duration(step.Size * float64(time.Second)) }),
+		forEach(func(n *node, _ plant.Step) { n.lines.ExtraDelay = 0 })},
+	"replace": {(*Fleet).replaceProcessors, nil},
+	"unit": {func(f *Fleet, _ plant.Step, affected []*node) {
+		for _, n := range affected {
+			f.restartServer(n, replaceTime, true)
 		}
 	}, nil},
-	"restart": {func(f *Fleet, s plant.Step, x []*node) {
-		for i, n := range x {
-			f.after(time.Duration(s.Len)*time.Duration(i)/time.Duration(len(x)), func() { f.down(n, 350*time.Millisecond, false) })
+	"restart": {func(f *Fleet, step plant.Step, affected []*node) {
+		for i, n := range affected {
+			f.schedule(time.Duration(step.Len)*time.Duration(i)/time.Duration(len(affected)),
+				func() { f.restartServer(n, restartTime, false) })
 		}
 	}, nil},
-	"stall": {(*Fleet).stall, nil},
-	"slow": {func(f *Fleet, s plant.Step, _ []*node) {
+	"stall": {(*Fleet).stallProcessors, nil},
+	"slow": {func(f *Fleet, step plant.Step, _ []*node) {
 		for _, n := range f.nodes {
-			n.proc.Slow(s.Size, f.now+time.Duration(s.Len))
+			n.processor.SlowDown(step.Size, f.now+time.Duration(step.Len))
 		}
 	}, nil},
-	"ageing": {each(func(n *node, s plant.Step) {
-		n.proc.Age(n.f.now, (s.Size-1)/time.Duration(s.Len).Seconds())
-	}), (*Fleet).awake},
-	"late_list": {func(f *Fleet, s plant.Step, _ []*node) { f.late = time.Duration(s.Size * float64(time.Second)) },
-		func(f *Fleet, _ plant.Step, _ []*node) { f.late = 0 }},
-	"flap": {func(f *Fleet, s plant.Step, _ []*node) {
+	"ageing": {forEach(func(n *node, step plant.Step) {
+		n.processor.Age(n.fleet.now, (step.Size-1)/time.Duration(step.Len).Seconds())
+	}), (*Fleet).restartProcessors},
+	"late_list": {func(f *Fleet, step plant.Step, _ []*node) {
+		f.discoveryDelay = time.Duration(step.Size * float64(time.Second))
+	}, func(f *Fleet, _ plant.Step, _ []*node) { f.discoveryDelay = 0 }},
+	"flap": {func(f *Fleet, step plant.Step, _ []*node) {
 		for i, a := range f.nodes {
 			for _, b := range f.nodes[i+1:] {
-				if f.rng.Float64() < s.Part {
-					f.breakWire(a, b)
+				if f.rng.Float64() < step.Part {
+					f.breakAssociation(a, b)
 				}
 			}
 		}
 	}, nil},
-	"give_up": {func(f *Fleet, s plant.Step, _ []*node) { f.hurry(s.Size) }, func(f *Fleet, _ plant.Step, _ []*node) { f.hurry(0) }},
-	"client_flap": {each(func(n *node, _ plant.Step) {
-		if n.r != nil {
-			n.access[0].lost()
-			n.tapKind(rulecheck.Lost, "counters")
-			n.r.Disconnected(n.f.now, n.countersLink(), -1)
-			n.r.Connected(n.f.now, n.countersLink())
+	"give_up": {func(f *Fleet, step plant.Step, _ []*node) { f.setPatience(step.Size) },
+		func(f *Fleet, _ plant.Step, _ []*node) { f.setPatience(0) }},
+	"client_flap": {forEach(func(n *node, _ plant.Step) {
+		if n.router != nil {
+			n.access[0].loseConnection()
+			n.recordEvent(rulecheck.Lost, "counters")
+			n.router.Disconnected(n.fleet.now, n.countersLink(), -1)
+			n.router.Connected(n.fleet.now, n.countersLink())
 			n.access[0].connect()
-			n.carry()
+			n.applyEffects()
 		}
 	}), nil},
 }
 
-func each(do func(n *node, s plant.Step)) func(*Fleet, plant.Step, []*node) {
-	return func(_ *Fleet, s plant.Step, struck []*node) {
-		for _, n := range struck {
-			do(n, s)
+// forEach returns a fault function that is applied to each affected exchange.
+func forEach(apply func(n *node, step plant.Step)) func(*Fleet, plant.Step, []*node) {
+	return func(_ *Fleet, step plant.Step, affected []*node) {
+		for _, n := range affected {
+			apply(n, step)
 		}
 	}
 }
 
-// Play runs a script: callers begin, troubles strike, callers stop, and the last calls get the time that quiet gives.
-func (f *Fleet) Play(s plant.Script, quiet time.Duration) error {
-	for i, x := range s.Steps {
-		if _, ok := troubles[x.Kind]; !ok {
-			return fmt.Errorf("model: steps[%d].kind: %q is not played here", i, x.Kind)
+// Play plays a script: it starts the callers, injects each fault at its time, stops the callers, and runs for drainTime
+// more, in which the last calls end.
+func (f *Fleet) Play(script plant.Script, drainTime time.Duration) error {
+	for i, step := range script.Steps {
+		if _, ok := faults[step.Kind]; !ok {
+			return fmt.Errorf("model: steps[%d].kind: unknown kind %q", i, step.Kind)
 		}
 	}
-	for _, x := range s.Steps {
-		struck, t := f.strike(x), troubles[x.Kind]
-		f.after(time.Duration(x.At), func() { t.begin(f, x, struck) })
-		if t.end != nil {
-			f.after(time.Duration(x.At+x.Len), func() { t.end(f, x, struck) })
+	for _, step := range script.Steps {
+		affected, fault := f.selectNodes(step), faults[step.Kind]
+		f.schedule(time.Duration(step.At), func() { fault.begin(f, step, affected) })
+		if fault.end != nil {
+			f.schedule(time.Duration(step.At+step.Len), func() { fault.end(f, step, affected) })
 		}
 	}
 	for _, n := range f.nodes {
-		n.callers.Begin()
+		n.callers.Start()
 	}
-	f.until(f.now + time.Duration(s.Len))
+	f.runUntil(f.now + time.Duration(script.Len))
 	for _, n := range f.nodes {
 		n.callers.Stop()
 	}
-	f.until(f.now + quiet)
+	f.runUntil(f.now + drainTime)
 	return nil
 }
 
-func (f *Fleet) strike(s plant.Step) (out []*node) {
-	for _, i := range s.Strike(f.rng, f.names) {
-		out = append(out, f.nodes[i])
+// selectNodes returns the exchanges that a step affects.
+func (f *Fleet) selectNodes(step plant.Step) (nodes []*node) {
+	for _, i := range step.SelectExchanges(f.rng, f.names) {
+		nodes = append(nodes, f.nodes[i])
 	}
-	return out
+	return nodes
 }
 
-func (f *Fleet) scale(nodes []*node, by float64) {
+// scaleRates sets the call rate of exchanges to a multiple of the usual one.
+func (f *Fleet) scaleRates(nodes []*node, factor float64) {
 	for _, n := range nodes {
-		n.callers.SetRate(by * f.set.Rate / float64(len(f.nodes)))
+		n.callers.SetRate(factor * f.settings.Rate / float64(len(f.nodes)))
 	}
 }
 
-func (f *Fleet) hurry(share float64) {
+// setPatience sets the share of their patience that callers wait; 0: all of it.
+func (f *Fleet) setPatience(share float64) {
 	for _, n := range f.nodes {
-		n.callers.Hurry = share
+		n.callers.PatienceFactor = share
 	}
 }
 
-func (f *Fleet) heat(s plant.Step, _ []*node) {
-	f.hotAt = f.rng.IntN(len(f.nodes))
-	f.hot, f.hotPart = fmt.Sprintf("5%04d99999", f.hotAt+1), s.Part
-	f.nodes[f.hotAt].lines.Thin[f.hot] = int(s.Size)
+// startHotNumber makes a random exchange own a number that a share of all callers calls and that has few lines.
+func (f *Fleet) startHotNumber(step plant.Step, _ []*node) {
+	f.hotOwner = f.rng.IntN(len(f.nodes))
+	f.hotNumber, f.hotShare = fmt.Sprintf("5%04d99999", f.hotOwner+1), step.Part
+	f.nodes[f.hotOwner].lines.LineCounts[f.hotNumber] = int(step.Size)
 }
 
-func (f *Fleet) block(s plant.Step, on bool) {
+// setBlocked blocks or unblocks part of the circuits between a region and the others, from the region's side.
+func (f *Fleet) setBlocked(step plant.Step, blocked bool) {
 	for _, a := range f.nodes {
 		for i, b := range f.nodes {
-			if a.r != nil && a.region == s.Region && b.region != s.Region {
+			if a.router != nil && a.region == step.Region && b.region != step.Region {
 				id := router.PeerID(a.linkOf(i))
-				a.r.Block(f.now, id, int(s.Part*float64(f.group)+0.5), isup.Hardware, on)
+				a.router.Block(f.now, id, int(step.Part*float64(f.group)+0.5), isup.Hardware, blocked)
 			}
 		}
-		a.carry()
+		a.applyEffects()
 	}
 }
 
-func (f *Fleet) cut(s plant.Step, _ []*node) {
+// dropCalls resets part of the circuits of established calls in each trunk group.
+func (f *Fleet) dropCalls(step plant.Step, _ []*node) {
 	for i, a := range f.nodes {
-		for j := i + 1; j < len(f.nodes) && a.r != nil; j++ {
+		for j := i + 1; j < len(f.nodes) && a.router != nil; j++ {
 			id := router.PeerID(a.linkOf(j))
-			g := a.r.Groups()[id]
-			a.r.Reset(f.now, id, int(s.Part*float64(g.In+g.Out)+0.5))
+			g := a.router.Groups()[id]
+			a.router.Reset(f.now, id, int(step.Part*float64(g.In+g.Out)+0.5))
 		}
-		a.carry()
+		a.applyEffects()
 	}
 }
 
-func (f *Fleet) awake(_ plant.Step, struck []*node) {
-	for _, n := range struck {
-		f.cold(n)
+// restartProcessors restarts the processors of the affected exchanges.
+func (f *Fleet) restartProcessors(_ plant.Step, affected []*node) {
+	for _, n := range affected {
+		f.restartProcessor(n)
 	}
 }
 
-func (f *Fleet) cold(n *node) {
-	n.proc.Restart(f.now)
-	n.tapKind(rulecheck.Started, "")
-	f.change(n, logic.Ready, true, false)
+// restartProcessor restarts a processor, which is cold then, and announces it.
+func (f *Fleet) restartProcessor(n *node) {
+	n.processor.Restart(f.now)
+	n.recordEvent(rulecheck.Started, "")
+	f.announce(n, logic.Ready, true, false)
 }
 
-// down restarts a call server.
-func (f *Fleet) down(n *node, d time.Duration, cold bool) {
-	if n.r == nil {
+// restartServer crashes a call server and starts it again after downTime, on a new processor if cold is set.
+func (f *Fleet) restartServer(n *node, downTime time.Duration, cold bool) {
+	if n.router == nil {
 		return
 	}
-	n.kill()
-	f.after(d, func() {
+	n.crash()
+	f.schedule(downTime, func() {
 		if cold {
-			f.cold(n)
+			f.restartProcessor(n)
 		}
-		n.back()
+		n.restart()
 	})
 }
 
-func (f *Fleet) replace(s plant.Step, struck []*node) {
-	one := time.Duration(s.Len) / time.Duration(len(struck))
-	for i, n := range struck {
-		f.after(one*time.Duration(i), func() {
-			if n.r == nil {
+// replaceProcessors moves exchanges to new processors, one after the other: each drains, releases its calls, stops, and
+// restarts on a cold processor.
+func (f *Fleet) replaceProcessors(step plant.Step, affected []*node) {
+	interval := time.Duration(step.Len) / time.Duration(len(affected))
+	for i, n := range affected {
+		f.schedule(interval*time.Duration(i), func() {
+			if n.router == nil {
 				return
 			}
-			f.change(n, logic.Draining, false, false)
-			n.r.Drain(f.now)
-			n.carry()
-			birth := n.birth
-			f.after(one/2, func() {
-				if n.r != nil && n.birth == birth {
-					n.r.ReleaseAll(f.now)
-					n.carry()
-					f.after(100*time.Millisecond, func() { f.down(n, 700*time.Millisecond, true) })
+			f.announce(n, logic.Draining, false, false)
+			n.router.Drain(f.now)
+			n.applyEffects()
+			generation := n.generation
+			f.schedule(interval/2, func() {
+				if n.router != nil && n.generation == generation {
+					n.router.ReleaseAll(f.now)
+					n.applyEffects()
+					f.schedule(releaseAllGrace, func() { f.restartServer(n, replaceTime, true) })
 				}
 			})
 		})
 	}
 }
 
-func (f *Fleet) stall(s plant.Step, struck []*node) {
-	for _, n := range struck {
+// stallProcessors pauses processors repeatedly, each with a random interval of its own.
+func (f *Fleet) stallProcessors(step plant.Step, affected []*node) {
+	for _, n := range affected {
 		pause := time.Duration((2 + f.rng.Float64()*2) * float64(time.Second))
-		for at := time.Duration(0); at < time.Duration(s.Len); at += pause {
-			f.after(at, func() { n.proc.Stall(f.now + time.Duration(s.Size*float64(time.Second))) })
+		for at := time.Duration(0); at < time.Duration(step.Len); at += pause {
+			f.schedule(at, func() { n.processor.Stall(f.now + time.Duration(step.Size*float64(time.Second))) })
 		}
 	}
 }
 
-// Idle names the first circuit that is not free, or call that is held: after quiet there should be none. A processor
-// that fell over answers nothing for good: circuits toward it, and calls on them, may wait for ever.
-func (f *Fleet) Idle() error {
+// CheckIdle returns an error for the first trunk group with a circuit that is not free, or for calls that are still held.
+// There should be none after Play. A collapsed processor never responds again, so circuits toward it, and calls on them,
+// may wait for ever and are not reported.
+func (f *Fleet) CheckIdle() error {
 	for _, n := range f.nodes {
-		if n.r == nil || n.proc.Fallen() {
+		if n.router == nil || n.processor.Collapsed() {
 			continue
 		}
-		for i, g := range n.r.Groups() {
-			fallen := i < int(n.countersLink()) && f.nodes[n.peerOf(router.LinkID(i))].proc.Fallen()
-			if g.Spare != g.Size && !fallen {
-				return fmt.Errorf("model: %s: group %+v", n.name, g)
+		for i, group := range n.router.Groups() {
+			peerCollapsed := i < int(n.countersLink()) && f.nodes[n.peerOf(router.LinkID(i))].processor.Collapsed()
+			if group.Spare != group.Size && !peerCollapsed {
+				return fmt.Errorf("model: %s: circuits are not free: %+v", n.name, group)
 			}
 		}
-		if held, _ := n.r.Held(); held > 0 && f.Fallen() == 0 {
-			return fmt.Errorf("model: %s holds %d calls: %+v", n.name, held, n.r.Calls(f.now, 3))
+		if held, _ := n.router.Held(); held > 0 && f.Fallen() == 0 {
+			return fmt.Errorf("model: %s holds %d calls: %+v", n.name, held, n.router.Calls(f.now, 3))
 		}
 	}
 	return nil
 }
 
-// Books names the first group whose circuits do not add up at one end, or a call that nothing will wake: one that has no
-// final answer, in a Router without a timer.
-func (f *Fleet) Books() error {
+// CheckCircuitAccounting returns an error for the first trunk group with inconsistent circuit accounting, or if calls
+// without a final answer wait in a Router that has no timer and would never be handled again.
+func (f *Fleet) CheckCircuitAccounting() error {
 	for _, n := range f.nodes {
-		if n.r == nil {
+		if n.router == nil {
 			continue
 		}
-		for _, g := range n.r.Groups() {
-			busy := g.Out + g.In + g.Releasing + g.Resetting
-			if g.Spare < 0 || g.Spare > g.Total || g.Total > g.Size || busy > g.Size || g.Spare+busy > g.Size || g.Spare+busy+g.Blocked < g.Size {
-				return fmt.Errorf("model: %s at %v: circuits do not add up: %+v", n.name, f.now, g)
+		for _, group := range n.router.Groups() {
+			busy := group.Out + group.In + group.Releasing + group.Resetting
+			if group.Spare < 0 || group.Spare > group.Total || group.Total > group.Size || busy > group.Size ||
+				group.Spare+busy > group.Size || group.Spare+busy+group.Blocked < group.Size {
+				return fmt.Errorf("model: %s at %v: inconsistent circuit accounting: %+v", n.name, f.now, group)
 			}
 		}
-		_, open := n.r.Held()
-		if _, timer := n.r.Next(); open > 0 && !timer {
-			return fmt.Errorf("model: %s at %v: %d calls without an answer, and no timer", n.name, f.now, open)
+		_, unanswered := n.router.Held()
+		if _, hasTimer := n.router.Next(); unanswered > 0 && !hasTimer {
+			return fmt.Errorf("model: %s at %v: %d calls without a final answer, and no timer", n.name, f.now, unanswered)
 		}
 	}
 	return nil
 }
 
-// Fallen counts the processors that fell over.
+// Fallen returns the number of processors that have collapsed under load while cold.
 func (f *Fleet) Fallen() (count int) {
 	for _, n := range f.nodes {
-		if n.proc.Fallen() {
+		if n.processor.Collapsed() {
 			count++
 		}
 	}
--- a/model/processor_test.go
+++ b/model/processor_test.go
@@ -7,21 +7,21 @@
 	"finchlatch/internal/plant"
 )
 
-// Answers go ahead of set-ups, but nothing overtakes what is on its own circuit.
+// Answers have priority over set-ups, but no message overtakes an earlier one of its own circuit.
 func TestProcessorKeepsTheOrderOfACircuit(t *testing.T) {
 	e := &engine{}
-	p := newDriven(e, plant.Work{Setup: time.Second, Answer: time.Second}, 1)
+	harness := newProcessorHarness(e, plant.ServiceTimes{SetUp: time.Second, Answer: time.Second}, 1)
 	var order []string
-	put := func(name string, l letter) {
-		l.Deliver = func() { order = append(order, name) }
-		p.submit(l)
+	submit := func(name string, message queuedMessage) {
+		message.Deliver = func() { order = append(order, name) }
+		harness.submit(message)
 	}
-	put("first", letter{Setup: true, CICs: []uint16{9}})
-	put("set-up on 1 and 2", letter{Setup: true, CICs: []uint16{1, 2}})
-	put("release on 2", letter{Answer: true, CICs: []uint16{2}})
-	put("answer on 3", letter{Answer: true, CICs: []uint16{3}})
-	put("reset of all", letter{Group: true, CICs: []uint16{1}})
-	e.until(time.Minute)
+	submit("first", queuedMessage{IsSetUp: true, Circuits: []uint16{9}})
+	submit("set-up on 1 and 2", queuedMessage{IsSetUp: true, Circuits: []uint16{1, 2}})
+	submit("release on 2", queuedMessage{IsAnswer: true, Circuits: []uint16{2}})
+	submit("answer on 3", queuedMessage{IsAnswer: true, Circuits: []uint16{3}})
+	submit("reset of all", queuedMessage{IsGroup: true, Circuits: []uint16{1}})
+	e.runUntil(time.Minute)
 	want := []string{"answer on 3", "first", "set-up on 1 and 2", "release on 2", "reset of all"}
 	for i := range want {
 		if len(order) != len(want) || order[i] != want[i] {
@@ -30,53 +30,55 @@
 	}
 }
 
-// Events of the same instant come in the order in which they were made.
+// Events of the same time run in the order in which they were scheduled.
 func TestSameInstant(t *testing.T) {
 	e := &engine{}
 	var order []int
 	for i := range 100 {
-		e.after(time.Second, func() { order = append(order, i) })
+		e.schedule(time.Second, func() { order = append(order, i) })
 	}
-	e.until(time.Second)
+	e.runUntil(time.Second)
 	for i, x := range order {
 		if x != i {
-			t.Fatalf("place %d has event %d", i, x)
+			t.Fatalf("position %d has event %d", i, x)
 		}
 	}
 	if len(order) != 100 {
-		t.Errorf("%d events played", len(order))
+		t.Errorf("%d events run", len(order))
 	}
 }
 
-type letter = plant.Letter[int]
+type queuedMessage = plant.QueuedMessage[int]
 
-// driven is a processor on an engine by itself.
-type driven struct {
-	e     *engine
-	core  *plant.Processor[int]
-	armed bool
+// processorHarness runs a processor by itself on an engine.
+type processorHarness struct {
+	engine         *engine
+	processor      *plant.Processor[int]
+	serveScheduled bool
 }
 
-func newDriven(e *engine, w plant.Work, capacity float64) *driven {
-	return &driven{e: e, core: plant.NewProcessor[int](w, 0, capacity, plant.Plan{}.Figures())}
+func newProcessorHarness(engine *engine, serviceTimes plant.ServiceTimes, capacity float64) *processorHarness {
+	return &processorHarness{engine: engine, processor: plant.NewProcessor[int](serviceTimes, 0, capacity, plant.Plan{}.Parameters())}
 }
 
-func (d *driven) submit(l letter) {
-	d.core.Submit(d.e.now, l)
-	d.serve()
+// submit queues a message and schedules its service.
+func (h *processorHarness) submit(message queuedMessage) {
+	h.processor.Submit(h.engine.now, message)
+	h.scheduleServe()
 }
 
-func (d *driven) serve() {
-	at, ok := d.core.Next()
-	if d.armed || !ok {
+// scheduleServe schedules the next service.
+func (h *processorHarness) scheduleServe() {
+	at, ok := h.processor.Next()
+	if h.serveScheduled || !ok {
 		return
 	}
-	d.armed = true
-	d.e.after(at-d.e.now, func() {
-		d.armed = false
-		if act := d.core.Serve(d.e.now); act != nil {
-			act()
+	h.serveScheduled = true
+	h.engine.schedule(at-h.engine.now, func() {
+		h.serveScheduled = false
+		if action := h.processor.Serve(h.engine.now); action != nil {
+			action()
 		}
-		d.serve()
+		h.scheduleServe()
 	})
 }
--- a/model/scenario.go
+++ b/model/scenario.go
@@ -13,8 +13,8 @@
 	"finchlatch/internal/rulecheck"
 )
 
-// Scenario is a whole short run as data: a fleet and its day. It is what the swarm draws and shrinks, and what a
-// finding is kept as.
+// Scenario describes a whole short run: a fleet and its fault schedule. The swarm draws and shrinks scenarios, and they are
+// stored as JSON files.
 type Scenario struct {
 	Exchanges int
 	Regions   int
@@ -28,14 +28,14 @@
 	Script    plant.Script
 }
 
-// ReadScenario reads one from Jsonnet or JSON; name stands for its file in errors.
+// ReadScenario reads a scenario in Jsonnet or JSON; name stands for its file in errors.
 func ReadScenario(name, text string) (Scenario, error) {
 	var s Scenario
 	if err := plant.Read(name, text, &s); err != nil {
 		return s, err
 	}
 	if len(s.Classes) == 0 {
-		return s, fmt.Errorf("%s: classes: there are none", name)
+		return s, fmt.Errorf("%s: classes: at least one is required", name)
 	}
 	if s.Regions < 0 || s.Regions > s.Exchanges {
 		return s, fmt.Errorf("%s: regions: %d is not 0 to the number of exchanges", name, s.Regions)
@@ -43,125 +43,127 @@
 	return s, s.Script.Check(name)
 }
 
-// JSON writes a scenario, so that ReadScenario gives the same.
+// JSON encodes a scenario such that ReadScenario returns the same one.
 func (s Scenario) JSON() []byte {
 	b, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
-		panic(err) // numbers and strings only
+		panic(err) // cannot happen: a scenario holds only numbers and strings
 	}
 	return append(b, '\n')
 }
 
-// Settings of the fleet of a scenario.
+// Settings returns the settings of the scenario's fleet.
 func (s Scenario) Settings() Settings {
 	return Settings{Exchanges: s.Exchanges, Regions: s.Regions, Rate: s.Rate, Planned: s.Planned, Seed: s.Seed, MaxWait: s.MaxWait,
 		Classes: s.Classes, Habits: s.Habits, Traffic: s.Traffic}
 }
 
-// Breach is what an oracle found wrong with a run. Kind is the same for all runs that go wrong in the same way.
-type Breach struct {
-	Kind string // rule 1 to rule 5, books, idle, or unread
+// Violation is a fault that an oracle found in a run. Runs that fail in the same way have the same Kind.
+type Violation struct {
+	Kind string // "rule 1" to "rule 5", "books" (circuit accounting), "idle" (circuits not free) or "unread" (not decodable)
 	Text string
 }
 
-// Error tells it.
-func (b *Breach) Error() string { return b.Kind + ": " + b.Text }
+// Error returns the kind and the text.
+func (v *Violation) Error() string { return v.Kind + ": " + v.Text }
 
-// audits is how often within a run the books of all Routers are compared.
-const audits = 5
+// accountingChecks is the number of times within a run at which the circuit accounting of all Routers is checked.
+const accountingChecks = 5
 
-// Run plays a scenario and tells what went wrong by the oracles: a rule broken, books of circuits that do not add up, or
-// a circuit or call that is not free after quiet. plant changes the fleet's settings first, for planting bugs.
-func (s Scenario) Run(plantBug func(*Settings)) error {
-	set := s.Settings()
+// Run plays a scenario and returns a Violation if an oracle finds one: a violated rule, a message that cannot be decoded,
+// inconsistent circuit accounting, or a circuit or call that is not free at the end. If inject is not nil, it changes the
+// fleet's settings first, to test the oracles with faulty call servers.
+func (s Scenario) Run(inject func(*Settings)) error {
+	settings := s.Settings()
 	var records []rulecheck.Record
-	set.Records = func(r rulecheck.Record) { records = append(records, r) }
-	if plantBug != nil {
-		plantBug(&set)
+	settings.Records = func(r rulecheck.Record) { records = append(records, r) }
+	if inject != nil {
+		inject(&settings)
 	}
-	f, err := New(set)
+	f, err := New(settings)
 	if err != nil {
 		return err
 	}
-	var wrong error
-	for i := range audits {
-		f.after(time.Duration(s.Script.Len)*time.Duration(i+1)/audits, func() { wrong = errors.Join(wrong, f.Books()) })
+	var accountingErr error
+	for i := range accountingChecks {
+		f.schedule(time.Duration(s.Script.Len)*time.Duration(i+1)/accountingChecks,
+			func() { accountingErr = errors.Join(accountingErr, f.CheckCircuitAccounting()) })
 	}
 	if err := f.Play(s.Script, Quiet); err != nil {
 		return err
 	}
-	v := rulecheck.Check(f.Figures, records, f.Now())
-	if len(v.Breaches) > 0 {
-		b := v.Breaches[0]
-		return &Breach{fmt.Sprintf("rule %d", b.Rule), fmt.Sprintf("%d breaches, the first: %v", len(v.Breaches), b)}
+	verdict := rulecheck.Check(f.Figures, records, f.Now())
+	if len(verdict.Breaches) > 0 {
+		violation := verdict.Breaches[0]
+		return &Violation{fmt.Sprintf("rule %d", violation.Rule),
+			fmt.Sprintf("%d breaches, the first: %v", len(verdict.Breaches), violation)}
 	}
-	if v.Unread > 0 {
-		return &Breach{"unread", fmt.Sprintf("%d messages at the taps cannot be read", v.Unread)}
+	if verdict.Unread > 0 {
+		return &Violation{"unread", fmt.Sprintf("%d messages at the taps cannot be read", verdict.Unread)}
 	}
-	if wrong != nil {
-		return &Breach{"books", wrong.Error()}
+	if accountingErr != nil {
+		return &Violation{"books", accountingErr.Error()}
 	}
-	if err := f.Idle(); err != nil {
-		return &Breach{"idle", err.Error()}
+	if err := f.CheckIdle(); err != nil {
+		return &Violation{"idle", err.Error()}
 	}
 	return nil
 }
 
-// Draw makes the scenario of a seed.
+// Draw draws the scenario of a seed.
 func Draw(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 99))
-	between := func(least, most float64) float64 { return least + rng.Float64()*(most-least) }
-	span := func(least, most float64) time.Duration {
-		return time.Duration(between(least, most) * float64(time.Second)).Round(time.Millisecond)
+	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
+	duration := func(low, high float64) time.Duration {
+		return time.Duration(between(low, high) * float64(time.Second)).Round(time.Millisecond)
 	}
 	s := Scenario{Exchanges: 3 + rng.IntN(5), Regions: 1 + rng.IntN(3), Seed: seed, Classes: plant.DefaultClasses(),
-		Habits: plant.Habits{Redials: rng.IntN(4), Pause: span(0.1, 1), HotPause: 100 * time.Millisecond, CutReturn: span(0.1, 2),
+		Habits: plant.Habits{Redials: rng.IntN(4), Pause: duration(0.1, 1), HotPause: 100 * time.Millisecond, CutReturn: duration(0.1, 2),
 			Overstay: 400 * time.Millisecond}}
 	s.Planned = float64(int(between(5, 20) * float64(s.Exchanges)))
 	s.Rate = s.Planned * []float64{0.7, 1, 1.3, 2, 4}[rng.IntN(5)]
 	s.MaxWait = []time.Duration{0, plant.MaxWait, plant.MaxWait / 4}[rng.IntN(3)]
 	s.Traffic.Spread = []float64{0, 0, 0.7}[rng.IntN(3)]
 	for i := range s.Classes {
-		c := &s.Classes[i]
-		c.Aim = span(0.3, 1.2)
-		c.Patience = time.Duration(between(1.3, 3) * float64(c.Aim)).Round(time.Millisecond)
-		c.Deadline, c.Hold = 3*c.Patience, span(0.3, 3)
-		c.Width = 1 + i*(1+rng.IntN(4))
-		c.Holding = []plant.Holding{plant.Exponential, plant.Constant, plant.Lognormal, plant.Hyper}[rng.IntN(4)]
-	}
-	kinds := plant.Kinds()
-	length := span(3, 7)
+		class := &s.Classes[i]
+		class.Aim = duration(0.3, 1.2)
+		class.Patience = time.Duration(between(1.3, 3) * float64(class.Aim)).Round(time.Millisecond)
+		class.Deadline, class.Hold = 3*class.Patience, duration(0.3, 3)
+		class.Width = 1 + i*(1+rng.IntN(4))
+		class.Holding = []plant.Holding{plant.Exponential, plant.Constant, plant.Lognormal, plant.Hyper}[rng.IntN(4)]
+	}
+	kinds := plant.FaultKinds()
+	length := duration(3, 7)
 	s.Script = plant.Script{Len: config.Span(length)}
 	for range 1 + rng.IntN(5) {
-		s.Script.Steps = append(s.Script.Steps, plant.Draw(rng, kinds[rng.IntN(len(kinds))], length))
+		s.Script.Steps = append(s.Script.Steps, plant.DrawStep(rng, kinds[rng.IntN(len(kinds))], length))
 	}
 	return s
 }
 
-// Shrink cuts a scenario that fails down to what matters, as long as it goes wrong in the same way: troubles, length,
-// exchanges, load, classes, habits. It plays at most most runs, and gives the smallest one found with what it breaks. bug
-// is as in Run.
-func Shrink(s Scenario, most int, bug func(*Settings)) (Scenario, error) {
-	found := s.Run(bug)
-	kind := func(err error) string {
-		var b *Breach
-		if errors.As(err, &b) {
-			return b.Kind
+// Shrink reduces a failing scenario as long as it fails in the same way: its faults, length, exchanges, load, classes and
+// habits. It plays at most maxRuns scenarios, and returns the smallest failing one with its error. inject is as in Run.
+func Shrink(s Scenario, maxRuns int, inject func(*Settings)) (Scenario, error) {
+	found := s.Run(inject)
+	violationKind := func(err error) string {
+		var violation *Violation
+		if errors.As(err, &violation) {
+			return violation.Kind
 		}
 		return ""
 	}
-	want := kind(found)
+	want := violationKind(found)
 	if want == "" {
 		return s, found
 	}
 	for smaller := true; smaller; {
 		smaller = false
-		for _, x := range smallerOnes(s) {
-			if most--; most < 0 {
+		for _, candidate := range smallerScenarios(s) {
+			if maxRuns--; maxRuns < 0 {
 				return s, found
 			}
-			if err := x.Run(bug); kind(err) == want {
-				s, found, smaller = x, err, true
+			if err := candidate.Run(inject); violationKind(err) == want {
+				s, found, smaller = candidate, err, true
 				break
 			}
 		}
@@ -169,56 +171,59 @@
 	return s, found
 }
 
-// smallerOnes are the next candidates, those first that cut most.
-func smallerOnes(s Scenario) (out []Scenario) {
-	with := func(change func(x *Scenario)) {
-		x := s
-		x.Classes, x.Script.Steps = slices.Clone(s.Classes), slices.Clone(s.Script.Steps)
-		change(&x)
-		out = append(out, x)
+// smallerScenarios returns scenarios that are reduced by one step, those with the largest reductions first.
+func smallerScenarios(s Scenario) (candidates []Scenario) {
+	add := func(change func(smaller *Scenario)) {
+		smaller := s
+		smaller.Classes, smaller.Script.Steps = slices.Clone(s.Classes), slices.Clone(s.Script.Steps)
+		change(&smaller)
+		candidates = append(candidates, smaller)
 	}
 	for i := range s.Script.Steps {
-		with(func(x *Scenario) { x.Script.Steps = slices.Delete(x.Script.Steps, i, i+1) })
+		add(func(smaller *Scenario) { smaller.Script.Steps = slices.Delete(smaller.Script.Steps, i, i+1) })
 	}
 	if s.Exchanges > 2 {
-		with(func(x *Scenario) {
-			x.Exchanges--
-			x.Regions = min(x.Regions, x.Exchanges)
-			x.Rate *= float64(x.Exchanges) / float64(s.Exchanges)
-			x.Planned *= float64(x.Exchanges) / float64(s.Exchanges)
+		add(func(smaller *Scenario) {
+			smaller.Exchanges--
+			smaller.Regions = min(smaller.Regions, smaller.Exchanges)
+			smaller.Rate *= float64(smaller.Exchanges) / float64(s.Exchanges)
+			smaller.Planned *= float64(smaller.Exchanges) / float64(s.Exchanges)
 		})
 	}
 	if s.Regions > 1 {
-		with(func(x *Scenario) { x.Regions = 1 })
+		add(func(smaller *Scenario) { smaller.Regions = 1 })
 	}
 	if s.Rate > 1 {
-		with(func(x *Scenario) { x.Rate /= 2 })
+		add(func(smaller *Scenario) { smaller.Rate /= 2 })
 	}
 	if len(s.Classes) > 1 {
-		with(func(x *Scenario) { x.Classes = x.Classes[1:]; x.Classes[0].Share = 1 })
-		with(func(x *Scenario) { x.Classes = x.Classes[:len(x.Classes)-1]; x.Classes[0].Share = 1 })
+		add(func(smaller *Scenario) { smaller.Classes = smaller.Classes[1:]; smaller.Classes[0].Share = 1 })
+		add(func(smaller *Scenario) {
+			smaller.Classes = smaller.Classes[:len(smaller.Classes)-1]
+			smaller.Classes[0].Share = 1
+		})
 	}
 	if s.Habits.Redials > 0 {
-		with(func(x *Scenario) { x.Habits.Redials = 0 })
+		add(func(smaller *Scenario) { smaller.Habits.Redials = 0 })
 	}
 	if s.Traffic.Spread > 0 {
-		with(func(x *Scenario) { x.Traffic = Traffic{} })
+		add(func(smaller *Scenario) { smaller.Traffic = Traffic{} })
 	}
 	if s.MaxWait > 0 {
-		with(func(x *Scenario) { x.MaxWait = 0 })
+		add(func(smaller *Scenario) { smaller.MaxWait = 0 })
 	}
 	last := time.Duration(0)
 	for i, step := range s.Script.Steps {
 		last = max(last, time.Duration(step.At+step.Len))
 		if step.Part > 0.1 {
-			with(func(x *Scenario) { x.Script.Steps[i].Part /= 2 })
+			add(func(smaller *Scenario) { smaller.Script.Steps[i].Part /= 2 })
 		}
 		if step.Len > config.Span(200*time.Millisecond) {
-			with(func(x *Scenario) { x.Script.Steps[i].Len /= 2 })
+			add(func(smaller *Scenario) { smaller.Script.Steps[i].Len /= 2 })
 		}
 	}
 	if next := max(last+time.Second, time.Duration(s.Script.Len)*3/4); next < time.Duration(s.Script.Len)*9/10 {
-		with(func(x *Scenario) { x.Script.Len = config.Span(next) })
+		add(func(smaller *Scenario) { smaller.Script.Len = config.Span(next) })
 	}
-	return out
+	return candidates
 }
--- a/model/swarm_test.go
+++ b/model/swarm_test.go
@@ -10,8 +10,8 @@
 	"finchlatch/internal/plant"
 )
 
-// TestSwarm plays short random runs over random fleets and troubles, and the runs that broke something once. The oracles:
-// the five rules, books that add up, and circuits that are all free at both ends after quiet.
+// TestSwarm plays short scenarios with random fleets and faults, and the stored scenarios that once found a fault. The
+// oracles are the five rules, consistent circuit accounting, and circuits that are all free at both ends at the end.
 func TestSwarm(t *testing.T) {
 	runs := 80
 	if testing.Short() {
@@ -41,7 +41,8 @@
 	}
 }
 
-// What the swarm draws can be written as a file and read back, and is taken by both executors.
+// Scenarios that the swarm draws are valid, and can be written to a file and read back. Invalid ones are refused with an
+// error that names the file.
 func TestScenarioFile(t *testing.T) {
 	for seed := range uint64(200) {
 		s := Draw(seed)
@@ -53,50 +54,52 @@
 			t.Fatalf("seed %d: %v\n%+v\n%+v", seed, err, s, again)
 		}
 	}
-	for _, bad := range []string{`{`, `{exchanges: 3, colour: 1}`, `{exchanges: 3}`, `{classes: [{hold: 'soon'}]}`, `{classes: [{}], script: {len: '1s', steps: [{kind: 'x'}]}}`} {
-		if _, err := ReadScenario("bad.json", bad); err == nil {
-			t.Errorf("%s was taken", bad)
+	for _, invalid := range []string{`{`, `{exchanges: 3, colour: 1}`, `{exchanges: 3}`, `{classes: [{hold: 'soon'}]}`,
+		`{classes: [{}], script: {len: '1s', steps: [{kind: 'x'}]}}`} {
+		if _, err := ReadScenario("bad.json", invalid); err == nil {
+			t.Errorf("no error for %s", invalid)
 		} else if len(err.Error()) < 10 || err.Error()[:8] != "bad.json" {
-			t.Errorf("%s: %v does not name its file", bad, err)
+			t.Errorf("%s: %v does not name its file", invalid, err)
 		}
 	}
 }
 
-// A call server that is told to wait only 1 ms after a failure is found within 100 runs, and what finds it shrinks to a
-// smaller run with the same breach.
+// Call servers with a release time of only 1 ms are found within 100 runs, and the scenario that finds them shrinks to a
+// smaller one with the same violation.
 func TestSwarmFindsAndShrinks(t *testing.T) {
-	bug := func(s *Settings) { s.Release = time.Millisecond }
+	inject := func(s *Settings) { s.Release = time.Millisecond }
 	for seed := range uint64(100) {
 		s := Draw(seed)
-		err := s.Run(bug)
+		err := s.Run(inject)
 		if err == nil {
 			continue
 		}
-		small, why := Shrink(s, 60, bug)
-		b, ok := why.(*Breach)
-		if !ok || b.Kind != "rule 5" {
+		small, why := Shrink(s, 60, inject)
+		violation, ok := why.(*Violation)
+		if !ok || violation.Kind != "rule 5" {
 			t.Fatalf("seed %d: %v, shrunk %v", seed, err, why)
 		}
 		if len(small.Script.Steps) > len(s.Script.Steps) || small.Exchanges > s.Exchanges || reflect.DeepEqual(small, s) {
 			t.Errorf("seed %d shrank to %s", seed, small.JSON())
 		}
 		if small.Run(nil) != nil {
-			t.Error("the shrunk run fails without the bug")
+			t.Error("the shrunk scenario fails with correct call servers too")
 		}
-		t.Logf("seed %d, shrunk to %d exchanges, %d troubles, %v", seed, small.Exchanges, len(small.Script.Steps), time.Duration(small.Script.Len))
+		t.Logf("seed %d, shrunk to %d exchanges, %d faults, %v", seed, small.Exchanges, len(small.Script.Steps),
+			time.Duration(small.Script.Len))
 		return
 	}
 	t.Error("not found in 100 runs")
 }
 
-// All kinds of trouble are played.
-func TestKindsOfBothExecutors(t *testing.T) {
-	for _, k := range plant.Kinds() {
-		if _, ok := troubles[k]; !ok {
-			t.Errorf("%s is not played here", k)
+// All kinds of fault can be played.
+func TestBothExecutorsPlayAllFaults(t *testing.T) {
+	for _, k := range plant.FaultKinds() {
+		if _, ok := faults[k]; !ok {
+			t.Errorf("%s cannot be played in simulated time", k)
 		}
 	}
-	if len(troubles) != len(plant.Kinds()) {
-		t.Errorf("%d kinds are played, %d are known", len(troubles), len(plant.Kinds()))
+	if len(faults) != len(plant.FaultKinds()) {
+		t.Errorf("%d kinds are played, %d are known", len(faults), len(plant.FaultKinds()))
 	}
 }
