--- a/internal/plant/callers.go
+++ b/internal/plant/callers.go
@@ -45,14 +45,14 @@
 	behaviourRand *rand.Rand // for all other draws
 	freeCircuits  circuitPool
 	tries         map[uint16]*setUpTry // by the first circuit
-	setUpCount    uint64               // number of IAMs sent, which makes calling numbers unique
+	setUpCount    uint64               // number of set-ups, which makes calling numbers unique
 	rate          float64              // new callers per second, before RateProfile
 	nextArrival   time.Duration        // when the next caller makes its first try
 	offering      bool                 // between Start and Stop
 	unfinished    int                  // callers for whom OnDone has not been called
 }
 
-// caller is one subscriber's demand for a call, with all its tries.
+// caller is one demand for a call, with all its tries.
 type caller struct {
 	Outcome
 	number   string
@@ -68,11 +68,14 @@
 	releasing   bool // REL sent, RLC outstanding
 }
 
+// defaultT1 is the lower limit of T1 in Q.764.
+const defaultT1 = 15 * time.Second
+
 // NewCallers creates the counters of an exchange with circuits of their own. The id makes their calling numbers different
 // from those of other exchanges.
 func NewCallers(association Association, id uint32, circuits []uint16, seed, stream uint64) *Callers {
 	c := &Callers{association: association, id: id, demandRand: rand.New(rand.NewPCG(seed, stream)),
-		behaviourRand: rand.New(rand.NewPCG(seed, stream+1<<32)), tries: map[uint16]*setUpTry{}, T1: 15 * time.Second}
+		behaviourRand: rand.New(rand.NewPCG(seed, stream+1<<32)), tries: map[uint16]*setUpTry{}, T1: defaultT1}
 	for _, cic := range circuits {
 		c.freeCircuits.put(cic)
 	}
@@ -88,7 +91,7 @@
 	c.scheduleArrivals()
 }
 
-// scheduleArrivals plans the next first try, and from it the one after.
+// scheduleArrivals waits for the next arrival, and then for those that follow until Stop.
 func (c *Callers) scheduleArrivals() {
 	c.association.After(max(0, c.nextArrival-c.association.Now()), func() {
 		for now := c.association.Now(); c.offering && c.nextArrival <= now; c.nextArrival += c.interarrivalTime() {
@@ -189,7 +192,8 @@
 	})
 }
 
-// setUp seizes circuits and sends the IAM. It hangs up if there is no answer within the caller's patience.
+// setUp seizes circuits and sends the IAM, and hangs up if there is no answer within the caller's patience. Without free
+// circuits or an active association the try counts as refused.
 func (c *Callers) setUp(caller *caller, number string) {
 	class := c.Classes[caller.Class]
 	circuits := c.freeCircuits.take(class.Width)
@@ -227,7 +231,7 @@
 	})
 }
 
-// callingNumber encodes a calling party number that is different for each try.
+// callingNumber encodes a calling party number (national, ISDN numbering plan) that is different for each try.
 func callingNumber(id uint32, serial uint64) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{0x03, 0x11}, uint16(id))
 	return binary.BigEndian.AppendUint64(b, serial)
--- a/internal/plant/relation.go
+++ b/internal/plant/relation.go
@@ -52,9 +52,9 @@
 		return nil
 	}
 	received := f.Data
-	back := m3ua.ProtocolData{OPC: received.DPC, DPC: received.OPC, SI: m3ua.ServiceISUP, NI: received.NI, SLS: received.SLS,
+	answer := m3ua.ProtocolData{OPC: received.DPC, DPC: received.OPC, SI: m3ua.ServiceISUP, NI: received.NI, SLS: received.SLS,
 		Data: encoded, HasContext: received.HasContext, RoutingContext: received.RoutingContext}
-	return back.Message().Append(nil)
+	return answer.Message().Append(nil)
 }
 
 // Relation is the state of the signalling relation between two ends while their association lasts. It tracks the calls
@@ -126,7 +126,7 @@
 	}
 }
 
-// clearSeized removes circuits that an end had seized, once it has sent or received RLC or a reset.
+// clearSeized removes circuits that an end had seized, once it has sent or received RLC. A reset removes all of them.
 func (r *Relation) clearSeized(end Direction, message *isup.Message) {
 	switch message.Type {
 	case isup.RLC:
@@ -143,9 +143,9 @@
 	if len(forward) <= 1 && len(backward) <= 1 {
 		return []uint16{cic}
 	}
-	out := append(append([]uint16{cic}, forward...), backward...)
-	slices.Sort(out)
-	return slices.Compact(out)
+	circuits := append(append([]uint16{cic}, forward...), backward...)
+	slices.Sort(circuits)
+	return slices.Compact(circuits)
 }
 
 // Classify fills in the properties of an arriving frame that the processor needs, and returns the frame with a reference
--- a/internal/plant/script.go
+++ b/internal/plant/script.go
@@ -60,12 +60,12 @@
 }
 
 // FaultKinds returns the names of all kinds of fault in alphabetical order.
-func FaultKinds() (out []string) {
+func FaultKinds() (names []string) {
 	for name := range faultKinds {
-		out = append(out, name)
+		names = append(names, name)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
 // KindNames returns the kinds of fault in alphabetical order, each with a description of its values.
@@ -134,15 +134,15 @@
 
 // SelectExchanges returns the indexes of the exchanges that a step affects: the one that it names, or a random selection.
 // The result is empty for kinds that do not select exchanges.
-func (s Step) SelectExchanges(rng *rand.Rand, names []string) (out []int) {
+func (s Step) SelectExchanges(rng *rand.Rand, names []string) (indexes []int) {
 	if s.Kind == "unit" {
 		unit := rng.IntN(unitCount)
 		for i := range names {
 			if i%unitCount == unit {
-				out = append(out, i)
+				indexes = append(indexes, i)
 			}
 		}
-		return out
+		return indexes
 	}
 	if i := slices.Index(names, s.Exchange); i >= 0 {
 		return []int{i}
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -22,13 +22,13 @@
 }
 
 // Now returns the time on the fleet's clock.
-func (h socketAssociation) Now() time.Duration { return h.clock() }
+func (a socketAssociation) Now() time.Duration { return a.clock() }
 
 // After runs f after a delay as a handler of the endpoint, unless the endpoint has been closed by then.
-func (h socketAssociation) After(d time.Duration, f func()) {
-	time.AfterFunc(d, func() {
-		h.Do(func() {
-			if !h.closed {
+func (a socketAssociation) After(delay time.Duration, f func()) {
+	time.AfterFunc(delay, func() {
+		a.Do(func() {
+			if !a.closed {
 				f()
 			}
 		})
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -30,10 +30,13 @@
 	startedAt time.Duration // on the fleet's clock; negative: long ago
 }
 
+// discoveryStream is the stream of the random numbers of service discovery, with the seed of the fleet.
+const discoveryStream = 13
+
 // newDiscovery creates service discovery in which all exchanges are ready.
 func newDiscovery(f *Fleet) *Discovery {
-	d := &Discovery{fleet: f, exchanges: map[string]exchangeState{}, rng: rand.New(rand.NewPCG(f.Settings.Seed, 13)),
-		stop: make(chan struct{})}
+	d := &Discovery{fleet: f, exchanges: map[string]exchangeState{},
+		rng: rand.New(rand.NewPCG(f.Settings.Seed, discoveryStream)), stop: make(chan struct{})}
 	for i := range f.Settings.Exchanges {
 		d.exchanges[nodeName(i)] = exchangeState{startedAt: -1}
 	}
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -36,6 +36,12 @@
 // writeTimeout is the time that a write may take before the endpoint closes its connection.
 const writeTimeout = 5 * time.Second
 
+const (
+	reconnectInterval = 50 * time.Millisecond
+	timerInterval     = 500 * time.Millisecond // longest time between two checks of the association's timers
+	ackTimeout        = 500 * time.Millisecond // T(ack) of M3UA
+)
+
 // Dial connects as a client (ASP or IPSP client), and reconnects whenever the connection is lost.
 func (e *Endpoint) Dial(addr string) {
 	e.initialize()
@@ -48,7 +54,7 @@
 			}
 			select {
 			case <-e.stop:
-			case <-time.After(50 * time.Millisecond):
+			case <-time.After(reconnectInterval):
 			}
 		}
 	}()
@@ -70,16 +76,18 @@
 	defer e.mu.Unlock()
 	if e.stop == nil {
 		e.stop, e.active, e.createdAt = make(chan struct{}), make(chan struct{}), time.Now()
-		e.assoc = m3ua.NewAssoc(m3ua.Settings{Role: e.Role, ASPID: e.OwnPointCode, TAck: 500 * time.Millisecond})
+		e.assoc = m3ua.NewAssoc(m3ua.Settings{Role: e.Role, ASPID: e.OwnPointCode, TAck: ackTimeout})
 	}
 }
 
+// isClosed reports whether Close has been called.
 func (e *Endpoint) isClosed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.closed
 }
 
+// now returns the time on the association's clock.
 func (e *Endpoint) now() time.Duration { return time.Since(e.createdAt) }
 
 // serve handles a connection until it is lost.
@@ -96,7 +104,7 @@
 	e.mu.Unlock()
 	buf := make([]byte, 16384)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(500 * time.Millisecond)) // so that the association's timers run while nothing arrives
+		_ = conn.SetReadDeadline(time.Now().Add(timerInterval)) // so that timers are checked while nothing arrives
 		n, err := conn.Read(buf)
 		e.mu.Lock()
 		if n > 0 {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -50,10 +50,13 @@
 	endsAt time.Time    // end of the script
 }
 
+// playerStream is the stream of a player's random numbers, with the seed of the fleet.
+const playerStream = 17
+
 // Play plays a script on a fleet: it starts the callers, injects each fault at its time, stops the callers, and waits
 // until the last calls have ended. report receives a line for each fault; it may be nil.
 func (f *Fleet) Play(script plant.Script, report func(string)) {
-	p := &player{fleet: f, rng: rand.New(rand.NewPCG(f.Settings.Seed, 17)), report: report,
+	p := &player{fleet: f, rng: rand.New(rand.NewPCG(f.Settings.Seed, playerStream)), report: report,
 		endsAt: time.Now().Add(time.Duration(script.Len))}
 	type event struct {
 		at  time.Duration
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -38,6 +38,12 @@
 	Baseline func(s logic.Settings, seed int64) (router.Policy, error)
 }
 
+// Reply codes of the operators' console.
+const (
+	consoleGreeting = 200
+	consoleList     = 215 // a list of lines follows
+)
+
 // accessCircuits is the number of circuits to the callers of an exchange, and of those to its lines.
 const accessCircuits = 400
 
@@ -226,7 +232,7 @@
 		Hold      string  `json:"hold"`
 		Width     int     `json:"width"`
 	}
-	facts := struct {
+	values := struct {
 		Me        int      `json:"me"`
 		Seed      uint64   `json:"seed"`
 		Exchanges int      `json:"exchanges"`
@@ -239,13 +245,13 @@
 	}{Me: n.index, Seed: f.Settings.Seed, Exchanges: f.Settings.Exchanges, Group: f.Group, Counters: accessCircuits,
 		Lines: accessCircuits, Release: max(f.Settings.Release, minRelease).String(), Wires: make([]string, f.Settings.Exchanges)}
 	for j := n.index + 1; j < f.Settings.Exchanges; j++ {
-		facts.Wires[j] = f.links[[2]int{n.index, j}].Addr()
+		values.Wires[j] = f.links[[2]int{n.index, j}].Addr()
 	}
 	for _, c := range f.Settings.Classes {
-		facts.Classes = append(facts.Classes, class{c.Name, c.Category, c.Worth, c.LateShare, c.Aim.String(),
+		values.Classes = append(values.Classes, class{c.Name, c.Category, c.Worth, c.LateShare, c.Aim.String(),
 			c.Patience.String(), c.Deadline.String(), c.Hold.String(), c.Width})
 	}
-	encoded, err := json.Marshal(facts)
+	encoded, err := json.Marshal(values)
 	if err != nil {
 		return nil, err
 	}
@@ -362,7 +368,7 @@
 		return nil, err
 	}
 	defer c.Close()
-	if _, _, err := c.ReadCodeLine(200); err != nil {
+	if _, _, err := c.ReadCodeLine(consoleGreeting); err != nil {
 		return nil, err
 	}
 	if err := c.PrintfLine(format, args...); err != nil {
@@ -372,7 +378,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if code != 215 {
+	if code != consoleList {
 		return []string{text}, nil
 	}
 	return c.ReadDotLines()
@@ -421,8 +427,8 @@
 	}
 }
 
-// StopCallers ends the arrival of callers, waits up to the given time until no caller is active, and then reports the
-// callers in established calls as done.
+// StopCallers ends the arrival of callers and waits for the faults that are still being carried out. It then waits up to
+// the given time until no caller is active, and reports the callers in established calls as done.
 func (f *Fleet) StopCallers(within time.Duration) {
 	for _, n := range f.Nodes {
 		n.Callers.Do(n.Callers.Stop)
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -62,8 +62,10 @@
 	return r
 }
 
+// span converts seconds to the duration type of scripts.
 func span(seconds float64) config.Span { return config.Span(seconds * float64(time.Second)) }
 
+// newScript returns a script of the given length in seconds.
 func newScript(length float64, steps ...plant.Step) plant.Script {
 	return plant.Script{Len: span(length), Steps: steps}
 }
@@ -100,12 +102,12 @@
 	join("mass_cut", "silence", "give_up")
 	join("unit", "hot_number", "flap")
 	slots := make(chan struct{}, 5)
-	for name, step := range scripts {
+	for name, steps := range scripts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			r := playAndCheck(t, startFleet(t, uint64(len(name)), nil), newScript(4, step...))
+			r := playAndCheck(t, startFleet(t, uint64(len(name)), nil), newScript(4, steps...))
 			if r.Verdict.Calls < 100 || r.Classes[0].InTime == 0 {
 				t.Errorf("too few calls: %+v", r.Verdict)
 			}
@@ -118,7 +120,7 @@
 	if testing.Short() {
 		t.Skip("plays for a quarter of a minute")
 	}
-	faults := newScript(9, plant.Step{At: span(1), Kind: "jump", Len: span(1), Size: 1.5},
+	script := newScript(9, plant.Step{At: span(1), Kind: "jump", Len: span(1), Size: 1.5},
 		plant.Step{At: span(1.5), Kind: "hot_number", Len: span(2), Part: 0.3, Size: 2},
 		plant.Step{At: span(2.5), Kind: "region_loss", Len: span(1.5), Part: 0.45},
 		plant.Step{At: span(3), Kind: "late_list", Len: span(4), Size: 0.5},
@@ -136,7 +138,7 @@
 					s.Asks = 0.5 // half of the calls start with an ENUM query
 				}
 			})
-			r := playAndCheck(t, f, faults)
+			r := playAndCheck(t, f, script)
 			if seed == 2 && r.Verdict.Leases < 100 {
 				t.Errorf("%d look-ups, %d leases", r.Verdict.LookUps, r.Verdict.Leases)
 			}
--- a/model/fleet.go
+++ b/model/fleet.go
@@ -70,6 +70,14 @@
 	measured       []measure.Interval // of Routers that have ended
 }
 
+// Streams of random numbers, with the seed of the fleet. The streams of callers and lines are those of the first exchange;
+// the other exchanges follow in order.
+const (
+	fleetStream   = 1
+	callersStream = 1000
+	linesStream   = 2000
+)
+
 // startTime is the time on the fleet's clock at which a fleet starts.
 const startTime = time.Hour
 
@@ -85,7 +93,7 @@
 		return nil, fmt.Errorf("model: %d exchanges at %v calls per second: must be 2 to 4000 exchanges and a positive rate",
 			settings.Exchanges, settings.Rate)
 	}
-	f := &Fleet{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 1)),
+	f := &Fleet{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, fleetStream)),
 		matrix: newTrafficMatrix(settings.Traffic, settings.Seed, settings.Exchanges)}
 	f.now = startTime
 	f.settings.Regions = max(1, settings.Regions)
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -28,6 +28,7 @@
 			CutReturn: 500 * time.Millisecond, Overstay: 400 * time.Millisecond}}
 }
 
+// span converts seconds to the duration type of scripts.
 func span(seconds float64) config.Span { return config.Span(seconds * float64(time.Second)) }
 
 // playAndCheck plays a script and returns the verdict on the rules, the fleet, and a digest of all records.
--- a/model/node.go
+++ b/model/node.go
@@ -66,8 +66,8 @@
 	callers := n.newAccessEndpoint(uint32(firstCallersPointCode+i), n.countersLink(), "counters")
 	lines := n.newAccessEndpoint(uint32(firstLinesPointCode+i), n.linesLink(), "lines")
 	n.access = [2]*accessEndpoint{callers, lines}
-	n.callers = plant.NewCallers(callers, uint32(i), f.accessCircuits, f.settings.Seed, 1000+uint64(i))
-	n.lines = plant.NewLines(lines, f.settings.Seed, 2000+uint64(i))
+	n.callers = plant.NewCallers(callers, uint32(i), f.accessCircuits, f.settings.Seed, callersStream+uint64(i))
+	n.lines = plant.NewLines(lines, f.settings.Seed, linesStream+uint64(i))
 	n.callers.Classes, n.callers.Habits, n.callers.OnDone, n.callers.T1 = f.settings.Classes, f.settings.Habits, f.addOutcome, t1
 	n.callers.PickNumber, n.callers.RateProfile = n.pickNumber, f.rateProfile()
 	n.callers.Sources = f.settings.Sources
--- a/model/scenario.go
+++ b/model/scenario.go
@@ -110,9 +110,12 @@
 	return nil
 }
 
+// scenarioStream is the stream of the random numbers that a scenario is drawn with.
+const scenarioStream = 99
+
 // Draw draws the scenario of a seed.
 func Draw(seed uint64) Scenario {
-	rng := rand.New(rand.NewPCG(seed, 99))
+	rng := rand.New(rand.NewPCG(seed, scenarioStream))
 	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
 	duration := func(low, high float64) time.Duration {
 		return time.Duration(between(low, high) * float64(time.Second)).Round(time.Millisecond)
