--- a/internal/plant/classes.go
+++ b/internal/plant/classes.go
@@ -19,7 +19,7 @@
 	Exponential Holding = "exponential"
 	Constant    Holding = "constant"
 	Lognormal   Holding = "lognormal" // coefficient of variation 1.5, as observed on telephone calls
-	Hyper       Holding = "hyper"     // hyperexponential: nine short calls per long one, squared coefficient of variation 4
+	Hyper       Holding = "hyper"     // hyperexponential: about one call in nine is long; squared coefficient of variation 4
 )
 
 // Class describes a class of calls from the callers' point of view.
@@ -92,7 +92,7 @@
 	Stood     bool          // a call was established
 	SetUp     time.Duration // from the first try until the first answer
 	Cut       bool          // the established call was dropped, and no redial established another one
-	Refused   int           // tries refused for lack of capacity
+	Refused   int           // tries refused: no free circuit, no association, congestion, or no route from the look-up
 	Failed    int           // tries that failed for another cause
 	Abandoned int           // tries in which the caller hung up before the answer
 	Hot       bool          // the caller called the hot number
