--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -59,7 +59,7 @@
 	openCalls          int                      // calls without a final answer
 	lastCallID         uint64                   // the last ID given to a call, a probe or a heartbeat
 	endsAt             time.Duration            // when this process ends; 0: not known
-	recentDrops        liveness.Cuts            // when established calls were last dropped
+	recentDrops        liveness.DropTracker     // when established calls were last dropped
 	failedSetUps       []*activeCall            // set-ups that recently failed with the temporary-failure cause
 	unclaimed          unclaimedReleases        // releases of calls that no caller has named yet
 	announcedStarts    map[string]time.Duration // start times of offices by address, from the events being applied
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -86,7 +86,7 @@
 	s.lastConnID++
 	conn := &officeConn{id: s.lastConnID, remote: remote, openedAt: s.now}
 	remote.conns, s.officeConns[conn.id] = append(remote.conns, conn), conn
-	remote.detector.Dialled(s.now)
+	remote.detector.RecordDial(s.now)
 	s.trace("dial", "", remote.id, conn.id, "", 0)
 	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Within: s.cfg.ConnectTimeout})
 }
@@ -199,7 +199,7 @@
 	remote.dialFailures = 0
 	s.noteConnected(remote, conn)
 	if remote.unverifiedBefore > 0 {
-		s.armTimer(liveness.AskStateWithin, timer{kind: timerVerifyCalls, officeID: remote.id})
+		s.armTimer(liveness.PendingReleaseWindow, timer{kind: timerVerifyCalls, officeID: remote.id})
 	}
 	s.flushOfficeReleases(remote)
 	waiting := remote.waitingCalls
@@ -220,7 +220,7 @@
 	s.log(slog.LevelInfo, "connection to office failed", slog.String("office", remote.id), slog.Bool("refused", refused))
 	s.removeConn(conn)
 	if !refused {
-		remote.detector.Missed()
+		remote.detector.RecordDialFailure()
 	}
 	maxDelay := maxRedialDelay
 	if remote.supervised && remote.detector.State() == liveness.Suspected {
--- a/callserver/droppedcalls.go
+++ b/callserver/droppedcalls.go
@@ -21,7 +21,7 @@
 	if s.callsByWireID[call.wireID] == call {
 		call.setUpFailedAt = s.now
 		s.failedSetUps = append(slices.DeleteFunc(s.failedSetUps, func(other *activeCall) bool {
-			return s.now-other.setUpFailedAt > liveness.CutSpread
+			return s.now-other.setUpFailedAt > liveness.DropWindow
 		}), call)
 	}
 }
@@ -29,7 +29,7 @@
 // callDropped records that an established call was dropped. Set-ups that failed shortly before and wait for another attempt
 // were dropped with it.
 func (s *Server) callDropped() {
-	s.recentDrops.Cut(s.now)
+	s.recentDrops.Record(s.now)
 	candidates := s.failedSetUps
 	s.failedSetUps = nil
 	for _, call := range candidates {
--- a/callserver/supervision.go
+++ b/callserver/supervision.go
@@ -83,8 +83,8 @@
 // noteConnected records a new connection as activity. If its office was suspected or failed, the process may be a new one, unless
 // bytes have come on older connections.
 func (s *Server) noteConnected(remote *remoteOffice, conn *officeConn) {
-	hadUnconfirmed := remote.detector.Stirs()
-	previous := remote.detector.Heard(s.now)
+	hadUnconfirmed := remote.detector.HasUnconfirmedActivity()
+	previous := remote.detector.RecordActivity(s.now)
 	if previous == liveness.Alive {
 		return
 	}
@@ -99,7 +99,7 @@
 // one is opened.
 func (s *Server) noteActivity(remote *remoteOffice) {
 	previous := remote.detector.State()
-	if remote.detector.HeardBytes(s.now) {
+	if remote.detector.RecordBytes(s.now) {
 		s.log(slog.LevelInfo, "unconfirmed activity of a suspected office", slog.String("office", remote.id),
 			slog.Duration("silent", remote.detector.Silence(s.now)), slog.Int("standing", remote.establishedCalls))
 		remote.dialFailures, remote.redialAt = 0, 0
@@ -178,7 +178,7 @@
 	}
 	remote.unverifiedBefore = before
 	if remote.anyConnUp() {
-		s.armTimer(liveness.AskStateWithin, timer{kind: timerVerifyCalls, officeID: remote.id})
+		s.armTimer(liveness.PendingReleaseWindow, timer{kind: timerVerifyCalls, officeID: remote.id})
 	}
 }
 
@@ -187,7 +187,7 @@
 func (s *Server) markAdoptedUnverified(remote *remoteOffice) {
 	if remote.unverifiedBefore == 0 {
 		remote.unverifiedBefore = s.startedAt
-		s.armTimer(liveness.NamedWithin, timer{kind: timerVerifyCalls, officeID: remote.id})
+		s.armTimer(liveness.AdoptionWindow, timer{kind: timerVerifyCalls, officeID: remote.id})
 	}
 }
 
@@ -204,7 +204,7 @@
 	if i < 0 {
 		return // another connection will bring the report
 	}
-	if releasesBy := remote.conns[i].openedAt + liveness.AskStateWithin; s.now < releasesBy { // releases may still arrive on it
+	if releasesBy := remote.conns[i].openedAt + liveness.PendingReleaseWindow; s.now < releasesBy { // releases may still arrive on it
 		s.armTimer(releasesBy-s.now, timer{kind: timerVerifyCalls, officeID: id})
 		return
 	}
--- a/callserver/supervision_test.go
+++ b/callserver/supervision_test.go
@@ -223,7 +223,7 @@
 				h.officeSends(conn, &office.Message{Type: office.GroupState, Load: tt.load})
 				h.officeSends(conn, &office.Message{Type: office.GroupState, Load: "spare:9;total:30"}) // new calls have taken circuits
 			}
-			h.advance(liveness.AskStateWithin)
+			h.advance(liveness.PendingReleaseWindow)
 			requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), tt.want...)
 		})
 	}
@@ -259,7 +259,7 @@
 				}
 			}
 		}
-		h.advance(liveness.AskStateWithin)
+		h.advance(liveness.PendingReleaseWindow)
 		if byes := len(h.takeCallerMessages(caller)); byes != 3 {
 			t.Errorf("%d connections: %d of 3 calls were released to their callers", len(conns), byes)
 		}
@@ -307,7 +307,7 @@
 			h.advance(100 * time.Millisecond)
 			h.callerSends(caller, invite(8, "dest:1;width:1;at:s-1"))
 			requireMessages(t, "messages to the caller at once", h.takeCallerMessages(caller))
-			h.advance(liveness.NamedWithin)
+			h.advance(liveness.AdoptionWindow)
 			requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), want...)
 			if h.server.callsByWireID[9] == nil {
 				t.Error("the new call was dropped")
@@ -369,12 +369,12 @@
 		}, []string{"BYE", "500"}},
 		"before another dropped call": {func(h *harness, conn ConnID) {
 			h.officeSends(conn, releaseMsg(7, office.CauseTemporary, ""))
-			h.advance(liveness.CutSpread / 2)
+			h.advance(liveness.DropWindow / 2)
 			h.officeSends(conn, releaseMsg(8, office.CauseTemporary, ""))
 		}, []string{"BYE", "500"}},
 		"alone": {func(h *harness, conn ConnID) {
 			h.officeSends(conn, releaseMsg(7, office.CauseTemporary, ""))
-			h.advance(2 * liveness.CutSpread)
+			h.advance(2 * liveness.DropWindow)
 			h.officeSends(conn, releaseMsg(8, office.CauseTemporary, ""))
 		}, []string{"BYE"}},
 	} {
@@ -574,7 +574,7 @@
 	firstConn := h.dials[i].Conn
 	h.dials = slices.Delete(h.dials, i, i+1)
 	h.apply(Input{Kind: InConnected, Conn: firstConn}) // and nothing is received on it
-	h.advance(liveness.AskStateWithin - 10*time.Millisecond)
+	h.advance(liveness.PendingReleaseWindow - 10*time.Millisecond)
 	h.server.dialOffice(h.server.offices["s-1"])
 	h.collectEffects()
 	conn := h.connectWithLoad("10.0.0.1:5080", "spare:29;total:30")
--- a/liveness/detector.go
+++ b/liveness/detector.go
@@ -89,36 +89,36 @@
 // Silence is the time since the last activity of the office.
 func (d *Detector) Silence(now time.Duration) time.Duration { return now - d.silentSince() }
 
-// Heard notes present activity: a connection that came up, or the answer to a probe. It returns the state before.
-func (d *Detector) Heard(now time.Duration) (previous State) {
+// RecordActivity notes present activity: a connection that came up, or the answer to a probe. It returns the state before.
+func (d *Detector) RecordActivity(now time.Duration) (previous State) {
 	previous = d.state
 	d.state, d.hasActivity, d.lastActivity = Alive, true, now
 	d.connectionTried, d.failedConnections, d.lastRequestAt, d.unconfirmed = false, 0, 0, false
 	return previous
 }
 
-// HeardBytes notes bytes on a connection that was up before. While the office is suspected they may be stale: a network
+// RecordBytes notes bytes on a connection that was up before. While the office is suspected they may be stale: a network
 // partition delays them and lets them through when it ends, and the office may fail at that moment. The first of them are
 // therefore unconfirmed activity, on which the caller probes the office at once, and bytes that come a moment later confirm
 // that it is alive. The result is true for the first.
-func (d *Detector) HeardBytes(now time.Duration) (first bool) {
+func (d *Detector) RecordBytes(now time.Duration) (first bool) {
 	switch {
 	case d.state != Suspected:
-		d.Heard(now)
+		d.RecordActivity(now)
 	case !d.unconfirmed:
 		d.unconfirmed, d.unconfirmedSince = true, now
 		return true
 	case now-d.unconfirmedSince >= staleBytesWindow:
-		d.Heard(now)
+		d.RecordActivity(now)
 	}
 	return false
 }
 
-// Stirs reports whether there is unconfirmed activity: the office is suspected, and bytes have come since.
-func (d *Detector) Stirs() bool { return d.unconfirmed }
+// HasUnconfirmedActivity reports whether there is unconfirmed activity: the office is suspected, and bytes have come since.
+func (d *Detector) HasUnconfirmedActivity() bool { return d.unconfirmed }
 
-// Dialled notes that a connection is being opened.
-func (d *Detector) Dialled(now time.Duration) {
+// RecordDial notes that a connection is being opened.
+func (d *Detector) RecordDial(now time.Duration) {
 	if d.firstContactAt == 0 {
 		d.firstContactAt = now
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// Missed notes that a connection did not come up.
-func (d *Detector) Missed() { d.failedConnections++ }
+// RecordDialFailure notes that a connection did not come up.
+func (d *Detector) RecordDialFailure() { d.failedConnections++ }
 
 // Watch starts the detector: from now on calls are established at the office. The next check is due at once.
 func (d *Detector) Watch(now time.Duration) {
@@ -207,10 +207,10 @@
 // counted, since the report may not include them yet.
 const StateLag = time.Second
 
-// NamedWithin is how long callers may take, after a restart of this process, to name the calls that are established at one
+// AdoptionWindow is how long callers may take, after a restart of this process, to name the calls that are established at one
 // office, so that these are counted together.
-const NamedWithin = time.Second
+const AdoptionWindow = time.Second
 
-// AskStateWithin is how long pending releases of an office may take to arrive on a connection that has come up. They are
+// PendingReleaseWindow is how long pending releases of an office may take to arrive on a connection that has come up. They are
 // read before the calls are counted.
-const AskStateWithin = 200 * time.Millisecond
+const PendingReleaseWindow = 200 * time.Millisecond
--- a/liveness/detector_test.go
+++ b/liveness/detector_test.go
@@ -26,11 +26,11 @@
 func TestUnreachableOfficeFailsInTime(t *testing.T) {
 	for _, interval := range []time.Duration{50 * ms, 400 * ms, 1100 * ms} { // between activities while it is reachable
 		d := &Detector{}
-		d.Dialled(1000 * ms)
+		d.RecordDial(1000 * ms)
 		d.Watch(1000 * ms)
 		lastActivity := 1000 * ms
 		for at := 1000 * ms; at < 6000*ms; at += interval {
-			d.Heard(at)
+			d.RecordActivity(at)
 			lastActivity = at
 		}
 		var failedAt time.Duration
@@ -43,8 +43,8 @@
 			case Probe:
 				requests++
 				suspected = suspected || d.State() == Suspected
-				d.Dialled(now)
-				d.Missed()
+				d.RecordDial(now)
+				d.RecordDialFailure()
 			case Fail:
 				if failedAt > 0 {
 					t.Error("the office fails twice")
@@ -72,19 +72,19 @@
 	}
 	for phase := time.Duration(0); phase < 2*HeartbeatAfter; phase += 50 * ms {
 		d := &Detector{}
-		d.Dialled(0)
+		d.RecordDial(0)
 		d.Watch(1)
-		d.Heard(1)
+		d.RecordActivity(1)
 		begin, end := 5*time.Second+phase, 5*time.Second+phase+longest
 		runChecks(d, 1, 20*time.Second, func(now time.Duration, action Action) {
 			switch {
 			case action == Fail:
 				t.Errorf("partition at %v for %v: the office fails at %v", begin, longest, now)
 			case now < begin || now >= end:
-				d.Heard(now)
+				d.RecordActivity(now)
 			case action == Probe:
-				d.Dialled(now)
-				d.Missed()
+				d.RecordDial(now)
+				d.RecordDialFailure()
 			}
 		})
 	}
@@ -93,9 +93,9 @@
 // An office that hangs accepts connections and sends nothing: it is alive.
 func TestHangingOfficeIsAlive(t *testing.T) {
 	d := &Detector{}
-	d.Dialled(1)
+	d.RecordDial(1)
 	d.Watch(1)
-	d.Heard(1)
+	d.RecordActivity(1)
 	probes := 0
 	runChecks(d, 1, time.Minute, func(now time.Duration, action Action) {
 		switch action {
@@ -103,8 +103,8 @@
 			t.Fatalf("the office fails at %v", now)
 		case Probe:
 			probes++
-			d.Dialled(now)
-			d.Heard(now) // the connection comes up
+			d.RecordDial(now)
+			d.RecordActivity(now) // the connection comes up
 		}
 	})
 	if probes < 10 {
@@ -116,7 +116,7 @@
 func TestSilenceAloneIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
-	d.Heard(1)
+	d.RecordActivity(1)
 	runChecks(d, 1, time.Minute, func(now time.Duration, action Action) {
 		if action == Fail {
 			t.Fatalf("the office fails at %v, and no connection was tried", now)
@@ -128,14 +128,14 @@
 func TestLateConnectionIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
-	d.Heard(1)
+	d.RecordActivity(1)
 	for now := time.Duration(1); now < FailAfter+500*ms; {
 		action, next := d.Check(now)
 		if action == Fail {
 			t.Fatalf("the office fails at %v", now)
 		}
 		if now >= FailAfter-400*ms && !d.connectionTried {
-			d.Dialled(now) // for the first time, and shortly before the limit
+			d.RecordDial(now) // for the first time, and shortly before the limit
 		}
 		now = next
 	}
@@ -145,25 +145,25 @@
 func TestPauseOfTheProcessIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
-	d.Heard(1)
+	d.RecordActivity(1)
 	_, firstCheck := d.Check(1)
 	d.Check(firstCheck)
-	d.Dialled(firstCheck)
-	d.Missed()
+	d.RecordDial(firstCheck)
+	d.RecordDialFailure()
 	resumed := firstCheck + time.Minute
 	action, next := d.Check(resumed)
 	if action != Probe || next > resumed+probeInterval {
 		t.Fatalf("after a pause: %v, next check %v later", action, next-resumed)
 	}
-	d.Heard(resumed + 10*ms)
+	d.RecordActivity(resumed + 10*ms)
 	if action, _ = d.Check(next); action == Fail {
 		t.Fatal("the office fails in spite of activity")
 	}
 	if action, next = d.Check(next + time.Minute); action == Fail {
 		t.Fatal("the office fails at once after a second pause")
 	}
-	d.Dialled(next)
-	d.Missed()
+	d.RecordDial(next)
+	d.RecordDialFailure()
 	if action, _ = d.Check(next); action != Fail {
 		t.Fatalf("no activity after the pause either: %v", action)
 	}
@@ -173,21 +173,21 @@
 func TestOfficeThatWasNeverReached(t *testing.T) {
 	d := &Detector{}
 	for at := 1000 * ms; at < 6000*ms; at += 600 * ms {
-		d.Dialled(at)
-		d.Missed()
+		d.RecordDial(at)
+		d.RecordDialFailure()
 	}
 	d.Watch(6000 * ms)
 	if action, _ := d.Check(6000 * ms); action != Fail {
 		t.Errorf("unreachable for 5 s: %v", action)
 	}
 	d = &Detector{}
-	d.Dialled(1000 * ms)
+	d.RecordDial(1000 * ms)
 	d.Watch(1100 * ms)
 	var failedAt time.Duration
 	runChecks(d, 1100*ms, 20*time.Second, func(now time.Duration, action Action) {
 		if action == Probe {
-			d.Dialled(now)
-			d.Missed()
+			d.RecordDial(now)
+			d.RecordDialFailure()
 		} else if action == Fail {
 			failedAt = now
 		}
@@ -200,9 +200,9 @@
 // A watch that begins long after the last activity doesn't fail the office without a heartbeat.
 func TestLateWatchSendsHeartbeatFirst(t *testing.T) {
 	d := &Detector{}
-	d.Heard(1000 * ms)
-	d.Dialled(2000 * ms)
-	d.Missed()
+	d.RecordActivity(1000 * ms)
+	d.RecordDial(2000 * ms)
+	d.RecordDialFailure()
 	d.Watch(time.Minute)
 	if action, next := d.Check(time.Minute); action == Fail || next > time.Minute+HeartbeatAfter {
 		t.Errorf("%v, next check at %v", action, next)
@@ -215,7 +215,7 @@
 	if action, _ := d.Check(time.Hour); action != None {
 		t.Errorf("a failed office: %v", action)
 	}
-	if previous := d.Heard(time.Hour); previous != Failed || d.State() != Alive {
+	if previous := d.RecordActivity(time.Hour); previous != Failed || d.State() != Alive {
 		t.Errorf("was %v, is %v", previous, d.State())
 	}
 }
@@ -234,9 +234,9 @@
 // newSilentDetector makes a Detector of an office whose last activity was at a time.
 func newSilentDetector(lastActivity time.Duration) *Detector {
 	d := &Detector{}
-	d.Dialled(1)
+	d.RecordDial(1)
 	d.Watch(1)
-	d.Heard(lastActivity)
+	d.RecordActivity(lastActivity)
 	return d
 }
 
@@ -250,15 +250,15 @@
 	runChecks(d, lastActivity, 30*time.Second, func(now time.Duration, action Action) {
 		switch {
 		case action == Probe:
-			d.Dialled(now)
-			d.Missed()
+			d.RecordDial(now)
+			d.RecordDialFailure()
 		case action == Fail:
 			failedAt = now
 		}
 		if !delivered && now >= 5*time.Second {
 			delivered = true
 			for at := now; at < now+staleBytesWindow; at += 10 * ms {
-				if d.HeardBytes(at) {
+				if d.RecordBytes(at) {
 					firstBytes++
 				}
 			}
@@ -274,21 +274,21 @@
 // alive.
 func TestActivityAfterAPartitionIsConfirmed(t *testing.T) {
 	for name, confirm := range map[string]func(d *Detector, now time.Duration){
-		"bytes":        func(d *Detector, now time.Duration) { d.HeardBytes(now + staleBytesWindow) },
-		"a connection": func(d *Detector, now time.Duration) { d.Heard(now) },
+		"bytes":        func(d *Detector, now time.Duration) { d.RecordBytes(now + staleBytesWindow) },
+		"a connection": func(d *Detector, now time.Duration) { d.RecordActivity(now) },
 	} {
 		d := newSilentDetector(time.Second)
 		runChecks(d, time.Second, 5*time.Second, func(now time.Duration, action Action) {
 			if action == Probe {
-				d.Dialled(now)
-				d.Missed()
+				d.RecordDial(now)
+				d.RecordDialFailure()
 			}
 		})
-		if d.State() != Suspected || !d.HeardBytes(5*time.Second) || d.State() != Suspected || !d.Stirs() {
+		if d.State() != Suspected || !d.RecordBytes(5*time.Second) || d.State() != Suspected || !d.HasUnconfirmedActivity() {
 			t.Fatalf("%s: %v before the confirmation", name, d.State())
 		}
 		confirm(d, 5*time.Second)
-		if d.State() != Alive || d.Stirs() {
+		if d.State() != Alive || d.HasUnconfirmedActivity() {
 			t.Errorf("%s: %v", name, d.State())
 		}
 	}
@@ -303,19 +303,19 @@
 		runChecks(d, lastActivity, 20*time.Second, func(now time.Duration, action Action) {
 			switch action {
 			case Probe:
-				d.Dialled(now)
-				d.Missed()
+				d.RecordDial(now)
+				d.RecordDialFailure()
 			case Fail:
 				failedAt = now
 			}
 			if bytesFrom := lastActivity + FailAfter - probeInterval; now >= bytesFrom && now < lastActivity+FailAfter {
-				d.HeardBytes(lastActivity + FailAfter - 10*ms)
+				d.RecordBytes(lastActivity + FailAfter - 10*ms)
 				if alive {
-					d.Heard(lastActivity + FailAfter + staleBytesWindow)
+					d.RecordActivity(lastActivity + FailAfter + staleBytesWindow)
 				}
 			}
 			if failedAt == 0 && alive && now > lastActivity+FailAfter {
-				d.Heard(now)
+				d.RecordActivity(now)
 			}
 		})
 		if alive && failedAt != 0 {
