--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -167,7 +167,7 @@
 	call.inviteHead, call.description = sip.Head{}, nil
 	s.addEstablished(call.remote)
 	call.remote.counts.established++
-	s.controller.Stands(s.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.remote.id, Took: s.now - call.sentAt})
+	s.controller.Established(s.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.remote.id, Elapsed: s.now - call.sentAt})
 	if call.remote.state == logic.Gone { // it was reported as gone before its answer arrived
 		s.handOverCalls(call.remote)
 	}
@@ -196,10 +196,10 @@
 	call.attemptActive, call.conn, call.setUpSent, call.releaseSent = false, nil, false, false
 	remote.counts.add(outcome.Status)
 	call.lastStatus, call.lastNote = outcome.Status, outcome.Note
-	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, remote.id,
+	outcome.Call, outcome.Attempt, outcome.Office, outcome.Elapsed, outcome.Over = call.id, call.attempts-1, remote.id,
 		s.now-call.sentAt, s.callsByWireID[call.wireID] != call
 	s.log(slog.LevelDebug, "attempt ended", slog.String("call", call.callID), slog.String("office", remote.id),
-		slog.String("status", string(outcome.Status)), slog.Int("note", outcome.Note), slog.Duration("took", outcome.Took))
+		slog.String("status", string(outcome.Status)), slog.Int("note", outcome.Note), slog.Duration("took", outcome.Elapsed))
 	s.controller.Outcome(s.now, outcome)
 	s.forgetIfOver(call)
 	if noActivity {
@@ -217,7 +217,7 @@
 		s.adoptedCalls--
 		return
 	}
-	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, call.remote.id,
+	outcome.Call, outcome.Attempt, outcome.Office, outcome.Elapsed, outcome.Over = call.id, call.attempts-1, call.remote.id,
 		s.now-call.sentAt, true
 	s.controller.Outcome(s.now, outcome)
 }
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -20,7 +20,7 @@
 			offices = append(offices, listed)
 		}
 	}
-	s.controller.List(s.now, logic.ListRestored, offices)
+	s.controller.UpdateOffices(s.now, logic.ListRestored, offices)
 	s.connectToOffices()
 }
 
@@ -42,7 +42,7 @@
 		kind = logic.ListReplace
 		s.removeUnlisted(event.Hosts.Members)
 	}
-	s.controller.List(s.now, kind, s.applyMembers(&event.Hosts))
+	s.controller.UpdateOffices(s.now, kind, s.applyMembers(&event.Hosts))
 	s.connectToOffices()
 }
 
--- a/callserver/effects.go
+++ b/callserver/effects.go
@@ -40,8 +40,8 @@
 type Decision struct {
 	At     time.Duration
 	Call   uint64 // the Controller's ID
-	Act    logic.Act
-	Office string        // empty for ActRefuse and ActFail
+	Action logic.Action
+	Office string        // empty for ActionRefuse and ActionFail
 	Within time.Duration // timeout of an attempt
 }
 
--- a/callserver/host.go
+++ b/callserver/host.go
@@ -19,7 +19,7 @@
 		s.log(slog.LevelError, "cannot start attempt", slog.Uint64("call", callID), slog.String("office", officeID))
 		return
 	}
-	s.emit(Decision{At: s.now, Call: callID, Act: logic.ActSend, Office: officeID, Within: timeout})
+	s.emit(Decision{At: s.now, Call: callID, Action: logic.ActionSend, Office: officeID, Within: timeout})
 	s.logDecision("attempt", call, slog.Int("number", call.attempts), slog.String("office", officeID), slog.Duration("within", timeout))
 	call.attempts++
 	call.remote, call.sentAt, call.attemptDeadline, call.attemptActive = remote, s.now, s.now+timeout, true
@@ -57,11 +57,11 @@
 // Refuse gives the final answer of a call that may safely be tried again.
 func (h host) Refuse(callID uint64, retryAfter time.Duration) {
 	if call := h.s.calls[callID]; call != nil {
-		h.s.emit(Decision{At: h.s.now, Call: callID, Act: logic.ActRefuse})
+		h.s.emit(Decision{At: h.s.now, Call: callID, Action: logic.ActionRefuse})
 		h.s.logDecision("call refused", call, slog.Duration("come_back", retryAfter))
 		h.s.totals.Refused++
 		seconds := 0
-		if h.s.cfg.Settings.TellsWait {
+		if h.s.cfg.Settings.SendsRetryAfter {
 			seconds = int((retryAfter + time.Second - 1) / time.Second)
 		}
 		h.s.refuseCall(call, 503, seconds)
@@ -71,7 +71,7 @@
 // Fail gives the final answer that the call has failed.
 func (h host) Fail(callID uint64) {
 	if call := h.s.calls[callID]; call != nil {
-		h.s.emit(Decision{At: h.s.now, Call: callID, Act: logic.ActFail})
+		h.s.emit(Decision{At: h.s.now, Call: callID, Action: logic.ActionFail})
 		h.s.logDecision("call failed", call)
 		h.s.totals.Failed++
 		h.s.refuseCall(call, 500, 0)
@@ -85,7 +85,7 @@
 	if call == nil || !call.outstanding() || call.attempts-1 != attempt {
 		return
 	}
-	s.emit(Decision{At: s.now, Call: callID, Act: logic.ActCancel, Office: call.remote.id})
+	s.emit(Decision{At: s.now, Call: callID, Action: logic.ActionCancel, Office: call.remote.id})
 	s.releaseAttempt(call, logic.Cancelled)
 }
 
@@ -118,12 +118,12 @@
 		return
 	}
 	delete(s.probes, id)
-	report.Office, report.Took = p.officeID, s.now-p.sentAt
+	report.Office, report.Elapsed = p.officeID, s.now-p.sentAt
 	s.controller.Report(s.now, report)
 }
 
-// Tell does nothing: the platform does not let call servers exchange messages.
-func (h host) Tell(int, []byte) {}
+// SendPeer does nothing: the platform does not let call servers exchange messages.
+func (h host) SendPeer(int, []byte) {}
 
 // Timer arms a timer of the Controller.
 func (h host) Timer(delay time.Duration, mark string) {
--- a/callserver/invitation.go
+++ b/callserver/invitation.go
@@ -104,7 +104,7 @@
 		case "transit":
 			invite.offer.Transit = number == 1
 		case "again":
-			invite.offer.WasCut = number == 1
+			invite.offer.WasDropped = number == 1
 		}
 	}
 	return nil
--- a/cmd/benchlink/equivalence_test.go
+++ b/cmd/benchlink/equivalence_test.go
@@ -188,8 +188,8 @@
 				}
 			}
 		case callserver.Decision:
-			text := fmt.Sprintf("%v %s %d", effect.At, effect.Act, effect.Call)
-			if effect.Act == logic.ActSend {
+			text := fmt.Sprintf("%v %s %d", effect.At, effect.Action, effect.Call)
+			if effect.Action == logic.ActionSend {
 				text += fmt.Sprintf(" %s %v", effect.Office, effect.Within)
 			}
 			c.actions = append(c.actions, text)
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -74,7 +74,7 @@
 	case wire.InstanceStopped:
 		delete(instances, event.Instance)
 	case wire.OfficeList:
-		inst.controller.List(now, event.ListKind, event.Offices)
+		inst.controller.UpdateOffices(now, event.ListKind, event.Offices)
 	case wire.CallOffered:
 		index, ok := inst.classIndex[event.Class]
 		if !ok {
@@ -85,7 +85,7 @@
 	case wire.AttemptOutcome:
 		inst.controller.Outcome(now, event.Outcome)
 	case wire.CallEstablished:
-		inst.controller.Stands(now, event.Outcome)
+		inst.controller.Established(now, event.Outcome)
 	case wire.CallHungUp:
 		inst.controller.HungUp(now, event.Call.ID)
 	case wire.TimerExpired:
@@ -121,8 +121,8 @@
 	inst.encoder.Action("test", inst.number, wire.Text("office", office))
 }
 
-// Tell sends data to another call server.
-func (inst *instance) Tell(peer int, data []byte) {
+// SendPeer sends data to another call server.
+func (inst *instance) SendPeer(peer int, data []byte) {
 	inst.encoder.Action("tell", inst.number, wire.Int("dest", int64(peer)), wire.Hex("data", data))
 }
 
@@ -131,7 +131,7 @@
 	inst.encoder.Action("schedule", inst.number, wire.Int("wait_ns", int64(wait)), wire.Text("mark", mark))
 }
 
-// Watch turns updates of the list of offices on or off.
+// Watch turns updates of service discovery on or off.
 func (inst *instance) Watch(on bool) {
 	value := int64(0)
 	if on {
--- a/config/config.go
+++ b/config/config.go
@@ -373,7 +373,7 @@
 		cfg.Router.Classes = append(cfg.Router.Classes, router.Class{Category: class.Category,
 			Patience: time.Duration(class.Patience), Class: logic.Class{Name: class.Name, Worth: class.Worth,
 				LateShare: class.LateShare, Aim: time.Duration(class.Aim), Deadline: time.Duration(class.Deadline),
-				Hold: time.Duration(class.Hold), Width: class.Width, Safe: !class.Unsafe}})
+				Hold: time.Duration(class.Hold), Width: class.Width, SafeToRepeat: !class.Unsafe}})
 	}
 	return indexes
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -117,8 +117,8 @@
 	return p
 }
 
-// List updates the offices by service discovery.
-func (p *policy) List(_ time.Duration, _ logic.ListKind, offices []logic.Office) {
+// UpdateOffices updates the offices by service discovery.
+func (p *policy) UpdateOffices(_ time.Duration, _ logic.ListKind, offices []logic.Office) {
 	for _, announced := range offices {
 		known := p.offices[announced.Exchange]
 		if known == nil {
@@ -225,8 +225,8 @@
 	return chosen
 }
 
-// Stands records that a call is established.
-func (p *policy) Stands(_ time.Duration, outcome logic.Outcome) {
+// Established records that a call is established.
+func (p *policy) Established(_ time.Duration, outcome logic.Outcome) {
 	if c := p.calls[outcome.Call]; c != nil && !c.established {
 		c.established = true
 		p.outstanding--
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -178,9 +178,9 @@
 
 // Flags of an incoming message.
 const (
-	flagAgain   = 2
-	flagTransit = 8
-	flagWasCut  = 16
+	flagRedial     = 2
+	flagTransit    = 8
+	flagWasDropped = 16
 )
 
 // parseEvent converts a line to an event.
@@ -210,8 +210,9 @@
 		flags := msg.integer("flags", false)
 		event.Kind, event.Class = CallOffered, msg.text("qos", true)
 		event.Call = logic.Call{ID: msg.callID(), Dest: int(msg.integerOr("dest", -1)), Width: int(msg.integerOr("circuits", 0)),
-			Via: int(msg.integerOr("hop", -1)), Transit: flags&flagTransit != 0, Again: flags&flagAgain != 0, WasCut: flags&flagWasCut != 0,
-			Number: msg.text("partition_key", false), TimeLeft: msg.duration("time_left_ns", true)}
+			Via: int(msg.integerOr("hop", -1)), Transit: flags&flagTransit != 0, Redial: flags&flagRedial != 0,
+			WasDropped: flags&flagWasDropped != 0,
+			Number:     msg.text("partition_key", false), TimeLeft: msg.duration("time_left_ns", true)}
 	case "reply":
 		code := msg.text("state_code", true)
 		if len(code) != 1 || !strings.Contains("SEFTCRXN", code) {
@@ -220,12 +221,12 @@
 		}
 		event.Kind = AttemptOutcome
 		event.Outcome = logic.Outcome{Call: msg.callID(), Attempt: int(msg.integer("seq_no", true)), Office: msg.text("office", true),
-			Status: logic.Status(code[0]), Took: msg.duration("took_ns", false), Over: msg.integer("finished", false) == 1,
+			Status: logic.Status(code[0]), Elapsed: msg.duration("took_ns", false), Over: msg.integer("finished", false) == 1,
 			Note: int(msg.integer("note", false)), Load: msg.floats("usage")}
 	case "accepted":
 		event.Kind = CallEstablished
 		event.Outcome = logic.Outcome{Call: msg.callID(), Attempt: int(msg.integer("seq_no", true)), Office: msg.text("office", true),
-			Took: msg.duration("took_ns", false)}
+			Elapsed: msg.duration("took_ns", false)}
 	case "hangup":
 		event.Kind, event.Call.ID = CallHungUp, msg.callID()
 	case "deadline_hit":
@@ -235,7 +236,7 @@
 	case "pong":
 		event.Kind = OfficeReport
 		event.Report = logic.Report{Office: msg.text("office", true), OK: msg.text("state_code", true) == "S",
-			Took: msg.duration("took_ns", false), Load: msg.floats("usage")}
+			Elapsed: msg.duration("took_ns", false), Load: msg.floats("usage")}
 	default:
 		return event, fmt.Errorf("unknown message %q", msg.name)
 	}
@@ -384,7 +385,7 @@
 		Me: int(m.integer("my_number", false)), Instances: int(m.integer("instances", false)),
 		Home: int(m.integerOr("family_info.home_no", -1)), Pools: m.text("family_info.layout", false) == "groups",
 		MaxAttempts: int(m.integer("limits.max_attempts", false)), CanCancel: m.boolean("limits.cancel"),
-		CanProbe: m.boolean("limits.probes"), CanTell: m.boolean("limits.peers"), TellsWait: m.boolean("limits.retry_after"),
+		CanProbe: m.boolean("limits.probes"), CanSendPeer: m.boolean("limits.peers"), SendsRetryAfter: m.boolean("limits.retry_after"),
 		MaxWait: m.duration("limits.max_retry_after_ns", false), ListOnRequest: m.text("discovery", false) == "on_request",
 		AskWithin: m.duration("rules.ask_within_ns", false), Advice: m.boolean("family_info.route_advice"),
 		ReportFields: m.textList("reporting.fields"), Tick: m.duration("tick_ns", false),
@@ -397,7 +398,7 @@
 		prefix := "classes." + strconv.FormatInt(index, 10) + "."
 		class := logic.Class{Name: m.text(prefix+"name", true), Worth: m.float(prefix + "worth"), LateShare: m.float(prefix + "late_share"),
 			Aim: m.duration(prefix+"target_ns", false), Deadline: m.duration(prefix+"deadline_ns", false), Width: 1,
-			Safe: m.text(prefix+"effect", false) == "safe"}
+			SafeToRepeat: m.text(prefix+"effect", false) == "safe"}
 		if int(index) < len(holds) {
 			class.Hold = time.Duration(holds[index])
 		}
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// Stands is called when an attempt was answered, so that its call is established.
-func (c *Controller) Stands(now time.Duration, outcome Outcome) {
+// Established is called when an attempt was answered, so that its call is established.
+func (c *Controller) Established(now time.Duration, outcome Outcome) {
 	c.advanceClock(now)
 	call := c.callOfOutcome(outcome)
 	if call == nil || call.established {
@@ -66,7 +66,7 @@
 		number.busyBackoff, number.firstTryAt = 0, 0
 	}
 	if !call.twoLeg || call.Transit || c.settings.Pools {
-		c.recordSetUpDelay(call.target, outcome.Took, true)
+		c.recordSetUpDelay(call.target, outcome.Elapsed, true)
 		c.cancelOvertaken(call)
 	}
 	if call.twoLeg && !call.Transit {
@@ -132,7 +132,7 @@
 func (c *Controller) giveFinalAnswer(call *callRecord) {
 	call.answered = true
 	c.removeOrCancel(call)
-	if call.mayHaveRun && !c.settings.Classes[call.Class].Safe || call.attemptOpen {
+	if call.mayHaveRun && !c.settings.Classes[call.Class].SafeToRepeat || call.attemptOpen {
 		c.host.Fail(call.ID)
 		return
 	}
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -17,24 +17,24 @@
 func (printer) Fail(call uint64)                       { fmt.Println("fail call", call) }
 func (printer) Cancel(uint64, int)                     {}
 func (printer) Probe(string)                           {}
-func (printer) Tell(int, []byte)                       {}
+func (printer) SendPeer(int, []byte)                   {}
 func (printer) Timer(time.Duration, string)            {}
 func (printer) Watch(bool)                             {}
 func (printer) Log(string)                             {}
 
 func Example() {
 	c, err := logic.New(logic.Settings{
-		Host: printer{}, Instances: 2, Home: 0, MaxAttempts: 3, TellsWait: true, Tick: 5 * time.Millisecond,
+		Host: printer{}, Instances: 2, Home: 0, MaxAttempts: 3, SendsRetryAfter: true, Tick: 5 * time.Millisecond,
 		ReportFields: []string{"spare", "total"},
 		Classes: []logic.Class{{Name: "voice", Worth: 1, Aim: time.Second, Deadline: 9 * time.Second,
-			Hold: 10 * time.Second, Width: 1, Safe: true}},
+			Hold: 10 * time.Second, Width: 1, SafeToRepeat: true}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := time.Second
-	c.List(now, logic.ListRestored, []logic.Office{{ID: "here", Exchange: 0}, {ID: "there", Exchange: 1}})
+	c.UpdateOffices(now, logic.ListRestored, []logic.Office{{ID: "here", Exchange: 0}, {ID: "there", Exchange: 1}})
 	c.Report(now, logic.Report{Office: "there", OK: true, Load: []float64{1, 10}})
 	c.Offered(now, logic.Call{ID: 1, Dest: 1, Via: -1, Number: "5551", TimeLeft: 3 * time.Second})
 	c.Offered(now, logic.Call{ID: 2, Dest: 1, Via: -1, Number: "5552", TimeLeft: 3 * time.Second})
--- a/logic/interface.go
+++ b/logic/interface.go
@@ -4,62 +4,62 @@
 
 // Settings configures a Controller.
 type Settings struct {
-	Host          Host          // carries out the actions
-	Me            int           // index of this call server among Instances
-	Instances     int           // number of call servers that share the exchanges
-	Home          int           // number of the own exchange; -1 with pools
-	Pools         bool          // the exchanges are pools of agents: no transit, pools of second choice in place of tandems
-	Classes       []Class       // classes of calls; Call.Class is an index into them
-	MaxAttempts   int           // most attempts for one call; 0: no limit
-	CanCancel     bool          // Host.Cancel may be called
-	CanProbe      bool          // Host.Probe may be called
-	CanTell       bool          // Host.Tell may be called
-	TellsWait     bool          // callers are given the retry-after of Host.Refuse
-	MaxWait       time.Duration // longest retry-after
-	ListOnRequest bool          // service discovery lists offices only on request
-	AskWithin     time.Duration // longest time without such a request
-	Advice        bool          // calls carry the advice of a routing centre
-	ReportFields  []string      // names of the values in Report.Load
-	Tick          time.Duration // shortest time between two batches of events
-	Release       time.Duration // rule 5: release time after a time-out, reset or cancel
-	DrainGrace    time.Duration // rule 3: grace time for offices that drain or are gone
-	TipAfter      time.Duration // rule 4: a cold office fails when it is overloaded for this long
-	Overload      float64       // rule 4: overload begins at this multiple of the present capacity
-	ColdFrom      float64       // rule 4: least share of its capacity that an office starts with
-	ColdFor       time.Duration // rule 4: an office has its full capacity after this time
+	Host            Host          // carries out the actions
+	Me              int           // index of this call server among Instances
+	Instances       int           // number of call servers that share the exchanges
+	Home            int           // number of the own exchange; -1 with pools
+	Pools           bool          // the exchanges are pools of agents: no transit, pools of second choice in place of tandems
+	Classes         []Class       // classes of calls; Call.Class is an index into them
+	MaxAttempts     int           // most attempts for one call; 0: no limit
+	CanCancel       bool          // Host.Cancel may be called
+	CanProbe        bool          // Host.Probe may be called
+	CanSendPeer     bool          // Host.SendPeer may be called
+	SendsRetryAfter bool          // callers are given the retry-after of Host.Refuse
+	MaxWait         time.Duration // longest retry-after
+	ListOnRequest   bool          // service discovery sends snapshots only on request
+	AskWithin       time.Duration // longest time without such a request
+	Advice          bool          // calls carry the advice of a routing centre
+	ReportFields    []string      // names of the values in Report.Load
+	Tick            time.Duration // shortest time between two batches of events
+	Release         time.Duration // rule 5: release time after a time-out, reset or cancel
+	DrainGrace      time.Duration // rule 3: grace time for offices that drain or are gone
+	TipAfter        time.Duration // rule 4: a cold office fails when it is overloaded for this long
+	Overload        float64       // rule 4: overload begins at this multiple of the present capacity
+	ColdFrom        float64       // rule 4: least share of its capacity that an office starts with
+	ColdFor         time.Duration // rule 4: an office has its full capacity after this time
 }
 
 // Class is a class of calls.
 type Class struct {
-	Name      string
-	Worth     float64       // what a call earns that is established within Aim
-	LateShare float64       // share of Worth that a later call earns
-	Aim       time.Duration // wanted set-up time
-	Deadline  time.Duration // how long a caller keeps trying
-	Hold      time.Duration // mean hold time
-	Width     int           // circuits on each trunk group
-	Safe      bool          // another attempt does no harm after one that may have taken effect
-	Pools     []int         // with Settings.Pools: the pools that serve the class; empty: all
+	Name         string
+	Worth        float64       // what a call earns that is established within Aim
+	LateShare    float64       // share of Worth that a later call earns
+	Aim          time.Duration // wanted set-up time
+	Deadline     time.Duration // how long a caller keeps trying
+	Hold         time.Duration // mean hold time
+	Width        int           // circuits on each trunk group
+	SafeToRepeat bool          // another attempt does no harm after one that may have taken effect
+	Pools        []int         // with Settings.Pools: the pools that serve the class; empty: all
 }
 
 // Call is a call offered to this call server.
 type Call struct {
-	ID       uint64
-	Class    int           // index into Settings.Classes; a call of any other is refused
-	Dest     int           // number of the destination exchange, or of the pool of first choice
-	Width    int           // circuits that it takes; 0: those of its class
-	Via      int           // advised tandem or pool, -1: none; in transit: the exchange that it comes from
-	Transit  bool          // this call server is the tandem of a two-leg call
-	Again    bool          // a redial, where callers say so
-	WasCut   bool          // the caller redials after a dropped call
-	Number   string        // called number
-	TimeLeft time.Duration // time until the caller gives up this try
+	ID         uint64
+	Class      int           // index into Settings.Classes; a call of any other is refused
+	Dest       int           // number of the destination exchange, or of the pool of first choice
+	Width      int           // circuits that it takes; 0: those of its class
+	Via        int           // advised tandem or pool, -1: none; in transit: the exchange that it comes from
+	Transit    bool          // this call server is the tandem of a two-leg call
+	Redial     bool          // a redial, where callers say so
+	WasDropped bool          // the caller redials after a dropped call
+	Number     string        // called number
+	TimeLeft   time.Duration // time until the caller gives up this try
 }
 
 // Status is how an attempt ended.
 type Status byte
 
-// The ends of an attempt.
+// Statuses of an attempt.
 const (
 	Ended     Status = 'S' // the established call has ended
 	Faulted   Status = 'E' // the number is busy, or there was a signalling fault
@@ -86,24 +86,24 @@
 	Attempt int           // number of the attempt, from 0
 	Office  string        // ID of the office that the attempt went to
 	Status  Status        // how the attempt ended
-	Took    time.Duration // time from sending until the answer or failure
-	Over    bool          // the call is over; no final answer is owed
+	Elapsed time.Duration // time from sending until the answer or failure
+	Over    bool          // the call is over; no final answer is due
 	Note    int           // details of a failure; 0: none
 	Load    []float64     // report values, as named by Settings.ReportFields
 }
 
 // Report is the state of the trunk group toward an office and, where it is known, of the processor there.
 type Report struct {
-	Office string        // ID of the office
-	OK     bool          // the values are valid
-	Took   time.Duration // time from the probe until the report; 0: it was not asked for
-	Load   []float64     // values, as named by Settings.ReportFields
+	Office  string        // ID of the office
+	OK      bool          // the values are valid
+	Elapsed time.Duration // time from the probe until the report; 0: the report was not requested
+	Load    []float64     // values, as named by Settings.ReportFields
 }
 
-// ListKind is how a list of offices changes what is known of them.
+// ListKind is how entries of service discovery change the set of known offices.
 type ListKind int
 
-// The kinds of list.
+// Kinds of service discovery messages.
 const (
 	ListUpdate      ListKind = iota // names the offices that changed
 	ListReplace                     // names all offices
@@ -118,7 +118,7 @@
 const (
 	Ready    OfficeState = iota // takes calls
 	Draining                    // takes no new calls
-	Gone                        // has ended or is not listed
+	Gone                        // has ended or is not in the snapshot
 )
 
 // Office is an entry of service discovery: a process that serves an exchange.
@@ -141,26 +141,26 @@
 	Cancel(call uint64, attempt int)
 	// Probe asks an office for a report.
 	Probe(office string)
-	// Tell sends a message to another call server.
-	Tell(peer int, data []byte)
+	// SendPeer sends a message to another call server.
+	SendPeer(peer int, data []byte)
 	// Timer asks for a call of Controller.Timer with mark after wait.
 	Timer(wait time.Duration, mark string)
-	// Watch asks for the list of offices and its changes, where Settings.ListOnRequest is set; off ends that.
+	// Watch requests a snapshot of the offices and its updates, where Settings.ListOnRequest is set; off ends that.
 	Watch(on bool)
 	// Log writes a line of text to the log.
 	Log(text string)
 }
 
-// Act is the kind of an action that a Host carries out on a call. Implementations of Host report what was decided with it.
-type Act byte
+// Action is the kind of an action that a Host carries out on a call. Implementations of Host report what was decided with it.
+type Action byte
 
 // The actions.
 const (
-	ActSend Act = iota
-	ActRefuse
-	ActFail
-	ActCancel
+	ActionSend Action = iota
+	ActionRefuse
+	ActionFail
+	ActionCancel
 )
 
 // String returns the name of the action.
-func (a Act) String() string { return [...]string{"send", "refuse", "fail", "cancel"}[a] }
+func (a Action) String() string { return [...]string{"send", "refuse", "fail", "cancel"}[a] }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -60,7 +60,7 @@
 		for number := 0; number < 6; number++ {
 			id := fmt.Sprint("o", number)
 			checker.offices[id] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: -1}
-			c.List(checker.now, ListUpdate, []Office{{ID: id, Exchange: number}})
+			c.UpdateOffices(checker.now, ListUpdate, []Office{{ID: id, Exchange: number}})
 		}
 		c.Report(checker.now, Report{Office: "o1", OK: true, Load: []float64{0, 0, -1}})
 		c.Report(checker.now, Report{Office: "o2", OK: true, Load: []float64{5, 9, -1}}) // the others stay unknown
@@ -130,8 +130,8 @@
 func (f *fixture) establish(id uint64) {
 	call := f.host.calls[id]
 	call.established = true
-	f.controller.Stands(f.host.now, Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office,
-		Took: 50 * time.Millisecond})
+	f.controller.Established(f.host.now, Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office,
+		Elapsed: 50 * time.Millisecond})
 }
 
 // endAttempt ends the open attempt of a call.
@@ -139,7 +139,7 @@
 	call := f.host.calls[id]
 	call.attemptOpen = false
 	f.controller.Outcome(f.host.now, Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office, Status: status, Note: note,
-		Took: f.host.now})
+		Elapsed: f.host.now})
 }
 
 func TestReserveIsClosedToOthers(t *testing.T) {
@@ -230,7 +230,7 @@
 }
 
 func TestUnsafeCallIsNotRefusedOnceItMayHaveRun(t *testing.T) {
-	f := newManualFixture(t, func(settings *Settings) { settings.Classes[0].Safe = false })
+	f := newManualFixture(t, func(settings *Settings) { settings.Classes[0].SafeToRepeat = false })
 	f.offerAndAwait(0, 1, "a")
 	f.endAttempt(1, Faulted, 0)
 	if last := f.host.actions[len(f.host.actions)-1]; last != "fail 1" {
@@ -637,7 +637,7 @@
 	if f.controller.detectUnresponsive(f.controller.exchangeByNumber(1, false)) {
 		t.Error("an exchange is unresponsive before its answers are read")
 	}
-	f.controller.Stands(f.host.now, Outcome{Call: 1, Office: "o1", Took: 2 * time.Second})
+	f.controller.Established(f.host.now, Outcome{Call: 1, Office: "o1", Elapsed: 2 * time.Second})
 	if delay := f.controller.expectedDelay(f.controller.exchangeByNumber(1, false)); delay > 100*time.Millisecond {
 		t.Errorf("delay %v from an answer that waited for this process", delay)
 	}
@@ -673,7 +673,7 @@
 		call := f.host.calls[id]
 		call.attemptOpen = false
 		f.controller.Outcome(f.host.now, Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office,
-			Status: TimedOut, Took: 4 * time.Second})
+			Status: TimedOut, Elapsed: 4 * time.Second})
 	}
 	if got := f.offerAndAwait(0, 5, "other"); got != "send 5" {
 		t.Errorf("call to a live exchange: %q, own delay %v", got, f.controller.ownDelay())
@@ -800,8 +800,8 @@
 	known := len(f.controller.offices)
 	for i := range 50 {
 		f.host.now += 6 * time.Second
-		f.controller.List(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1}})
-		f.controller.List(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1, State: Gone}})
+		f.controller.UpdateOffices(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1}})
+		f.controller.UpdateOffices(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("new", i), Exchange: 1, State: Gone}})
 		f.controller.Timer(f.host.now, "p")
 	}
 	if offices, atExchange := len(f.controller.offices),
@@ -877,7 +877,7 @@
 func TestOwnExchangeIsReachedOverATandem(t *testing.T) {
 	f := newManualFixture(t, nil)
 	for number := 3; number < 6; number++ { // two tandems are left, which are drawn at random
-		f.controller.List(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("o", number), Exchange: number, State: Gone}})
+		f.controller.UpdateOffices(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("o", number), Exchange: number, State: Gone}})
 	}
 	overTandem := 0
 	for i := range 20 {
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -12,16 +12,17 @@
 	coldSince time.Duration
 }
 
-// List applies a snapshot or update of service discovery. An office that drains or is missing gets no new calls from now on
-// (rule 3). If the list is unavailable it is requested again after one to two seconds.
-func (c *Controller) List(now time.Duration, kind ListKind, list []Office) {
+// UpdateOffices applies a snapshot or update of service discovery. An office that drains or is missing gets no new calls from
+// now on (rule 3). While service discovery is unavailable, its snapshot is requested again after one to two
+// seconds.
+func (c *Controller) UpdateOffices(now time.Duration, kind ListKind, offices []Office) {
 	c.advanceClock(now)
 	if kind == ListUnavailable {
 		c.host.Timer(time.Second+time.Duration(c.rng.Int63n(int64(time.Second))), "w")
 		return
 	}
 	named := map[string]bool{}
-	for _, entry := range list {
+	for _, entry := range offices {
 		named[entry.ID] = true
 		c.selectOffice(c.updateOffice(entry))
 	}
@@ -36,8 +37,8 @@
 	c.hasSnapshot = true
 }
 
-// updateOffice applies an entry of the list and returns its exchange. An office may move to another exchange. A slow start
-// is due for an office that is new, has started again or is ready again after it was gone.
+// updateOffice applies an entry of service discovery and returns its exchange. An office may move to another exchange. A slow
+// start is due for an office that is new, has started again or is ready again after it was gone.
 func (c *Controller) updateOffice(entry Office) *exchangeRecord {
 	known, exchange := c.offices[entry.ID], c.exchangeByNumber(entry.Exchange, true)
 	fresh := known == nil || known.Started != entry.Started || known.State == Gone && entry.State == Ready
--- a/logic/observations.go
+++ b/logic/observations.go
@@ -204,7 +204,7 @@
 	case outcome.Status == TimedOut:
 		if !overTandem {
 			// The time-out of an unresponsive exchange says nothing about the own processor.
-			c.recordSetUpDelay(exchange, outcome.Took, !exchange.unresponsive)
+			c.recordSetUpDelay(exchange, outcome.Elapsed, !exchange.unresponsive)
 		}
 	case outcome.Status == NoConnect: // down or unreachable, whatever service discovery says
 		c.markUnresponsive(exchange, c.now)
--- a/logic/partition.go
+++ b/logic/partition.go
@@ -168,10 +168,10 @@
 // its first try.
 func (c *Controller) recordOffered(call *callRecord) {
 	number, bucketClass := c.calledNumbers[call.Number], len(c.settings.Classes)
-	if number != nil && number.firstTryAt > 0 && number.class == call.Class && !call.Transit && !call.WasCut &&
+	if number != nil && number.firstTryAt > 0 && number.class == call.Class && !call.Transit && !call.WasDropped &&
 		c.now-number.firstTryAt < c.settings.Classes[call.Class].Deadline {
 		call.firstTryAt = number.firstTryAt
-	} else if !call.Again && !call.Transit {
+	} else if !call.Redial && !call.Transit {
 		bucketClass = call.Class
 		if call.dest.total > 0 {
 			c.offeredCalls[c.currentBucket()][bucketClass]++
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -84,7 +84,7 @@
 	// A busy number: one call at a time finds out whether a line is free; others would load the processors for nothing.
 	case !call.Transit && number != nil && c.now < number.busyUntil:
 	case c.settings.MaxAttempts > 0 && call.attempts >= c.settings.MaxAttempts ||
-		call.mayHaveRun && !c.settings.Classes[call.Class].Safe:
+		call.mayHaveRun && !c.settings.Classes[call.Class].SafeToRepeat:
 	// A call to the own exchange is offered here while the call server of that is away. It can't be sent there directly,
 	// but over a tandem; otherwise all such calls would be refused. The price is two circuits for each, where circuits are
 	// short.
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -128,12 +128,12 @@
 	h.lastRetryAfter = wait
 	h.recordAnswer(id, "refuse")
 }
-func (h *ruleChecker) Fail(id uint64)                { h.recordAnswer(id, "fail") }
-func (h *ruleChecker) Cancel(id uint64, attempt int) { h.recordAction("cancel %d %d", id, attempt) }
-func (h *ruleChecker) Probe(office string)           { h.recordAction("probe %s", office) }
-func (h *ruleChecker) Tell(peer int, data []byte)    { h.recordAction("tell %d", peer) }
-func (h *ruleChecker) Watch(on bool)                 { h.recordAction("watch %v", on) }
-func (h *ruleChecker) Log(text string)               { h.recordAction("log %s", text) }
+func (h *ruleChecker) Fail(id uint64)                 { h.recordAnswer(id, "fail") }
+func (h *ruleChecker) Cancel(id uint64, attempt int)  { h.recordAction("cancel %d %d", id, attempt) }
+func (h *ruleChecker) Probe(office string)            { h.recordAction("probe %s", office) }
+func (h *ruleChecker) SendPeer(peer int, data []byte) { h.recordAction("tell %d", peer) }
+func (h *ruleChecker) Watch(on bool)                  { h.recordAction("watch %v", on) }
+func (h *ruleChecker) Log(text string)                { h.recordAction("log %s", text) }
 func (h *ruleChecker) Timer(wait time.Duration, mark string) {
 	h.timers = append(h.timers, timerRequest{h.now + max(wait, h.settings.Tick), mark})
 }
@@ -153,14 +153,14 @@
 func testCapacity(exchanges int) float64 { return float64(exchanges-1) * 30 / 10.0 * 4 / 3 }
 
 func testSettings() Settings {
-	return Settings{Me: 0, Instances: 6, Home: 0, MaxAttempts: 3, CanCancel: true, TellsWait: true, Tick: 5 * time.Millisecond,
+	return Settings{Me: 0, Instances: 6, Home: 0, MaxAttempts: 3, CanCancel: true, SendsRetryAfter: true, Tick: 5 * time.Millisecond,
 		ReportFields: []string{"spare", "total", "cut_by"}, Release: 200 * time.Millisecond, DrainGrace: time.Second,
 		TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 15 * time.Second,
 		Classes: []Class{
 			{Name: "a", Worth: 1, LateShare: 0.25, Aim: time.Second, Deadline: 9 * time.Second,
-				Hold: 10 * time.Second, Width: 1, Safe: true},
+				Hold: 10 * time.Second, Width: 1, SafeToRepeat: true},
 			{Name: "b", Worth: 3, LateShare: 0.25, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second,
-				Hold: 10 * time.Second, Width: 1, Safe: true},
+				Hold: 10 * time.Second, Width: 1, SafeToRepeat: true},
 		}}
 }
 
@@ -195,7 +195,7 @@
 		list = append(list, Office{ID: id, Exchange: number})
 		f.host.offices[id] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: -1}
 	}
-	c.List(f.host.now, ListRestored, list)
+	c.UpdateOffices(f.host.now, ListRestored, list)
 	for number := 1; number < settings.Instances; number++ {
 		f.report(fmt.Sprintf("o%d", number), 30)
 	}
@@ -254,10 +254,10 @@
 	checker := f.host
 	id := checker.openAttempts[index]
 	call := checker.calls[id]
-	outcome := Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office, Took: 50 * time.Millisecond}
+	outcome := Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office, Elapsed: 50 * time.Millisecond}
 	if !call.established && !call.answered && f.rng.Intn(2) == 0 {
 		call.established = true
-		f.controller.Stands(checker.now, outcome)
+		f.controller.Established(checker.now, outcome)
 		return
 	}
 	checker.openAttempts = append(checker.openAttempts[:index], checker.openAttempts[index+1:]...)
@@ -291,7 +291,7 @@
 			f.lastGeneration++
 			freshID := fmt.Sprintf("o%d-%d", number, f.lastGeneration)
 			f.host.offices[freshID] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: f.host.now}
-			f.controller.List(f.host.now, ListUpdate, []Office{{ID: id, Exchange: number, State: state},
+			f.controller.UpdateOffices(f.host.now, ListUpdate, []Office{{ID: id, Exchange: number, State: state},
 				{ID: freshID, Exchange: number, Started: f.host.now}})
 			return
 		}
@@ -301,7 +301,7 @@
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		settings := testSettings()
-		settings.TellsWait = seed%2 == 0
+		settings.SendsRetryAfter = seed%2 == 0
 		f := newFixture(t, settings, seed)
 		for i := 0; i < 12000; i++ {
 			f.step()
@@ -321,7 +321,7 @@
 func TestRulesInALargeFleet(t *testing.T) {
 	for seed := int64(1); seed <= 4; seed++ {
 		settings := testSettings()
-		settings.Instances, settings.TellsWait = 80, seed%2 == 0
+		settings.Instances, settings.SendsRetryAfter = 80, seed%2 == 0
 		f := newFixture(t, settings, seed)
 		for i := 0; i < 9000; i++ {
 			f.step()
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -34,7 +34,7 @@
 	for number := 0; number < exchanges; number++ {
 		list = append(list, Office{ID: fmt.Sprint("o", number), Exchange: number})
 	}
-	c.List(time.Second, ListRestored, list)
+	c.UpdateOffices(time.Second, ListRestored, list)
 	for number := 1; number < exchanges; number++ {
 		c.Report(time.Second, Report{Office: list[number].ID, OK: true, Load: []float64{float64(number % 3), 3, -1}})
 	}
@@ -54,7 +54,7 @@
 				c.Offered(now, Call{ID: id, Dest: 1 + rng.Intn(n-1), Via: -1, TimeLeft: 3 * time.Second, Number: fmt.Sprint(i % 5000)})
 				for _, out := range host.sent {
 					if call := c.calls[out]; call != nil {
-						c.Stands(now, Outcome{Call: out, Attempt: call.attempts - 1, Office: call.officeID, Took: 40 * time.Millisecond})
+						c.Established(now, Outcome{Call: out, Attempt: call.attempts - 1, Office: call.officeID, Elapsed: 40 * time.Millisecond})
 						c.Outcome(now, Outcome{Call: out, Attempt: call.attempts - 1, Office: call.officeID, Status: Ended, Over: true,
 							Load: []float64{float64(call.target.number % 3), 3, -1}})
 					}
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -20,9 +20,9 @@
 	office string // empty: calls are refused
 }
 
-func (p *fakePolicy) List(time.Duration, logic.ListKind, []logic.Office) {}
-func (p *fakePolicy) Report(time.Duration, logic.Report)                 {}
-func (p *fakePolicy) Stands(time.Duration, logic.Outcome)                {}
+func (p *fakePolicy) UpdateOffices(time.Duration, logic.ListKind, []logic.Office) {}
+func (p *fakePolicy) Report(time.Duration, logic.Report)                          {}
+func (p *fakePolicy) Established(time.Duration, logic.Outcome)                    {}
 func (p *fakePolicy) Outcome(_ time.Duration, outcome logic.Outcome) {
 	if !outcome.Over && outcome.Status == logic.Full {
 		p.Refuse(outcome.Call, 0)
@@ -46,7 +46,7 @@
 func (noopHost) Fail(uint64)                        {}
 func (noopHost) Cancel(uint64, int)                 {}
 func (noopHost) Probe(string)                       {}
-func (noopHost) Tell(int, []byte)                   {}
+func (noopHost) SendPeer(int, []byte)               {}
 func (noopHost) Timer(time.Duration, string)        {}
 func (noopHost) Watch(bool)                         {}
 func (noopHost) Log(string)                         {}
@@ -62,7 +62,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	m.List(time.Hour, logic.ListRestored, []logic.Office{{ID: "a", Exchange: 1}, {ID: "b", Exchange: 2}, {ID: "c", Exchange: 3}})
+	m.UpdateOffices(time.Hour, logic.ListRestored, []logic.Office{{ID: "a", Exchange: 1}, {ID: "b", Exchange: 2}, {ID: "c", Exchange: 3}})
 	m.Report(time.Hour, logic.Report{Office: "b", OK: true, Load: []float64{30, 30}})
 	return m, policy
 }
@@ -76,10 +76,10 @@
 	at := func(offset time.Duration) time.Duration { return time.Hour + offset }
 	policy.office = "b"
 	m.Offered(at(10*seconds), logic.Call{ID: 1, Class: 1, Dest: 2, Number: "55021"})
-	m.Stands(at(11*seconds), logic.Outcome{Call: 1, Office: "b"})
+	m.Established(at(11*seconds), logic.Outcome{Call: 1, Office: "b"})
 	policy.office = "c"
 	m.Offered(at(20*seconds), logic.Call{ID: 2, Dest: 2, Number: "55022"})
-	m.Stands(at(20*seconds), logic.Outcome{Call: 2, Office: "c"})
+	m.Established(at(20*seconds), logic.Outcome{Call: 2, Office: "c"})
 	policy.office = ""
 	m.Offered(at(30*seconds), logic.Call{ID: 3, Dest: 2, Number: "55023"})
 	m.Offered(at(31*seconds), logic.Call{ID: 4, Dest: 2, Number: "55023"}) // the redial
--- a/measure/meter.go
+++ b/measure/meter.go
@@ -129,10 +129,10 @@
 
 // Policy makes the routing decisions that a Meter observes. router.Policy is the same type.
 type Policy interface {
-	List(now time.Duration, kind logic.ListKind, offices []logic.Office)
+	UpdateOffices(now time.Duration, kind logic.ListKind, offices []logic.Office)
 	Report(now time.Duration, report logic.Report)
 	Offered(now time.Duration, offered logic.Call)
-	Stands(now time.Duration, outcome logic.Outcome)
+	Established(now time.Duration, outcome logic.Outcome)
 	Outcome(now time.Duration, outcome logic.Outcome)
 	HungUp(now time.Duration, id uint64)
 	Timer(now time.Duration, mark string)
--- a/measure/tap.go
+++ b/measure/tap.go
@@ -9,13 +9,13 @@
 // reportTotal is the index of the number of circuits of a group in logic.Report.Load.
 const reportTotal = 1
 
-// List implements Policy. It learns which exchange an office serves.
-func (m *Meter) List(now time.Duration, kind logic.ListKind, offices []logic.Office) {
+// UpdateOffices implements Policy. It learns which exchange an office serves.
+func (m *Meter) UpdateOffices(now time.Duration, kind logic.ListKind, offices []logic.Office) {
 	m.advance(now)
 	for _, office := range offices {
 		m.offices[office.ID] = office.Exchange
 	}
-	m.policy.List(now, kind, offices)
+	m.policy.UpdateOffices(now, kind, offices)
 }
 
 // Report implements Policy. It learns the size of a group.
@@ -39,7 +39,7 @@
 		if m.calls[offered.ID] = call; !offered.Transit {
 			count := m.count(call.countKey)
 			count.Tries++
-			if call.fresh = !offered.Again && !offered.WasCut && !m.consumeRefusal(now, offered); call.fresh {
+			if call.fresh = !offered.Redial && !offered.WasDropped && !m.consumeRefusal(now, offered); call.fresh {
 				count.Fresh++
 				m.fineFresh[offered.Dest]++
 				m.countBegun(call.countKey, freshCalls)
@@ -70,8 +70,8 @@
 	return found
 }
 
-// Stands implements Policy. It counts a call as established.
-func (m *Meter) Stands(now time.Duration, outcome logic.Outcome) {
+// Established implements Policy. It counts a call as established.
+func (m *Meter) Established(now time.Duration, outcome logic.Outcome) {
 	m.advance(now)
 	if call := m.calls[outcome.Call]; call != nil && !call.established {
 		m.accountUsage(call, now)
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	m.policy.Stands(now, outcome)
+	m.policy.Established(now, outcome)
 }
 
 // Outcome implements Policy. The attempt, or the established call, no longer holds its circuits.
--- a/model/node.go
+++ b/model/node.go
@@ -104,7 +104,7 @@
 	for _, class := range f.settings.Classes {
 		config.Classes = append(config.Classes, router.Class{Category: class.Category, Patience: class.Patience,
 			Class: logic.Class{Name: class.Name, Worth: class.Worth, LateShare: class.LateShare, Aim: class.Aim,
-				Deadline: class.Deadline, Hold: class.Hold, Width: class.Width, Safe: true}})
+				Deadline: class.Deadline, Hold: class.Hold, Width: class.Width, SafeToRepeat: true}})
 	}
 	client, server := []m3ua.Settings{{Role: m3ua.RoleIPSPClient, Beat: -1}}, []m3ua.Settings{{Role: m3ua.RoleIPSPServer, Beat: -1}}
 	for i, exchange := range f.exchanges {
--- a/model/theory_test.go
+++ b/model/theory_test.go
@@ -181,14 +181,14 @@
 	names     []string        // of the offices, by exchange
 }
 
-func (p *directFirst) List(_ time.Duration, _ logic.ListKind, list []logic.Office) {
-	for _, o := range list {
+func (p *directFirst) UpdateOffices(_ time.Duration, _ logic.ListKind, offices []logic.Office) {
+	for _, o := range offices {
 		p.names = append(p.names, o.ID)
 	}
 }
 func (p *directFirst) Report(time.Duration, logic.Report) {}
 func (p *directFirst) Timer(time.Duration, string)        {}
-func (p *directFirst) Stands(time.Duration, logic.Outcome) {
+func (p *directFirst) Established(time.Duration, logic.Outcome) {
 }
 func (p *directFirst) HungUp(time.Duration, uint64) {}
 func (p *directFirst) Offered(_ time.Duration, call logic.Call) {
--- a/router/call.go
+++ b/router/call.go
@@ -222,7 +222,7 @@
 	r.sendOrHold(call.incoming, answer)
 	r.emit(Answer{At: r.now, Call: call.id, Verdict: Stands, Elapsed: r.now - call.receivedAt, Transit: call.transit || !call.managed})
 	if call.managed {
-		r.controller.Stands(r.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Took: r.now - call.sentAt})
+		r.controller.Established(r.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Elapsed: r.now - call.sentAt})
 	}
 }
 
@@ -328,7 +328,7 @@
 func (r *Router) attemptEnded(call *call, status logic.Status, note int) {
 	call.outgoing = nil
 	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Note: note,
-		Took: r.now - call.sentAt, Over: call.withoutCaller()}
+		Elapsed: r.now - call.sentAt, Over: call.withoutCaller()}
 	if r.debugEnabled() {
 		r.log(slog.LevelDebug, "attempt ended", call.id, slog.Int("attempt", outcome.Attempt), slog.String("office", outcome.Office),
 			slog.String("status", string(status)), slog.Int("note", note))
@@ -347,7 +347,7 @@
 
 // establishedEnded reports the end of an established call to the Controller.
 func (r *Router) establishedEnded(call *call, status logic.Status) {
-	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Took: r.now - call.sentAt,
+	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Elapsed: r.now - call.sentAt,
 		Over: true}
 	r.deferWork(func() { r.controller.Outcome(r.now, outcome) })
 }
--- a/router/effects.go
+++ b/router/effects.go
@@ -42,7 +42,7 @@
 type Decision struct {
 	At      time.Duration
 	Call    uint64
-	Action  logic.Act
+	Action  logic.Action
 	Attempt int
 	Office  string
 }
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -80,7 +80,7 @@
 				ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP}}},
 		},
 		Classes: []router.Class{{Category: 10, Patience: 3 * time.Second, Class: logic.Class{Name: "voice", Worth: 1,
-			Aim: time.Second, Deadline: 9 * time.Second, Hold: time.Minute, Width: 1, Safe: true}}},
+			Aim: time.Second, Deadline: 9 * time.Second, Hold: time.Minute, Width: 1, SafeToRepeat: true}}},
 		Numbering: []numbering.Entry{{Prefix: "5501", Exchange: 1, Class: -1}, {Prefix: "5502", Exchange: 2, Class: -1}},
 		Attempts:  5, Tick: 5 * time.Millisecond, Release: 200 * time.Millisecond, DrainGrace: time.Second,
 		TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 12 * time.Second, Network: 2,
--- a/router/host.go
+++ b/router/host.go
@@ -21,7 +21,7 @@
 	}
 	call.attempts++
 	call.office, call.sentAt, call.attemptDeadline, call.repeats = office, r.now, r.now+timeout, 0
-	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActSend, Attempt: call.attempts - 1, Office: office})
+	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActionSend, Attempt: call.attempts - 1, Office: office})
 	if status, note := r.sendAttempt(call); status != 0 {
 		r.attemptEnded(call, status, note)
 		return
@@ -72,7 +72,7 @@
 // Refuse gives the final answer that a call is refused.
 func (h host) Refuse(callID uint64, wait time.Duration) {
 	if call := h.router.calls[callID]; call != nil {
-		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActRefuse})
+		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActionRefuse})
 		h.router.rejectCall(call, Refused, call.refusalInfo())
 	}
 }
@@ -80,7 +80,7 @@
 // Fail gives the final answer that a call has failed.
 func (h host) Fail(callID uint64) {
 	if call := h.router.calls[callID]; call != nil {
-		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActFail})
+		h.router.emit(Decision{At: h.router.now, Call: callID, Action: logic.ActionFail})
 		h.router.rejectCall(call, Failed, call.failureInfo())
 	}
 }
@@ -92,7 +92,7 @@
 	if call == nil || call.outgoing == nil || call.established || call.attempts-1 != attempt {
 		return
 	}
-	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActCancel, Attempt: attempt, Office: call.office})
+	r.emit(Decision{At: r.now, Call: callID, Action: logic.ActionCancel, Attempt: attempt, Office: call.office})
 	call.outgoing.peer.group.Release(r.now, call.outgoing.seizure, isup.ReleaseInfo{Cause: isup.CauseNormalUnspecified,
 		Location: isup.LocationLocalNetwork})
 	r.markPending(call.outgoing.peer)
@@ -102,8 +102,8 @@
 // Probe does nothing: ISUP has no such message, and the Controller's settings do not allow it.
 func (h host) Probe(string) {}
 
-// Tell does nothing, for the same reason as Probe.
-func (h host) Tell(int, []byte) {}
+// SendPeer does nothing, for the same reason as Probe.
+func (h host) SendPeer(int, []byte) {}
 
 // Timer arms a timer for the Controller.
 func (h host) Timer(wait time.Duration, mark string) {
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -64,7 +64,7 @@
 	}
 	sends := 0
 	for _, e := range n.effects["a"] {
-		if d, ok := e.(Decision); ok && d.Action == logic.ActSend {
+		if d, ok := e.(Decision); ok && d.Action == logic.ActionSend {
 			sends++
 		}
 	}
@@ -257,7 +257,7 @@
 		}
 		n.runUntil(n.now + 4*time.Second)
 		for _, e := range n.effects["a"] {
-			if d, ok := e.(Decision); ok && d.Action == logic.ActSend {
+			if d, ok := e.(Decision); ok && d.Action == logic.ActionSend {
 				out = append(out, d.Office)
 			}
 		}
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -180,9 +180,9 @@
 		Network: 2, LogLevel: slog.LevelDebug,
 		Timers: trunk.Timers{T1: time.Second, T5: 5 * time.Second, T12: time.Second, T13: 5 * time.Second},
 		Classes: []Class{
-			{Class: logic.Class{Name: "one", Worth: 1, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, Safe: true},
+			{Class: logic.Class{Name: "one", Worth: 1, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, SafeToRepeat: true},
 				Category: 10, Patience: 3 * time.Second},
-			{Class: logic.Class{Name: "wide", Worth: 3, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 2, Safe: true},
+			{Class: logic.Class{Name: "wide", Worth: 3, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 2, SafeToRepeat: true},
 				Category: 11, Patience: 3 * time.Second}}}
 	for i := range count {
 		config.Exchanges = append(config.Exchanges, Exchange{i + 1, exchangeName(i), uint32(101 + i)})
--- a/router/peer.go
+++ b/router/peer.go
@@ -324,7 +324,7 @@
 		r.log(slog.LevelInfo, "exchange announces its state", 0, slog.String("exchange", affected.cfg.Name),
 			slog.String("message", message.Kind.String()))
 		if office, ok := r.offices[affected.cfg.Name]; ok {
-			r.controller.List(r.now, logic.ListUpdate, []logic.Office{r.effectiveOffice(office)})
+			r.controller.UpdateOffices(r.now, logic.ListUpdate, []logic.Office{r.effectiveOffice(office)})
 		}
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	r.controller.List(now, kind, known)
+	r.controller.UpdateOffices(now, kind, known)
 	r.processPending()
 }
 
