--- a/measure/advisor.go
+++ b/measure/advisor.go
@@ -32,14 +32,14 @@
 
 // Advice is a change in whether the group toward an exchange is large enough.
 type Advice struct {
-	To      int    // number of the exchange
-	Outgrew bool   // the group has become too small; false: it is large enough again
-	Text    string // for operators
+	To       int    // number of the exchange
+	TooSmall bool   // the group has become too small; false: it is large enough again
+	Text     string // for operators
 }
 
-// Hear evaluates an interval of the own call server and returns what has changed. Calls from the far end are assumed to be
+// Evaluate evaluates an interval of the own call server and returns what has changed. Calls from the far end are assumed to be
 // as many as the own ones, so advice is only a hint: a plan uses measurements of both ends.
-func (a *Advisor) Hear(interval Interval) (out []Advice) {
+func (a *Advisor) Evaluate(interval Interval) (out []Advice) {
 	if a.groups == nil {
 		a.groups = map[int]*adviceState{}
 	}
@@ -75,7 +75,7 @@
 			needed, _ := dimension.Size(load, a.Targets, dimension.DefaultMaxCircuits)
 			advice.Text = fmt.Sprintf("group toward exchange %d has %d circuits, about %d are needed: %s would lose %.1f%%, its target is %.1f%%", group.To, group.Circuits,
 				needed, a.Classes[worst].Name, 100*blocking[worst], 100*a.Targets[worst])
-			if !advice.Outgrew {
+			if !advice.TooSmall {
 				advice.Text = fmt.Sprintf("group toward exchange %d with %d circuits is large enough again", group.To, group.Circuits)
 			}
 			out = append(out, *advice)
@@ -101,5 +101,5 @@
 		return nil
 	}
 	state.consecutive, state.outgrown = 0, !state.outgrown
-	return &Advice{To: exchange, Outgrew: state.outgrown}
+	return &Advice{To: exchange, TooSmall: state.outgrown}
 }
--- a/measure/base.go
+++ b/measure/base.go
@@ -133,7 +133,7 @@
 		}
 		switch {
 		case interval.Crowd >= massCallingMin && float64(interval.Crowd) > massCallingRatio*math.Max(1, medianCounts[interval.Home]):
-			unusual[interval.Start] = fmt.Sprintf("mass calling: %d fresh calls in %v from exchange %d toward %d, %.0f are usual", interval.Crowd, Fine, interval.Home, interval.CrowdTo, medianCounts[interval.Home])
+			unusual[interval.Start] = fmt.Sprintf("mass calling: %d fresh calls in %v from exchange %d toward %d, %.0f are usual", interval.Crowd, FineIntervalLength, interval.Home, interval.CrowdTo, medianCounts[interval.Home])
 		case reduced > 0 && float64(reduced) >= lossGroupShare*float64(len(interval.Groups)):
 			unusual[interval.Start] = fmt.Sprintf("circuits lost: %d of %d groups of exchange %d", reduced, len(interval.Groups), interval.Home)
 		}
@@ -217,7 +217,7 @@
 	overflowVariance, overflowMean := 0.0, 0.0
 	freshVariance, freshMean := make([]float64, len(a.Classes)), make([]float64, len(a.Classes))
 	for _, interval := range intervals {
-		samples := math.Max(1, math.Floor(float64(interval.Covered)/float64(Fine)))
+		samples := math.Max(1, math.Floor(float64(interval.Covered)/float64(FineIntervalLength)))
 		for _, count := range interval.Counts {
 			ended[count.Class], holdSum[count.Class], holdSquares[count.Class] = ended[count.Class]+float64(count.Ended), holdSum[count.Class]+count.Hold, holdSquares[count.Class]+count.Hold2
 			if mean := count.Peak / samples; mean > 0 {
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -56,7 +56,7 @@
 func newMeter(t *testing.T) (*Meter, *fakePolicy) {
 	t.Helper()
 	m, policy := New(Settings{Home: 1, Classes: classes}, time.Hour, midnight.Add(9*time.Hour)), &fakePolicy{}
-	if _, err := m.Around(noopHost{}, func(h logic.Host) (Policy, error) {
+	if _, err := m.Wrap(noopHost{}, func(h logic.Host) (Policy, error) {
 		policy.Host = h
 		return policy, nil
 	}); err != nil {
@@ -89,7 +89,7 @@
 	m.Outcome(at(111*seconds), logic.Outcome{Call: 1, Office: "b", Status: logic.Ended, Over: true})
 	m.Outcome(at(140*seconds), logic.Outcome{Call: 6, Office: "b", Status: logic.Full})
 	m.Outcome(at(1000*seconds), logic.Outcome{Call: 2, Office: "c", Status: logic.Ended, Over: true})
-	got := m.Take(at(1000 * seconds))
+	got := m.TakeEnded(at(1000 * seconds))
 	if len(got) != 1 || got[0].Covered != IntervalLength || !got[0].Start.Equal(midnight.Add(9*time.Hour)) {
 		t.Fatalf("%+v", got)
 	}
@@ -109,7 +109,7 @@
 	if len(groups) != 2 || groups[0].To != 2 || groups[0].Usage != 2*101+100 || groups[0].Seized != 3 || groups[0].Circuits != 30 || groups[1].Usage != 880 {
 		t.Errorf("groups %+v", groups)
 	}
-	open := m.Open(at(1000 * seconds))
+	open := m.Current(at(1000 * seconds))
 	if open.Covered != 100*seconds || len(open.Counts) != 1 || open.Counts[0].Usage != 100 || open.Counts[0].Ended != 1 || open.Groups[0].Circuits != 30 {
 		t.Errorf("open %+v", open)
 	}
@@ -118,14 +118,14 @@
 // Checks that setting the clock ends the interval and marks both parts of it. Router time never jumps.
 func TestClockJumps(t *testing.T) {
 	m, _ := newMeter(t)
-	m.Clock(time.Hour+100*seconds, midnight.Add(9*time.Hour+101*seconds)) // drift is ignored
-	m.Clock(time.Hour+200*seconds, midnight.Add(12*time.Hour))
-	got := append(m.Take(time.Hour+300*seconds), m.Open(time.Hour+300*seconds))
+	m.SetClock(time.Hour+100*seconds, midnight.Add(9*time.Hour+101*seconds)) // drift is ignored
+	m.SetClock(time.Hour+200*seconds, midnight.Add(12*time.Hour))
+	got := append(m.TakeEnded(time.Hour+300*seconds), m.Current(time.Hour+300*seconds))
 	if len(got) != 2 || !got[0].Jumped || !got[1].Jumped || got[0].Covered != 200*seconds || got[1].Covered != 100*seconds || got[1].Start.Hour() != 12 {
 		t.Errorf("%+v", got)
 	}
-	m.Clock(time.Hour+301*seconds, midnight) // the clock is set back
-	if x := m.Open(time.Hour + 302*seconds); x.Start.Hour() != 0 || !x.Jumped {
+	m.SetClock(time.Hour+301*seconds, midnight) // the clock is set back
+	if x := m.Current(time.Hour + 302*seconds); x.Start.Hour() != 0 || !x.Jumped {
 		t.Errorf("%+v", x)
 	}
 }
@@ -287,7 +287,7 @@
 	advisor := &Advisor{Classes: classes, Targets: []float64{0.01, 0.01}}
 	advise := func(fresh int) string {
 		interval := Interval{Home: 1, Covered: IntervalLength, Counts: []Count{{To: 2, Tries: fresh, Fresh: fresh}}, Groups: []Group{{To: 2, Circuits: 20, Least: 20}}}
-		out := advisor.Hear(interval)
+		out := advisor.Evaluate(interval)
 		if len(out) == 0 {
 			return ""
 		}
@@ -308,7 +308,7 @@
 	if advise(40) != "" || !strings.Contains(advise(40), "enough again") {
 		t.Error("the report is not withdrawn")
 	}
-	if out := advisor.Hear(Interval{Covered: IntervalLength, Jumped: true}); out != nil {
+	if out := advisor.Evaluate(Interval{Covered: IntervalLength, Jumped: true}); out != nil {
 		t.Errorf("%v", out)
 	}
 }
--- a/measure/meter.go
+++ b/measure/meter.go
@@ -16,8 +16,8 @@
 
 // Lengths of intervals.
 const (
-	IntervalLength = 15 * time.Minute // read-out period of ITU-T E.490
-	Fine           = 5 * time.Second  // fine interval, in which mass calling and peaks of overflow show
+	IntervalLength     = 15 * time.Minute // read-out period of ITU-T E.490
+	FineIntervalLength = 5 * time.Second  // fine interval, in which mass calling and peaks of overflow show
 )
 
 // Indexes into the counts of a fine interval in Meter.recentCalls.
@@ -150,19 +150,19 @@
 	return m
 }
 
-// Around wraps a policy with the Meter. newPolicy gets the host that the policy must act on.
-func (m *Meter) Around(host logic.Host, newPolicy func(logic.Host) (Policy, error)) (Policy, error) {
+// Wrap wraps a policy with the Meter. newPolicy gets the host that the policy must act on.
+func (m *Meter) Wrap(host logic.Host, newPolicy func(logic.Host) (Policy, error)) (Policy, error) {
 	m.host = host
 	policy, err := newPolicy(tap{host, m})
 	m.policy = policy
 	return m, err
 }
 
-// Clock passes the clock time to the Meter. If the clock was set by more than a fine interval, the open interval ends, a
-// new one begins at the new time, and both are marked with Jumped.
-func (m *Meter) Clock(now time.Duration, wall time.Time) {
+// SetClock passes the present clock time to the Meter. If the clock was set by more than a fine interval, the open interval
+// ends, a new one begins at the new time, and both are marked with Jumped.
+func (m *Meter) SetClock(now time.Duration, wall time.Time) {
 	m.advance(now)
-	if difference := wall.Sub(m.wallTime(now)); difference.Abs() > Fine {
+	if difference := wall.Sub(m.wallTime(now)); difference.Abs() > FineIntervalLength {
 		m.open.Jumped = true
 		m.closeInterval(now)
 		m.anchor, m.anchorWall = now, wall
@@ -187,9 +187,9 @@
 
 // advance closes the intervals and fine intervals that have ended by now.
 func (m *Meter) advance(now time.Duration) {
-	for now >= m.fineStart+Fine || m.wallTime(now).Truncate(IntervalLength).After(m.open.Start) {
+	for now >= m.fineStart+FineIntervalLength || m.wallTime(now).Truncate(IntervalLength).After(m.open.Start) {
 		boundary := m.anchor + m.open.Start.Add(IntervalLength).Sub(m.anchorWall)
-		if next := m.fineStart + Fine; next <= boundary && next <= now {
+		if next := m.fineStart + FineIntervalLength; next <= boundary && next <= now {
 			m.closeFineInterval(next)
 			continue
 		}
@@ -218,7 +218,7 @@
 		count := m.count(key)
 		count.Peak, count.Peak2 = count.Peak+float64(sums[overflowCalls]), count.Peak2+float64(sums[overflowCalls]*sums[overflowCalls])
 		count.Burst, count.Burst2 = count.Burst+float64(sums[freshCalls]), count.Burst2+float64(sums[freshCalls]*sums[freshCalls])
-		holdIntervals := max(1, int(math.Round(float64(m.settings.Classes[key.class].Hold)/float64(Fine))))
+		holdIntervals := max(1, int(math.Round(float64(m.settings.Classes[key.class].Hold)/float64(FineIntervalLength))))
 		if recent = append(recent, [2]int{}); len(recent) > holdIntervals {
 			recent = recent[len(recent)-holdIntervals:]
 		}
@@ -255,17 +255,17 @@
 	return interval
 }
 
-// Take returns the intervals that have ended since the previous Take.
-func (m *Meter) Take(now time.Duration) []Interval {
+// TakeEnded returns the intervals that have ended since the previous call of TakeEnded.
+func (m *Meter) TakeEnded(now time.Duration) []Interval {
 	m.advance(now)
 	ended := m.ended
 	m.ended = nil
 	return ended
 }
 
-// Open returns the open interval as it is now. Storing it limits what a crash loses: a later Open or Take returns the same
-// interval with more traffic.
-func (m *Meter) Open(now time.Duration) Interval {
+// Current returns the open interval as it is now. Storing it limits what a crash loses: a later Current or TakeEnded returns
+// the same interval with more traffic.
+func (m *Meter) Current(now time.Duration) Interval {
 	m.advance(now)
 	for _, call := range m.calls {
 		m.accountUsage(call, now)
--- a/model/node.go
+++ b/model/node.go
@@ -135,7 +135,7 @@
 // endMeasurement stores the measured traffic of a Router that ends.
 func (n *node) endMeasurement() {
 	if n.meter != nil {
-		n.fleet.measured = append(append(n.fleet.measured, n.meter.Take(n.fleet.now)...), n.meter.Open(n.fleet.now))
+		n.fleet.measured = append(append(n.fleet.measured, n.meter.TakeEnded(n.fleet.now)...), n.meter.Current(n.fleet.now))
 		n.meter = nil
 	}
 }
--- a/router/policy.go
+++ b/router/policy.go
@@ -15,7 +15,7 @@
 	if c.Meter == nil {
 		return c.newUnmeteredPolicy(settings, seed)
 	}
-	return c.Meter.Around(settings.Host, func(metered logic.Host) (measure.Policy, error) {
+	return c.Meter.Wrap(settings.Host, func(metered logic.Host) (measure.Policy, error) {
 		settings.Host = metered
 		return c.newUnmeteredPolicy(settings, seed)
 	})
--- a/server/traffic.go
+++ b/server/traffic.go
@@ -56,7 +56,7 @@
 			s.log.Error("traffic measurements not stored", "err", err)
 		}
 	}()
-	ticker := time.NewTicker(measure.Fine)
+	ticker := time.NewTicker(measure.FineIntervalLength)
 	defer ticker.Stop()
 	for {
 		select {
@@ -86,15 +86,15 @@
 	var ended []measure.Interval
 	var open measure.Interval
 	err := s.Do(func(_ *router.Router, now time.Duration) {
-		recorder.meter.Clock(now, wallClock())
-		ended, open = recorder.meter.Take(now), recorder.meter.Open(now)
+		recorder.meter.SetClock(now, wallClock())
+		ended, open = recorder.meter.TakeEnded(now), recorder.meter.Current(now)
 	})
 	if err != nil {
 		return
 	}
 	for _, interval := range ended {
-		for _, advice := range recorder.advisor.Hear(interval) {
-			s.log.Warn("traffic", "exchange", advice.To, "outgrew", advice.Outgrew, "text", advice.Text)
+		for _, advice := range recorder.advisor.Evaluate(interval) {
+			s.log.Warn("traffic", "exchange", advice.To, "outgrew", advice.TooSmall, "text", advice.Text)
 		}
 	}
 	recorder.unsaved = append(recorder.unsaved, ended...)
