--- a/cmd/finchlatch/dimension.go
+++ b/cmd/finchlatch/dimension.go
@@ -101,7 +101,7 @@
 		}
 		intervals = append(intervals, stored...)
 	}
-	return rules.Measured(intervals)
+	return rules.MeasuredTraffic(intervals)
 }
 
 // writePlan writes the report, the CSV file and, if settingsPath is given, the settings of an exchange into a directory.
--- a/planning/plan.go
+++ b/planning/plan.go
@@ -21,8 +21,8 @@
 	Trend *dimension.Forecast // nil: without Rules.Ahead
 }
 
-// Measured derives the traffic from measured intervals.
-func (r Rules) Measured(intervals []measure.Interval) (Traffic, error) {
+// MeasuredTraffic derives the traffic from measured intervals.
+func (r Rules) MeasuredTraffic(intervals []measure.Interval) (Traffic, error) {
 	base, err := r.Analyzer().Base(intervals)
 	if err != nil {
 		return Traffic{}, err
--- a/planning/sizing_test.go
+++ b/planning/sizing_test.go
@@ -112,7 +112,7 @@
 func (trial sizingTrial) run(t testing.TB, singleWidth bool) (out result) {
 	t.Helper()
 	out.rules = trial.rules(t)
-	traffic, err := out.rules.Measured(trial.play(t, trial.settings(trial.seed)))
+	traffic, err := out.rules.MeasuredTraffic(trial.play(t, trial.settings(trial.seed)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -315,11 +315,11 @@
 				Counts: []measure.Count{{To: 3 - home, Tries: calls, Fresh: calls, Ended: calls, Hold: 6 * float64(calls), Hold2: 72 * float64(calls)}}, Groups: []measure.Group{{To: 3 - home, Circuits: 9, Least: 9}}})
 		}
 	}
-	traffic, err := r.Measured(intervals)
+	traffic, err := r.MeasuredTraffic(intervals)
 	if err != nil || math.Abs(traffic.Trend.Growth-0.02) > 0.001 || math.Abs(traffic.Pairs[0].Loads[0].Erlangs-2*400*6/900.0*math.Pow(1.02, 35)) > 0.3 {
 		t.Errorf("%+v, %v", traffic, err)
 	}
-	if _, err := r.Measured(intervals[:4]); !errors.Is(err, dimension.ErrTooFewDays) {
+	if _, err := r.MeasuredTraffic(intervals[:4]); !errors.Is(err, dimension.ErrTooFewDays) {
 		t.Errorf("two days: %v", err)
 	}
 }
