--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -147,7 +147,7 @@
 }
 
 // Start begins operation with the offices of a service discovery snapshot.
-func (s *Server) Start(now time.Duration, snapshot feed.Known) {
+func (s *Server) Start(now time.Duration, snapshot feed.Snapshot) {
 	s.now, s.startedAt, s.discoveryChangedAt = now, now, now
 	s.loadSnapshot(snapshot)
 	s.runDeferred()
--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	h := &harness{t: t, server: server, now: startTime, written: map[ConnID][]byte{}, closed: map[ConnID]Close{}}
-	server.Start(h.now, feed.Known{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving),
+	server.Start(h.now, feed.Snapshot{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving),
 		member("s-1", 1, feed.Serving), member("s-2", 2, feed.Serving))}})
 	h.collectEffects()
 	return h
@@ -1329,7 +1329,7 @@
 		b.Fatal(err)
 	}
 	now, conn := startTime, ConnID(0)
-	server.Start(now, feed.Known{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving), member("s-1", 1, feed.Serving))}})
+	server.Start(now, feed.Snapshot{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving), member("s-1", 1, feed.Serving))}})
 	runEffects := func() (dialled []ConnID) {
 		for _, effect := range server.Effects() {
 			switch effect := effect.(type) {
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -11,7 +11,7 @@
 )
 
 // loadSnapshot applies the snapshot from the configuration.
-func (s *Server) loadSnapshot(snapshot feed.Known) {
+func (s *Server) loadSnapshot(snapshot feed.Snapshot) {
 	s.position = snapshot.Pos
 	var offices []logic.Office
 	for i := range snapshot.Entries {
--- a/cmd/benchlink/equivalence_test.go
+++ b/cmd/benchlink/equivalence_test.go
@@ -252,7 +252,7 @@
 		roster += fmt.Sprintf("office\thealth=Ready\tcell=%d\toffice=%s\n", i, officeID)
 	}
 	line.batch(now, settingsWire+roster+"targets\ti=0\tform=restored\tgeneration=1\tlist=0\n")
-	server.Start(now, feed.Known{Pos: 1, Entries: []feed.Event{{Pos: 1, Hosts: feed.Hosts{Complete: true, Members: members}}}})
+	server.Start(now, feed.Snapshot{Pos: 1, Entries: []feed.Event{{Pos: 1, Hosts: feed.Hosts{Complete: true, Members: members}}}})
 	core.applyEffects(now)
 	core.caller = server.NewConn()
 	core.apply(callserver.Input{At: now, Kind: callserver.InAccepted, Conn: core.caller})
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -49,14 +49,14 @@
 	Deleted  Phase = "DELETED"
 )
 
-// Known is the state of service discovery that the configuration holds for the start.
-type Known struct {
+// Snapshot is the state of service discovery that the configuration of a node holds for its start.
+type Snapshot struct {
 	Pos     uint64  `json:"pos"` // position in the stream after Entries
 	Entries []Event `json:"entries"`
 }
 
-// Check returns an error that names the first invalid field of an event, or nil.
-func (event *Event) Check() error {
+// Validate returns an error that names the first invalid field of an event, or nil.
+func (event *Event) Validate() error {
 	if event.Pos == 0 {
 		return fmt.Errorf("event %d: pos is missing", event.Pos)
 	}
@@ -150,7 +150,7 @@
 		}
 		event.Pos = pos
 	}
-	if err := event.Check(); err != nil {
+	if err := event.Validate(); err != nil {
 		return nil, fmt.Errorf("feed: %w", err)
 	}
 	return event, nil
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -76,7 +76,7 @@
 				if event == nil {
 					break
 				}
-				if err := event.Check(); err != nil {
+				if err := event.Validate(); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -57,8 +57,8 @@
 }
 
 // config returns the configuration file of a call server.
-func (d *Deployment) config(name, listenAddr, discoveryAddr string, seed uint64, node, nodes int, known feed.Known) ([]byte, error) {
+func (d *Deployment) config(name, listenAddr, discoveryAddr string, seed uint64, node, nodes int, snapshot feed.Snapshot) ([]byte, error) {
 	return json.Marshal(map[string]any{"name": name, "listen": listenAddr, "journal": discoveryAddr, "seed": fmt.Sprintf("%016x", seed),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": d.MemoryMB, "sockets": d.Sockets}, "known": known,
+		"limits": map[string]any{"cores": 1.0, "memory_mb": d.MemoryMB, "sockets": d.Sockets}, "known": snapshot,
 		"settings": d.settings(node, nodes)})
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -42,10 +42,10 @@
 }
 
 // snapshot returns the present snapshot, for a configuration file.
-func (d *discovery) snapshot(view *discoveryView) feed.Known {
+func (d *discovery) snapshot(view *discoveryView) feed.Snapshot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return feed.Known{Pos: d.position, Entries: []feed.Event{d.newEvent(view, d.members, true)}}
+	return feed.Snapshot{Pos: d.position, Entries: []feed.Event{d.newEvent(view, d.members, true)}}
 }
 
 // newEvent returns the event that announces members to one call server. The caller holds d.mu.
--- a/internal/soak/faultyserver_test.go
+++ b/internal/soak/faultyserver_test.go
@@ -47,7 +47,7 @@
 	}
 	var config struct {
 		Listen string
-		Known  feed.Known
+		Known  feed.Snapshot
 	}
 	if err := json.Unmarshal(text, &config); err != nil {
 		return err
--- a/node/config.go
+++ b/node/config.go
@@ -21,7 +21,7 @@
 	Journal  string // address of the discovery service
 	Seed     int64
 	Limits   Limits
-	Known    feed.Known // events of service discovery up to the start
+	Known    feed.Snapshot // events of service discovery up to the start
 	Settings wire.Settings
 }
 
@@ -85,7 +85,7 @@
 		Journal  string          `json:"journal"`
 		Seed     string          `json:"seed"`
 		Limits   Limits          `json:"limits"`
-		Known    *feed.Known     `json:"known"`
+		Known    *feed.Snapshot  `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -120,7 +120,7 @@
 	}
 	cfg.Known = *file.Known
 	for i := range cfg.Known.Entries {
-		if err := cfg.Known.Entries[i].Check(); err != nil {
+		if err := cfg.Known.Entries[i].Validate(); err != nil {
 			return nil, fmt.Errorf("known.entries.%d: %w", i, err)
 		}
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -99,12 +99,12 @@
 // writeConfig writes the configuration file of the node, with the address of a discovery service.
 func (h *harness) writeConfig(journal string) {
 	h.t.Helper()
-	known, err := json.Marshal(feed.Known{Pos: 1, Entries: []feed.Event{h.discoveryEvent(1, true, h.offices...)}})
+	snapshot, err := json.Marshal(feed.Snapshot{Pos: 1, Entries: []feed.Event{h.discoveryEvent(1, true, h.offices...)}})
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","journal":%q,"seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
-		journal, known, h.settingsEdits.Replace(settingsText))
+		journal, snapshot, h.settingsEdits.Replace(settingsText))
 	if err := os.WriteFile(h.configPath, []byte(text), 0o600); err != nil {
 		h.t.Fatal(err)
 	}
