--- a/callserver/callers.go
+++ b/callserver/callers.go
@@ -146,7 +146,7 @@
 		caller.unfinishedSince = 0
 		s.handleCallerMessage(caller, msg)
 	}
-	if s.callerConns[caller.id] == caller && caller.framer.Waiting() > 0 && caller.unfinishedSince == 0 {
+	if s.callerConns[caller.id] == caller && caller.framer.Buffered() > 0 && caller.unfinishedSince == 0 {
 		caller.unfinishedSince = s.now
 		s.armTimer(callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(caller.id)})
 	}
--- a/sip/sip.go
+++ b/sip/sip.go
@@ -67,8 +67,8 @@
 // Write appends received bytes.
 func (f *Framer) Write(data []byte) { f.buffered = append(f.buffered, data...) }
 
-// Waiting returns the number of buffered bytes of an incomplete message.
-func (f *Framer) Waiting() int { return len(f.buffered) }
+// Buffered returns the number of buffered bytes of an incomplete message.
+func (f *Framer) Buffered() int { return len(f.buffered) }
 
 // Next returns the next complete message, or nil if it has not arrived completely.
 func (f *Framer) Next() (*Message, error) {
--- a/sip/sip_test.go
+++ b/sip/sip_test.go
@@ -32,7 +32,7 @@
 			}
 		}
 		want := "INVITE 0 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 hello|INVITE 0 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 hello|BYE 200 1  "
-		if strings.Join(got, "|") != want || framer.Waiting() != 0 {
+		if strings.Join(got, "|") != want || framer.Buffered() != 0 {
 			t.Fatalf("chunks of %d bytes: %q", size, got)
 		}
 	}
@@ -114,8 +114,8 @@
 					t.Fatalf("response to %+v: %+v, %v", msg, response, err)
 				}
 			}
-			if framer.Waiting() > MaxMessageBytes+int(size)+1 {
-				t.Fatalf("%d bytes are buffered", framer.Waiting())
+			if framer.Buffered() > MaxMessageBytes+int(size)+1 {
+				t.Fatalf("%d bytes are buffered", framer.Buffered())
 			}
 		}
 	})
