--- a/callserver/callers.go
+++ b/callserver/callers.go
@@ -44,7 +44,7 @@
 	caller := &callerConn{id: id, remoteAddr: remoteAddr, acceptedAt: s.now}
 	s.callerConns[id] = caller
 	s.armTimer(callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(id)})
-	if len(s.callerConns) > s.cfg.Callers {
+	if len(s.callerConns) > s.cfg.MaxCallerConns {
 		evicted := s.evictionCandidate(caller)
 		if evicted == nil {
 			evicted = caller
@@ -230,7 +230,7 @@
 }
 
 // handleDuplicateInvite handles a set-up whose Call-ID is in use. The first call is not affected if the second set-up comes on
-// another connection. On one connection the answers could not be told apart: a copy is ignored as a retransmission (RFC 3261
+// another connection. On one connection the answers could not be distinguished: a copy is ignored as a retransmission (RFC 3261
 // section 17.2.1), and two different set-ups are refused by one answer.
 func (s *Server) handleDuplicateInvite(caller *callerConn, existing *activeCall, invite invitation) {
 	if existing.caller != caller || existing.state != callSettingUp {
--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -70,7 +70,7 @@
 		caller: caller, className: invite.className, calledNumber: invite.calledNumber, description: invite.description}
 	// During shutdown only transit calls are accepted: they arrive for as long as this process runs, and no other call server
 	// can use this exchange as a tandem without it.
-	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpen > 0 && s.openCalls >= s.cfg.MaxOpen {
+	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpenCalls > 0 && s.openCalls >= s.cfg.MaxOpenCalls {
 		s.respond(caller, call.inviteHead, 503, 0, nil)
 		s.totals.Refused++
 		return
@@ -282,7 +282,7 @@
 		}
 		return
 	}
-	if s.adoptedCalls >= s.cfg.MaxOpen {
+	if s.adoptedCalls >= s.cfg.MaxOpenCalls {
 		s.log(slog.LevelWarn, "too many adopted calls", slog.String("from", caller.remoteAddr))
 		return
 	}
--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -21,9 +21,9 @@
 	Settings       logic.Settings // Host is set by New
 	Seed           int64
 	ConnectTimeout time.Duration // of a connection to an office, and of a probe
-	MaxOpen        int           // maximum number of calls without a final answer, and of adopted calls
-	Callers        int           // maximum number of connections from callers
-	Offices        int           // maximum number of connections to offices
+	MaxOpenCalls   int           // maximum number of calls without a final answer, and of adopted calls
+	MaxCallerConns int           // maximum number of connections from callers
+	MaxOfficeConns int           // maximum number of connections to offices
 	LogLevel       slog.Level
 }
 
@@ -35,11 +35,11 @@
 	From    string        // remote address
 	Refused bool          // by the peer
 	Reset   bool          // without an orderly close: the last bytes written may not have been read
-	On      bool          // whether writes are blocked
+	Blocked bool          // whether writes are blocked
 	Bytes   []byte        // not retained
-	Waited  time.Duration // how long the bytes or the close waited in this process; callers have waited as long
+	Delay   time.Duration // how long the bytes or the close waited in this process; callers have waited as long
 	Events  []feed.Event
-	Until   time.Duration // Unix time at which this process ends
+	EndsAt  time.Duration // Unix time at which this process ends
 }
 
 // Server is one call server. It is not safe for concurrent use. Servers share no state.
@@ -164,18 +164,18 @@
 	case InFailed:
 		s.dialFailed(in.Conn, in.Refused)
 	case InClosed:
-		s.inputDelay = max(0, in.Waited)
+		s.inputDelay = max(0, in.Delay)
 		s.connClosed(in.Conn, in.Reset)
 		s.inputDelay = 0
 	case InReceive:
-		s.inputDelay = max(0, in.Waited)
+		s.inputDelay = max(0, in.Delay)
 		s.receive(in.Conn, in.Bytes)
 		s.inputDelay = 0
-	case InStuck:
-		s.setWriteBlocked(in.Conn, in.On)
-	case InLeave:
-		s.endsAt = in.Until
-	case InJournal:
+	case InWriteBlocked:
+		s.setWriteBlocked(in.Conn, in.Blocked)
+	case InShutdown:
+		s.endsAt = in.EndsAt
+	case InDiscovery:
 		s.announcedStarts = announcedStartTimes(in.Events)
 		for i := range in.Events {
 			s.applyDiscoveryEvent(&in.Events[i])
@@ -183,7 +183,7 @@
 		s.announcedStarts = nil
 	case InWritten:
 		s.deferred, s.afterConfirm = append(s.deferred, s.afterConfirm...), nil
-	case InAdvance:
+	case InTimer:
 		for _, t, ok := s.timers.Pop(s.now); ok; _, t, ok = s.timers.Pop(s.now) {
 			s.fireTimer(t)
 			s.runDeferred()
@@ -198,8 +198,8 @@
 	return s.lastConnID
 }
 
-// Next returns the time at which InAdvance is due; false: no timer is armed.
-func (s *Server) Next() (time.Duration, bool) { return s.timers.Next() }
+// NextTimer returns the time at which InTimer is due; false: no timer is armed.
+func (s *Server) NextTimer() (time.Duration, bool) { return s.timers.Next() }
 
 // Effects returns the effects to carry out, in order, and clears them. The slice is valid until the next call.
 func (s *Server) Effects() []Effect {
@@ -208,8 +208,8 @@
 	return s.returnedEffects
 }
 
-// Pos returns the position of the last service discovery event that was applied.
-func (s *Server) Pos() uint64 { return s.position }
+// Position returns the position of the last service discovery event that was applied.
+func (s *Server) Position() uint64 { return s.position }
 
 // runDeferred runs deferred work until none is left.
 func (s *Server) runDeferred() {
@@ -304,7 +304,7 @@
 	}
 }
 
-// Held returns the number of calls without a final answer and the number of established calls.
-func (s *Server) Held() (open, established int) {
+// CallCounts returns the number of calls without a final answer and the number of established calls.
+func (s *Server) CallCounts() (open, established int) {
 	return s.openCalls, len(s.callsByWireID) - s.openCalls
 }
--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -25,7 +25,7 @@
 	closed            map[ConnID]Close
 	halfClosed        []ConnID // oldest first
 	dials             []Dial   // connections being dialled
-	discoveryRequests []AskJournal
+	discoveryRequests []RequestDiscovery
 	attempts          []Decision // those that started an attempt
 	withholdWritten   bool       // do not respond to Confirm with InWritten
 }
@@ -55,7 +55,7 @@
 // newHarness starts a Server that knows three offices, that of its own exchange among them.
 func newHarness(t *testing.T, configure func(*Config)) *harness {
 	t.Helper()
-	cfg := Config{Settings: testSettings(), Seed: 1, ConnectTimeout: 500 * time.Millisecond, MaxOpen: 1000, Callers: 4, Offices: 30,
+	cfg := Config{Settings: testSettings(), Seed: 1, ConnectTimeout: 500 * time.Millisecond, MaxOpenCalls: 1000, MaxCallerConns: 4, MaxOfficeConns: 30,
 		LogLevel: slog.LevelError}
 	if configure != nil {
 		configure(&cfg)
@@ -98,11 +98,11 @@
 			h.written[effect.Conn] = append(h.written[effect.Conn], effect.Bytes...)
 		case Close:
 			h.closed[effect.Conn] = effect
-		case Shut:
+		case HalfClose:
 			h.halfClosed = append(h.halfClosed, effect.Conn)
 		case Dial:
 			h.dials = append(h.dials, effect)
-		case AskJournal:
+		case RequestDiscovery:
 			h.discoveryRequests = append(h.discoveryRequests, effect)
 		case Log:
 			if effect.Level >= slog.LevelError {
@@ -125,15 +125,15 @@
 	h.t.Helper()
 	end := h.now + duration
 	for {
-		due, ok := h.server.Next()
+		due, ok := h.server.NextTimer()
 		if !ok || due > end {
 			break
 		}
 		h.now = max(h.now, due)
-		h.apply(Input{Kind: InAdvance})
+		h.apply(Input{Kind: InTimer})
 	}
 	h.now = end
-	h.apply(Input{Kind: InAdvance})
+	h.apply(Input{Kind: InTimer})
 }
 
 // advanceWithReports advances the time while an office reports its group state every second: an unresponsive one would be
@@ -306,7 +306,7 @@
 		!strings.Contains(got, "Reason: Q.850;cause=16") {
 		t.Fatalf("BYE to the caller: %q", got)
 	}
-	if _, established := h.server.Held(); established != 0 {
+	if _, established := h.server.CallCounts(); established != 0 {
 		t.Fatalf("%d established calls", established)
 	}
 }
@@ -493,7 +493,7 @@
 // repeat on others. The release must be read. Half-closed connections that their offices do not close are closed after a time,
 // and their number is limited.
 func TestAReleaseThatCrossesTheEndOfItsConnection(t *testing.T) {
-	h := newHarness(t, func(cfg *Config) { cfg.Offices = 40 })
+	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = 40 })
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
 	h.callerSends(caller, invite(7, "dest:1;width:1"))
@@ -536,7 +536,7 @@
 	h.callerSends(caller, invite(9, "dest:1;width:1"))
 	thirdConn, _ := h.takeSetUp(9)
 	h.officeSends(thirdConn, answerMsg(9)) // connections are opened only while the office holds calls
-	limit := h.server.cfg.Offices / halfClosedDivisor
+	limit := h.server.cfg.MaxOfficeConns / halfClosedDivisor
 	for range 4 * limit {
 		h.connect("10.0.0.1:5080")
 		h.server.connLost(remote)
@@ -829,7 +829,7 @@
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "200")
 	newMember := member("s-9", 1, feed.Serving) // at the address of s-1
 	goneMember := member("s-1", 1, feed.Deleted)
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, goneMember, newMember), discoveryEvent(2, false, newMember)}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, goneMember, newMember), discoveryEvent(2, false, newMember)}})
 	requireMessages(t, "messages to the caller of the call at the old office", h.takeCallerMessages(caller), "BYE")
 	if _, ok := h.closed[conn]; !ok || h.server.offices["s-1"] != nil {
 		t.Fatal("the old office has not been removed")
@@ -839,15 +839,15 @@
 	if newConn, _ := h.takeSetUp(8); h.server.officeConns[newConn].remote.id != "s-9" {
 		t.Fatal("the call was not sent to the new office")
 	}
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(4, false, member("s-9", 1, feed.Draining))}})
-	if len(h.discoveryRequests) != 1 || h.server.Pos() != 0 {
-		t.Fatalf("after a gap: requests %v, position %d", h.discoveryRequests, h.server.Pos())
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(4, false, member("s-9", 1, feed.Draining))}})
+	if len(h.discoveryRequests) != 1 || h.server.Position() != 0 {
+		t.Fatalf("after a gap: requests %v, position %d", h.discoveryRequests, h.server.Position())
 	}
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(5, true, member("s-0", 0, feed.Serving),
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(5, true, member("s-0", 0, feed.Serving),
 		member("s-9", 1, feed.Draining))}})
 	h.callerSends(caller, invite(10, "dest:1;width:1"))
 	requireMessages(t, "call to a draining office", h.takeCallerMessages(caller), "503")
-	if h.server.Pos() != 5 || h.server.offices["s-2"] != nil {
+	if h.server.Position() != 5 || h.server.offices["s-2"] != nil {
 		t.Fatal("a snapshot does not replace the known offices")
 	}
 }
@@ -865,7 +865,7 @@
 		}
 	}
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "503")
-	if open, _ := h.server.Held(); open != 0 || len(h.server.calls) != 0 {
+	if open, _ := h.server.CallCounts(); open != 0 || len(h.server.calls) != 0 {
 		t.Fatalf("%d open calls, %d not removed", open, len(h.server.calls))
 	}
 }
@@ -993,7 +993,7 @@
 		"corrupted message": {trigger: func(h *harness, conn, _ ConnID) {
 			h.apply(Input{Kind: InReceive, Conn: conn, Bytes: []byte{0, 0, 9, 9}})
 		}},
-		"writes blocked": {trigger: func(h *harness, conn, _ ConnID) { h.apply(Input{Kind: InStuck, Conn: conn, On: true}) }},
+		"writes blocked": {trigger: func(h *harness, conn, _ ConnID) { h.apply(Input{Kind: InWriteBlocked, Conn: conn, Blocked: true}) }},
 		"CANCEL":         {trigger: func(h *harness, _, caller ConnID) { h.callerSends(caller, request("CANCEL", 7)) }, hungUp: true},
 		"caller closes":  {trigger: func(h *harness, _, caller ConnID) { h.apply(Input{Kind: InClosed, Conn: caller}) }, hungUp: true},
 	}
@@ -1079,13 +1079,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, nil)
-			h.apply(Input{Kind: InJournal, Events: tt.events})
+			h.apply(Input{Kind: InDiscovery, Events: tt.events})
 			var offices []string
 			for _, remote := range h.server.sortedOffices() {
 				offices = append(offices, fmt.Sprintf("%s %d", remote.id, remote.state))
 			}
-			if got := strings.Join(offices, " "); got != tt.offices || len(h.discoveryRequests) != tt.requests || h.server.Pos() != tt.position {
-				t.Errorf("known offices %q, want %q; %d requests; position %d", got, tt.offices, len(h.discoveryRequests), h.server.Pos())
+			if got := strings.Join(offices, " "); got != tt.offices || len(h.discoveryRequests) != tt.requests || h.server.Position() != tt.position {
+				t.Errorf("known offices %q, want %q; %d requests; position %d", got, tt.offices, len(h.discoveryRequests), h.server.Position())
 			}
 			caller := h.acceptCaller()
 			h.callerSends(caller, invite(7, "dest:1;width:1"))
@@ -1128,7 +1128,7 @@
 	}
 	newMember := member("s-9", 1, feed.Serving)
 	newMember.UpSince = int64(h.now / time.Millisecond)
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, newMember, member("s-1", 1, feed.Deleted))}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, newMember, member("s-1", 1, feed.Deleted))}})
 	h.connect("10.0.0.1:5080")
 	for id := uint64(1); len(h.attempts) == 0 && id < 100; id++ { // slow start grants the first attempt at a random time
 		h.advance(100 * time.Millisecond)
@@ -1165,7 +1165,7 @@
 			h.connect("10.0.0.1:5080")
 			h.officeSends(conn, releaseMsg(7, office.CauseTemporary, ""))
 			h.advance(250 * time.Millisecond) // the second attempt started 50 ms ago
-			input := Input{Kind: InReceive, Conn: caller, Bytes: []byte(request("CANCEL", 7)), Waited: tt.waited}
+			input := Input{Kind: InReceive, Conn: caller, Bytes: []byte(request("CANCEL", 7)), Delay: tt.waited}
 			if tt.closes {
 				input.Kind, input.Bytes = InClosed, nil
 			}
@@ -1203,7 +1203,7 @@
 				t.Fatalf("%d attempts before the release of the first is written", len(h.attempts))
 			}
 			if blocked {
-				h.apply(Input{Kind: InStuck, Conn: conn, On: true})
+				h.apply(Input{Kind: InWriteBlocked, Conn: conn, Blocked: true})
 			}
 			h.withholdWritten = false
 			writtenAt := h.now
@@ -1228,7 +1228,7 @@
 	caller := h.acceptCaller()
 	h.callerSends(caller, invite(1, "dest:1;width:1"))
 	end := h.now + 500*time.Millisecond
-	h.apply(Input{Kind: InLeave, Until: end})
+	h.apply(Input{Kind: InShutdown, EndsAt: end})
 	h.callerSends(caller, invite(2, "dest:1;width:1;transit:1")) // its office does not answer
 	h.callerSends(caller, invite(3, "dest:1;width:1;transit:1"))
 	h.connect("10.0.0.1:5080")
@@ -1239,7 +1239,7 @@
 	requireMessages(t, "transit call when the process ends", h.takeCallerMessages(caller), "500")
 	h.callerSends(caller, invite(4, "dest:1;width:1"))
 	requireMessages(t, "call after that", h.takeCallerMessages(caller), "503")
-	if open, _ := h.server.Held(); open != 1 {
+	if open, _ := h.server.CallCounts(); open != 1 {
 		t.Errorf("%d open calls, want the one accepted before the shutdown", open)
 	}
 }
@@ -1248,7 +1248,7 @@
 // would go to one of them. Unknown clients may set a timer of years, or name established calls that do not exist: the deadline
 // of the class and the limit on adopted calls hold.
 func TestUnresponsiveHostAndExcessivePatience(t *testing.T) {
-	h := newHarness(t, func(cfg *Config) { cfg.MaxOpen = 3 })
+	h := newHarness(t, func(cfg *Config) { cfg.MaxOpenCalls = 3 })
 	for id := uint64(1); id <= 3; id++ {
 		h.connect("10.0.0.1:5080")
 		caller := h.acceptCaller()
@@ -1256,7 +1256,7 @@
 	}
 	h.connect("10.0.0.1:5080")
 	h.advance(9100 * time.Millisecond)
-	if open, _ := h.server.Held(); open != 0 {
+	if open, _ := h.server.CallCounts(); open != 0 {
 		t.Fatalf("%d calls are open past the deadline of their class", open)
 	}
 	if remote := h.server.offices["s-1"]; remote.anyConnUp() {
@@ -1266,7 +1266,7 @@
 	for id := uint64(10); id < 20; id++ {
 		h.callerSends(caller, invite(id, "at:s-1"))
 	}
-	if _, established := h.server.Held(); established != 3 {
+	if _, established := h.server.CallCounts(); established != 3 {
 		t.Fatalf("%d adopted calls, the limit is 3", established)
 	}
 }
@@ -1290,7 +1290,7 @@
 	requireMessages(t, "release by the office", h.takeCallerMessages(caller), "BYE")
 	h.advance(6 * time.Second)
 	requireMessages(t, "call at an office that service discovery does not name", h.takeCallerMessages(caller), "BYE")
-	if _, established := h.server.Held(); established != 0 {
+	if _, established := h.server.CallCounts(); established != 0 {
 		t.Fatalf("%d established calls", established)
 	}
 }
@@ -1301,7 +1301,7 @@
 	for i := range 300 {
 		position, exchange := uint64(2+i), 1+i%2
 		oldID, newID := fmt.Sprintf("s-%d", i+1), fmt.Sprintf("s-%d", i+3)
-		h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(position, false, member(oldID, exchange, feed.Deleted),
+		h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(position, false, member(oldID, exchange, feed.Deleted),
 			member(newID, exchange, feed.Serving))}})
 		h.connect("10.0.0.1:5080")
 		h.connect("10.0.0.2:5080")
@@ -1325,7 +1325,8 @@
 
 // BenchmarkCall handles one call from its set-up to its release.
 func BenchmarkCall(b *testing.B) {
-	server, err := New(Config{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second, MaxOpen: 1000, Callers: 10, Offices: 100, LogLevel: slog.LevelError})
+	server, err := New(Config{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second, MaxOpenCalls: 1000, MaxCallerConns: 10, MaxOfficeConns: 100,
+		LogLevel: slog.LevelError})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -1367,7 +1368,7 @@
 			data, _ := office.Append(nil, msg)
 			server.Apply(Input{At: now, Kind: InReceive, Conn: conn, Bytes: data})
 		}
-		server.Apply(Input{At: now, Kind: InAdvance})
+		server.Apply(Input{At: now, Kind: InTimer})
 		connectDialled()
 	}
 	if server.totals.Established < id-1 {
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -88,7 +88,7 @@
 	remote.conns, s.officeConns[conn.id] = append(remote.conns, conn), conn
 	remote.detector.RecordDial(s.now)
 	s.trace("dial", "", remote.id, conn.id, "", 0)
-	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Within: s.cfg.ConnectTimeout})
+	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Timeout: s.cfg.ConnectTimeout})
 }
 
 // armConnCheck schedules a check of an office's connections.
@@ -152,7 +152,7 @@
 // it may, its oldest idle one is half-closed first. If many offices are unreachable at once, descriptors are the limit.
 func (s *Server) dialAdditional(remote *remoteOffice) {
 	counts := remote.countConns()
-	full := len(s.officeConns) >= s.cfg.Offices+s.cfg.Offices/halfClosedDivisor
+	full := len(s.officeConns) >= s.cfg.MaxOfficeConns+s.cfg.MaxOfficeConns/halfClosedDivisor
 	switch {
 	case full && counts.idle == 0:
 		return
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -33,7 +33,7 @@
 	if event.Pos > s.position+1 && !event.Hosts.Complete {
 		s.log(slog.LevelWarn, "gap in service discovery events", slog.Uint64("from", s.position), slog.Uint64("to", event.Pos))
 		s.position = 0
-		s.emit(AskJournal{})
+		s.emit(RequestDiscovery{})
 		return
 	}
 	s.position, s.discoveryChangedAt = event.Pos, s.now
@@ -207,7 +207,7 @@
 // LogTotals logs the totals of this process and the counts of each office.
 func (s *Server) LogTotals() {
 	totals := s.totals
-	open, established := s.Held()
+	open, established := s.CallCounts()
 	s.log(slog.LevelInfo, "totals", slog.Uint64("offered", totals.Offered), slog.Uint64("stood", totals.Established),
 		slog.Uint64("refused", totals.Refused), slog.Uint64("failed", totals.Failed),
 		slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
--- a/callserver/effects.go
+++ b/callserver/effects.go
@@ -26,27 +26,28 @@
 	Linger bool // bytes may still arrive, and a reset must not discard the response
 }
 
-// Shut closes a connection for writing. What its peer has written until it notices still arrives as input, and then InClosed.
-type Shut struct{ Conn ConnID }
+// HalfClose closes a connection for writing. What its peer has written until it notices still arrives as input, and then
+// InClosed.
+type HalfClose struct{ Conn ConnID }
 
 // Dial opens a connection to an office; InConnected or InFailed reports the result.
 type Dial struct {
-	Conn   ConnID
-	Addr   string
-	Within time.Duration
+	Conn    ConnID
+	Addr    string
+	Timeout time.Duration
 }
 
 // Decision reports a decision of the Controller to observers. Other effects carry it out.
 type Decision struct {
-	At     time.Duration
-	Call   uint64 // the Controller's ID
-	Action logic.Action
-	Office string        // empty for ActionRefuse and ActionFail
-	Within time.Duration // timeout of an attempt
+	At      time.Duration
+	Call    uint64 // the Controller's ID
+	Action  logic.Action
+	Office  string        // empty for ActionRefuse and ActionFail
+	Timeout time.Duration // timeout of an attempt
 }
 
-// AskJournal requests the service discovery stream again, from the position that Server.Pos returns.
-type AskJournal struct{}
+// RequestDiscovery requests the service discovery stream again, from the position that Server.Position returns.
+type RequestDiscovery struct{}
 
 // Confirm requests the input InWritten once all earlier effects have been carried out.
 type Confirm struct{}
@@ -58,28 +59,28 @@
 	Attrs []slog.Attr
 }
 
-func (Write) effect()      {}
-func (Decision) effect()   {}
-func (Close) effect()      {}
-func (Shut) effect()       {}
-func (Dial) effect()       {}
-func (AskJournal) effect() {}
-func (Confirm) effect()    {}
-func (Log) effect()        {}
+func (Write) effect()            {}
+func (Decision) effect()         {}
+func (Close) effect()            {}
+func (HalfClose) effect()        {}
+func (Dial) effect()             {}
+func (RequestDiscovery) effect() {}
+func (Confirm) effect()          {}
+func (Log) effect()              {}
 
 // InputKind is the kind of an Input. The comments of its values name the fields that are set.
 type InputKind byte
 
-// The kinds of input.
+// Kinds of input.
 const (
-	InAccepted  InputKind = iota // Conn, From: a connection from callers was accepted
-	InConnected                  // Conn: a dialled connection is up
-	InFailed                     // Conn, Refused: a dialled connection did not come up
-	InClosed                     // Conn, Reset, Waited: a connection has ended
-	InReceive                    // Conn, Bytes, Waited
-	InStuck                      // Conn, On: whether TCP has stopped accepting bytes
-	InJournal                    // Events: service discovery events
-	InAdvance                    // a timer is due
-	InLeave                      // Until: this process ends then; calls accepted from now on must be over by that time
-	InWritten                    // the effects before a Confirm have been carried out
+	InAccepted     InputKind = iota // Conn, From: a connection from callers was accepted
+	InConnected                     // Conn: a dialled connection is up
+	InFailed                        // Conn, Refused: a dialled connection did not come up
+	InClosed                        // Conn, Reset, Delay: a connection has ended
+	InReceive                       // Conn, Bytes, Delay
+	InWriteBlocked                  // Conn, Blocked: whether TCP has stopped accepting bytes
+	InDiscovery                     // Events: service discovery events
+	InTimer                         // a timer is due
+	InShutdown                      // EndsAt: this process ends then; calls accepted from now on must be over by that time
+	InWritten                       // the effects before a Confirm have been carried out
 )
--- a/callserver/halfclosed.go
+++ b/callserver/halfclosed.go
@@ -8,14 +8,14 @@
 // halfClose closes a connection without outstanding attempts for writing. A release may be under way on it, and its office would
 // repeat it only on the next connection that is opened: so it is read until the office closes it as well.
 func (s *Server) halfClose(conn *officeConn, why string) {
-	if conn.writeBlocked || !conn.up || s.halfClosedConns >= s.cfg.Offices/halfClosedDivisor {
+	if conn.writeBlocked || !conn.up || s.halfClosedConns >= s.cfg.MaxOfficeConns/halfClosedDivisor {
 		s.closeConn(conn, why)
 		return
 	}
 	conn.halfClosed, conn.halfClosedAt = true, s.now
 	s.halfClosedConns++
 	s.logConn("office's connection half-closed", conn, why)
-	s.emit(Shut{Conn: conn.id})
+	s.emit(HalfClose{Conn: conn.id})
 	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, id: uint64(conn.id)})
 	if conn.remote.lastLossAt > 0 && s.now-conn.remote.lastLossAt <= correlatedLossWindow {
 		// The connection can no longer show that its office's process lives on.
@@ -44,7 +44,7 @@
 	remote := conn.remote
 	lastActivity := s.now - remote.detector.Silence(s.now)
 	noActivity := remote.detector.State() != liveness.Failed && lastActivity <= conn.halfClosedAt+activityLag
-	return remote.supervised && remote.establishedCalls > 0 && noActivity && len(s.officeConns) <= s.cfg.Offices
+	return remote.supervised && remote.establishedCalls > 0 && noActivity && len(s.officeConns) <= s.cfg.MaxOfficeConns
 }
 
 // keepLingering keeps reading a half-closed connection for as long as no new one needs its descriptor.
@@ -58,7 +58,7 @@
 
 // evictLingeringConn closes the oldest lingering connection if all descriptors for offices are in use.
 func (s *Server) evictLingeringConn() {
-	if len(s.officeConns) < s.cfg.Offices {
+	if len(s.officeConns) < s.cfg.MaxOfficeConns {
 		return
 	}
 	var oldest *officeConn
--- a/callserver/halfclosed_test.go
+++ b/callserver/halfclosed_test.go
@@ -62,7 +62,7 @@
 
 // Half-closed connections that are still read are closed if their descriptors are needed for new connections.
 func TestLingeringConnectionsAreEvicted(t *testing.T) {
-	h := newHarness(t, func(cfg *Config) { cfg.Offices = halfClosedDivisor })
+	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = halfClosedDivisor })
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
 	h.establish(caller, 7)
@@ -75,7 +75,7 @@
 			lingered = lingered || conn.lingering
 		}
 	}
-	if limit := h.server.cfg.Offices + maxDialling; maxConns > limit || !lingered {
+	if limit := h.server.cfg.MaxOfficeConns + maxDialling; maxConns > limit || !lingered {
 		t.Errorf("%d connections, want at most %d; one lingered: %v", maxConns, limit, lingered)
 	}
 	if h.server.halfClosedConns < 0 {
--- a/callserver/handover_test.go
+++ b/callserver/handover_test.go
@@ -57,7 +57,7 @@
 			h.connect("10.0.0.1:5080") // a new process owns the address
 			h.establish(caller, 8)
 			for i, listed := range members {
-				h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(uint64(2+i), false, listed)}})
+				h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(uint64(2+i), false, listed)}})
 				h.advance(10 * time.Millisecond)
 			}
 			requireMessages(t, "messages to the caller of the second call", h.takeCallerMessages(caller))
@@ -87,7 +87,7 @@
 	h.establish(caller, 8)
 	goneMember := successor("s-8", firstStart)
 	goneMember.Phase = feed.Deleted
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted)),
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted)),
 		discoveryEvent(3, false, successor("s-8", firstStart)), discoveryEvent(4, false, goneMember),
 		discoveryEvent(5, false, successor("s-9", h.now.Milliseconds()-100))}})
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller))
@@ -101,7 +101,7 @@
 func TestSuccessorNamedAfterItsPredecessorIsGone(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	startedAtMs := h.establishAfterRestart(caller, time.Second, 8)
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted)),
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted)),
 		discoveryEvent(3, false, successor("s-9", startedAtMs))}})
 	requireMessages(t, "messages to the callers", h.takeCallerMessages(caller), "BYE")
 	h.checkEstablishedAt(8, "s-9")
@@ -111,7 +111,7 @@
 func TestNoSuccessorIsNamed(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	h.server.offices["s-1"].replacedAt = startTime - 1
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted))}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted))}})
 	requireMessages(t, "messages to the caller at once", h.takeCallerMessages(caller))
 	h.advance(successorTimeout)
 	requireMessages(t, "messages to the caller later", h.takeCallerMessages(caller), "BYE")
@@ -123,7 +123,7 @@
 // Service discovery still names an office whose address already belongs to another one: a release from either ends the call.
 func TestAReleaseFromTheOfficeThatHasTheAddress(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, successor("s-9", 0))}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, successor("s-9", 0))}})
 	conn := h.connect("10.0.0.1:5080")
 	if h.server.officeConns[conn].remote.id != "s-9" {
 		t.Fatal("no connection to the new office")
@@ -137,9 +137,9 @@
 func TestCallsBeforeTheStartOfASuccessorAreDropped(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	startedAtMs := h.establishAfterRestart(caller, 2*time.Second, 8)
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, successor("s-9", startedAtMs))}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, successor("s-9", startedAtMs))}})
 	h.connect("10.0.0.1:5080")
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(3, false, member("s-1", 1, feed.Deleted))}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(3, false, member("s-1", 1, feed.Deleted))}})
 	requireMessages(t, "messages to the callers", h.takeCallerMessages(caller), "BYE")
 	h.checkEstablishedAt(8, "s-9")
 }
@@ -150,7 +150,7 @@
 	h.server.offices["s-1"].replacedAt = startTime - 1 // so the call is established at the owner of the address
 	goneMember := member("s-1", 1, feed.Deleted)
 	goneMember.Addr = "10.0.0.2:5080"
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, goneMember, successor("s-9", 0))}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, goneMember, successor("s-9", 0))}})
 	if call := h.server.callsByWireID[7]; call == nil || call.remote.id != "s-9" {
 		t.Error("the call is not established at the office that owns its address")
 	}
--- a/callserver/hangup_test.go
+++ b/callserver/hangup_test.go
@@ -52,7 +52,7 @@
 			if n := h.countSetUps(9); n != 0 {
 				t.Errorf("%s, can cancel %v: %d set-ups after the caller hung up", name, canCancel, n)
 			}
-			if open, established := h.server.Held(); open != 0 || established != 0 || len(h.server.calls) != 0 {
+			if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.calls) != 0 {
 				t.Errorf("%s, can cancel %v: %d open calls, %d established, %d not removed", name, canCancel, open, established, len(h.server.calls))
 			}
 		}
@@ -67,7 +67,7 @@
 		caller := h.acceptCaller()
 		h.callerSends(caller, invite(9, "dest:1;width:1"))
 		conn, _ := h.takeSetUp(9)
-		h.apply(Input{Kind: InStuck, Conn: conn, On: true})
+		h.apply(Input{Kind: InWriteBlocked, Conn: conn, Blocked: true})
 		h.apply(Input{Kind: InClosed, Conn: caller})
 		if closing, closed := h.closed[conn]; !closed || !closing.Now {
 			t.Errorf("can cancel %v: the queued set-up may still be sent: %v", canCancel, closing)
--- a/callserver/host.go
+++ b/callserver/host.go
@@ -19,7 +19,7 @@
 		s.log(slog.LevelError, "cannot start attempt", slog.Uint64("call", callID), slog.String("office", officeID))
 		return
 	}
-	s.emit(Decision{At: s.now, Call: callID, Action: logic.ActionSend, Office: officeID, Within: timeout})
+	s.emit(Decision{At: s.now, Call: callID, Action: logic.ActionSend, Office: officeID, Timeout: timeout})
 	s.logDecision("attempt", call, slog.Int("number", call.attempts), slog.String("office", officeID), slog.Duration("within", timeout))
 	call.attempts++
 	call.remote, call.sentAt, call.attemptDeadline, call.attemptActive = remote, s.now, s.now+timeout, true
--- a/callserver/offices.go
+++ b/callserver/offices.go
@@ -83,7 +83,7 @@
 	maxIdleConns             = 2                      // per office; with this many, the oldest makes room for a new connection
 	halfClosedTimeout        = time.Second            // a living office closes its end at once
 	activityLag              = 100 * time.Millisecond // activity this soon after a half-close may be older, or the peer kernel's
-	halfClosedDivisor        = 8                      // at most 1/halfClosedDivisor of Config.Offices may be half-closed connections
+	halfClosedDivisor        = 8                      // at most 1/halfClosedDivisor of Config.MaxOfficeConns may be half-closed connections
 )
 
 // maxConnsToOffice returns how many connections an office may have.
@@ -94,7 +94,7 @@
 			liveOffices++
 		}
 	}
-	return min(maxConnsPerOffice, max(1, s.cfg.Offices/liveOffices))
+	return min(maxConnsPerOffice, max(1, s.cfg.MaxOfficeConns/liveOffices))
 }
 
 func (r *remoteOffice) anyConnUp() bool {
--- a/callserver/supervision_test.go
+++ b/callserver/supervision_test.go
@@ -88,7 +88,7 @@
 	requireMessages(t, "messages to the caller before the limit", h.takeCallerMessages(caller))
 	h.advanceUnreachable(500 * time.Millisecond)
 	requireMessages(t, "messages to the caller after it", h.takeCallerMessages(caller), "BYE", "BYE", "BYE")
-	if _, established := h.server.Held(); established != 0 {
+	if _, established := h.server.CallCounts(); established != 0 {
 		t.Errorf("%d established calls", established)
 	}
 	h.advance(2 * time.Second)
@@ -112,7 +112,7 @@
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "BYE")
 	h.advanceWithReports(5*time.Second, conn)
 	requireMessages(t, "later messages to the caller", h.takeCallerMessages(caller))
-	if _, established := h.server.Held(); established != 1 {
+	if _, established := h.server.CallCounts(); established != 1 {
 		t.Errorf("%d established calls", established)
 	}
 }
@@ -412,7 +412,7 @@
 	if got := h.takeOfficeMessages(conn); len(got) != 1 || got[0].Type != office.Release || got[0].Call != 7 {
 		t.Errorf("messages to the office: %v", got)
 	}
-	if open, established := h.server.Held(); open != 0 || established != 0 || len(h.server.calls) != 0 {
+	if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.calls) != 0 {
 		t.Errorf("%d open calls, %d established, %d not removed", open, established, len(h.server.calls))
 	}
 }
@@ -446,7 +446,7 @@
 			caller := h.acceptCaller()
 			h.callerSends(caller, invite(7, "dest:1;width:1"))
 			conn, _ := h.takeSetUp(7)
-			h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, append(listed, member("s-1", 1, feed.Deleted))...)}})
+			h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, append(listed, member("s-1", 1, feed.Deleted))...)}})
 			h.officeSends(conn, answerMsg(7))
 			requireMessages(t, "answer to the call", h.takeCallerMessages(caller), "200")
 			if listed != nil {
@@ -478,13 +478,13 @@
 // If many offices are unreachable at once, the connections that probe them must not exceed the descriptors for offices.
 func TestManyOfficesOutOfReachKeepWithinTheDescriptors(t *testing.T) {
 	const offices = 40
-	h := newHarness(t, func(cfg *Config) { cfg.Offices = offices + 5 })
+	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = offices + 5 })
 	var members []feed.Member
 	for exchange := 1; exchange <= offices; exchange++ {
 		members = append(members, feed.Member{ID: fmt.Sprint("o-", exchange), Addr: fmt.Sprintf("10.0.1.%d:5080", exchange),
 			Cell: exchange, Phase: feed.Serving})
 	}
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, true, members...)}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, true, members...)}})
 	for exchange := 1; exchange <= offices; exchange++ {
 		h.connect(fmt.Sprintf("10.0.1.%d:5080", exchange))
 	}
@@ -505,7 +505,7 @@
 		pending = dialCounts[max(0, len(dialCounts)-5)]
 	}
 	// Callers have 5/9 of the descriptors, offices 3/9, and 1/9 is left.
-	if limit := h.server.cfg.Offices + h.server.cfg.Offices/3; maxConns > limit {
+	if limit := h.server.cfg.MaxOfficeConns + h.server.cfg.MaxOfficeConns/3; maxConns > limit {
 		t.Errorf("%d connections, %d descriptors for them", maxConns, limit)
 	}
 	if got := len(h.takeCallerMessages(caller)); got != offices {
@@ -516,7 +516,7 @@
 // During shutdown new set-ups are refused and transit calls are accepted.
 func TestADrainTakesOnlyCallsInTransit(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
-	h.apply(Input{Kind: InLeave, Until: h.now + 3*time.Second})
+	h.apply(Input{Kind: InShutdown, EndsAt: h.now + 3*time.Second})
 	h.callerSends(caller, invite(8, "dest:1;width:1"))
 	requireMessages(t, "new set-up", h.takeCallerMessages(caller), "503")
 	h.callerSends(caller, invite(9, "dest:1;width:1;via:2;transit:1"))
@@ -584,7 +584,7 @@
 	}
 	h.advanceWithReports(2*time.Second, conn)
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "BYE", "BYE", "BYE")
-	if _, established := h.server.Held(); established != 1 {
+	if _, established := h.server.CallCounts(); established != 1 {
 		t.Errorf("%d established calls", established)
 	}
 }
--- a/cmd/benchlink/equivalence_test.go
+++ b/cmd/benchlink/equivalence_test.go
@@ -190,7 +190,7 @@
 		case callserver.Decision:
 			text := fmt.Sprintf("%v %s %d", effect.At, effect.Action, effect.Call)
 			if effect.Action == logic.ActionSend {
-				text += fmt.Sprintf(" %s %v", effect.Office, effect.Within)
+				text += fmt.Sprintf(" %s %v", effect.Office, effect.Timeout)
 			}
 			c.actions = append(c.actions, text)
 		}
@@ -199,8 +199,8 @@
 
 // advance applies what is due.
 func (c *coreAdapter) advance(now time.Duration) {
-	for at, ok := c.server.Next(); ok && at <= now; at, ok = c.server.Next() {
-		c.apply(callserver.Input{At: at, Kind: callserver.InAdvance})
+	for at, ok := c.server.NextTimer(); ok && at <= now; at, ok = c.server.NextTimer() {
+		c.apply(callserver.Input{At: at, Kind: callserver.InTimer})
 	}
 }
 
@@ -238,7 +238,8 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	now := 1_000_000 * time.Second
 	line := newLineAdapter(t)
-	server, err := callserver.New(callserver.Config{Settings: settings, Seed: 11, ConnectTimeout: time.Second, MaxOpen: 1000, Callers: 10, Offices: 1000})
+	server, err := callserver.New(callserver.Config{Settings: settings, Seed: 11, ConnectTimeout: time.Second,
+		MaxOpenCalls: 1000, MaxCallerConns: 10, MaxOfficeConns: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -354,7 +355,8 @@
 				health, i, i, position))
 			member := members[i]
 			member.Phase = phase
-			core.apply(callserver.Input{At: now, Kind: callserver.InJournal, Events: []feed.Event{{Pos: position, Hosts: feed.Hosts{Members: []feed.Member{member}}}}})
+			core.apply(callserver.Input{At: now, Kind: callserver.InDiscovery, Events: []feed.Event{{Pos: position,
+				Hosts: feed.Hosts{Members: []feed.Member{member}}}}})
 		}
 	}
 	sends := 0
--- a/node/config.go
+++ b/node/config.go
@@ -154,6 +154,6 @@
 // need more than the third that they are specified to use; offices get a third.
 func (c *Config) serverConfig() callserver.Config {
 	free := c.Limits.Sockets - reservedDescriptors
-	return callserver.Config{Settings: c.Settings.Settings, Seed: c.Seed, MaxOpen: c.Settings.MaxOpen,
-		ConnectTimeout: time.Duration(c.Settings.ConnectTimeout), Callers: free * 5 / 9, Offices: free / 3}
+	return callserver.Config{Settings: c.Settings.Settings, Seed: c.Seed, MaxOpenCalls: c.Settings.MaxOpen,
+		ConnectTimeout: time.Duration(c.Settings.ConnectTimeout), MaxCallerConns: free * 5 / 9, MaxOfficeConns: free / 3}
 }
--- a/node/connections.go
+++ b/node/connections.go
@@ -16,7 +16,7 @@
 func (n *Node) serve(id callserver.ConnID, conn net.Conn) {
 	peer := &endpoint{id: id, resume: make(chan struct{}, 1)}
 	peer.Link = link.NewDirect(conn, func(blocked bool) {
-		in := callserver.Input{Kind: callserver.InStuck, Conn: id, On: blocked}
+		in := callserver.Input{Kind: callserver.InWriteBlocked, Conn: id, Blocked: blocked}
 		if blocked { // called on the loop itself, since only the loop writes
 			n.selfInputs = append(n.selfInputs, in)
 			return
@@ -69,7 +69,7 @@
 		}
 		n.selfInputs = n.selfInputs[:0]
 	}
-	n.discoveryPos.Store(n.core.Pos())
+	n.discoveryPos.Store(n.core.Position())
 }
 
 func (n *Node) applyEffect(effect callserver.Effect) {
@@ -81,7 +81,7 @@
 		}
 	case callserver.Close:
 		n.closeEndpoint(effect)
-	case callserver.Shut:
+	case callserver.HalfClose:
 		if peer := n.endpoints[effect.Conn]; peer != nil {
 			if tcp, ok := peer.Conn().(*net.TCPConn); ok {
 				_ = tcp.CloseWrite() // where it fails, the next read returns an error
@@ -91,7 +91,7 @@
 		n.dial(effect)
 	case callserver.Confirm:
 		n.selfInputs = append(n.selfInputs, callserver.Input{Kind: callserver.InWritten})
-	case callserver.AskJournal:
+	case callserver.RequestDiscovery:
 		n.discovery.reconnect()
 	case callserver.Log:
 		n.log.LogAttrs(context.Background(), effect.Level, effect.Text, effect.Attrs...)
@@ -132,7 +132,7 @@
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		ctx, cancel := context.WithTimeout(link.Context(n.stop), request.Within)
+		ctx, cancel := context.WithTimeout(link.Context(n.stop), request.Timeout)
 		defer cancel()
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", request.Addr)
 		if err != nil {
--- a/node/discovery.go
+++ b/node/discovery.go
@@ -233,7 +233,7 @@
 		}
 		events = append(events, *ev)
 	}
-	if len(events) > 0 && !c.node.enqueue(input{Input: callserver.Input{Kind: callserver.InJournal, Events: events}}) {
+	if len(events) > 0 && !c.node.enqueue(input{Input: callserver.Input{Kind: callserver.InDiscovery, Events: events}}) {
 		return errors.New("discovery: the node has stopped")
 	}
 	return decodeErr
--- a/node/drain.go
+++ b/node/drain.go
@@ -35,7 +35,7 @@
 	}
 	if n.drainEndsAt == 0 {
 		n.drainEndsAt = n.drainStartedAt + duration
-		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InLeave, Until: n.drainEndsAt})
+		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InShutdown, EndsAt: n.drainEndsAt})
 	}
 	if elapsed < duration {
 		return false
@@ -43,13 +43,13 @@
 	if n.acceptStoppedAt == 0 {
 		n.acceptStoppedAt = n.now()
 		n.listener.Close()
-		open, established := n.core.Held()
+		open, established := n.core.CallCounts()
 		n.log.Info("no longer accepting connections", "open", open, "standing", established)
 	}
 	if n.now()-n.acceptStoppedAt < drainFinalWait {
 		return false
 	}
-	open, _ := n.core.Held()
+	open, _ := n.core.CallCounts()
 	return open == 0 || elapsed > n.maxDeadline()+drainServeTime
 }
 
--- a/node/loop.go
+++ b/node/loop.go
@@ -73,7 +73,7 @@
 			n.closeAll()
 			return
 		}
-		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InAdvance})
+		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InTimer})
 		n.applyEffects()
 		if n.drainStartedAt > 0 && n.advanceDrain() {
 			n.closeAll()
@@ -86,7 +86,7 @@
 // received bytes are due together, and no attempt must begin for a caller who left during the pause. The sleep gives
 // readers that have not run since then the time to do so.
 func (n *Node) applyInputsBeforeTimers() {
-	if due, ok := n.core.Next(); ok && n.now()-due > overdueThreshold {
+	if due, ok := n.core.NextTimer(); ok && n.now()-due > overdueThreshold {
 		time.Sleep(time.Millisecond)
 	}
 	select {
@@ -99,7 +99,7 @@
 // resetTimer sets the timer to the next timer of the core or the next check of a drain, whichever comes first.
 func (n *Node) resetTimer(timer *time.Timer) {
 	wait := time.Hour
-	if due, ok := n.core.Next(); ok {
+	if due, ok := n.core.NextTimer(); ok {
 		wait = max(0, due-n.now())
 	}
 	if n.drainStartedAt > 0 {
@@ -135,7 +135,7 @@
 		n.serve(in.Conn, in.conn)
 	case callserver.InReceive:
 		if n.endpoints[in.Conn] == in.endpoint {
-			in.Waited = now - in.receivedAt
+			in.Delay = now - in.receivedAt
 			n.core.Apply(in.Input)
 		}
 		in.endpoint.resume <- struct{}{}
@@ -145,7 +145,7 @@
 			return
 		}
 		delete(n.endpoints, in.Conn)
-		in.Waited = now - in.receivedAt
+		in.Delay = now - in.receivedAt
 	}
 	n.core.Apply(in.Input)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -139,7 +139,7 @@
 	n.log.Info("started", "listen", n.listener.Addr().String(), "journal", n.cfg.Journal, "sockets", n.cfg.Limits.Sockets,
 		"memory_mb", n.cfg.Limits.MemoryMB, "cores", n.cfg.Limits.Cores)
 	n.core.Start(n.now(), n.cfg.Known)
-	n.discoveryPos.Store(n.core.Pos())
+	n.discoveryPos.Store(n.core.Position())
 	n.startDiscovery(n.cfg.Journal)
 	n.wg.Add(1)
 	go func() {
