--- a/cmd/finchlatch/node.go
+++ b/cmd/finchlatch/node.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	n.Fit()
+	n.ApplyLimits()
 	if err := n.Listen(); err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 			case <-hup:
 				n.Reload()
 			case <-term:
-				n.Leave()
+				n.Drain()
 			case <-ended:
 				return
 			}
--- a/node/node.go
+++ b/node/node.go
@@ -96,9 +96,9 @@
 	return n, nil
 }
 
-// Fit adapts the Go runtime of the whole process to the limits of the machine: it sets GOMAXPROCS to the number of cores and
-// the memory limit to three quarters of the memory.
-func (n *Node) Fit() {
+// ApplyLimits adapts the Go runtime of the whole process to the limits of the machine: it sets GOMAXPROCS to the number of
+// cores and the memory limit to three quarters of the memory.
+func (n *Node) ApplyLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.cfg.Limits.Cores))))
 	debug.SetMemoryLimit(int64(n.cfg.Limits.MemoryMB) << 20 * 3 / 4)
 }
@@ -118,8 +118,8 @@
 // Reload makes the Node read its configuration file again.
 func (n *Node) Reload() { notify(n.reloadRequests) }
 
-// Leave begins the drain: new calls are served for a while, every accepted call is answered, and then Run returns.
-func (n *Node) Leave() { notify(n.drainRequests) }
+// Drain begins the drain: new calls are served for a while, every accepted call is answered, and then Run returns.
+func (n *Node) Drain() { notify(n.drainRequests) }
 
 // notify makes a request unless one is pending already.
 func notify(requests chan struct{}) {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -296,7 +296,7 @@
 	caller := h.dial()
 	h.invite(caller, 1, 1, 1500*time.Millisecond)
 	killTime := time.Now().Add(1500*time.Millisecond + drainServeTime)
-	h.node.Leave()
+	h.node.Drain()
 	h.invite(caller, 2, 2, time.Second)
 	lateCaller := h.dial()
 	h.invite(lateCaller, 3, 2, time.Second)
@@ -500,7 +500,7 @@
 // and Run returns in time.
 func TestSignalsInAnyOrder(t *testing.T) {
 	t.Parallel()
-	reload, drain := (*Node).Reload, (*Node).Leave
+	reload, drain := (*Node).Reload, (*Node).Drain
 	truncateConfig := func(h *harness) {
 		if err := os.WriteFile(h.configPath, []byte(`{"name":"n0","lis`), 0o600); err != nil {
 			h.t.Error(err)
@@ -649,7 +649,7 @@
 		h.settingsEdits = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":300000000`)
 	})
 	t.Cleanup(func() { close(blocker.testEnded) })
-	h.node.Leave()
+	h.node.Drain()
 	<-blocker.blocked
 	acceptStop := time.Now().Add(drainServeTime + 50*time.Millisecond)
 	blocker.message.Store("caller's message refused")
