--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -43,10 +43,10 @@
 
 // Settings of a Controller.
 type Settings struct {
-	Weights  []float64 // weight of each client in the division of the capacity; 0 counts as 1
-	Alone    bool      // no shares: only MaxCalls applies
-	MaxCalls int       // calls that one client may have at the same time; 0: no limit
-	TopWorth float64   // worth of the class with the highest worth
+	Weights       []float64 // weight of each client in the division of the capacity; 0 counts as 1
+	DisableShares bool      // no shares: only MaxCalls applies
+	MaxCalls      int       // calls that one client may have at the same time; 0: no limit
+	TopWorth      float64   // worth of the class with the highest worth
 }
 
 // Controller limits the calls of the clients of one call server. It is not safe for concurrent use.
@@ -174,7 +174,7 @@
 		refusalRatio = refused / (established + refused)
 	}
 	switch {
-	case len(c.clients) < 2 || c.settings.Alone: // no other client, or shares are off: the decision module alone decides
+	case len(c.clients) < 2 || c.settings.DisableShares: // no other client, or shares are off: the decision module alone decides
 	case !c.sharing && refusalRatio > startRefusalRatio:
 		c.sharing, c.admitRate = true, established
 		for i := range c.clients {
--- a/router/config.go
+++ b/router/config.go
@@ -231,7 +231,7 @@
 	settings := ingress.Settings{MaxCalls: c.MaxCalls}
 	for _, peer := range c.Peers {
 		if peer.Kind == PeerClient {
-			settings.Alone = c.NoShares
+			settings.DisableShares = c.NoShares
 			settings.Weights = append(settings.Weights, peer.Weight)
 		}
 	}
