--- a/internal/link/accept.go
+++ b/internal/link/accept.go
@@ -26,24 +26,24 @@
 // acceptRetryDelay is the time between a failed accept and the next one.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// Places is a counting semaphore that bounds how many connections are served at once.
-type Places chan struct{}
+// Semaphore is a counting semaphore that bounds how many connections are served at once.
+type Semaphore chan struct{}
 
-// Take takes a place and reports whether one was free.
-func (p Places) Take() bool {
+// TryAcquire acquires a slot and reports whether one was free.
+func (s Semaphore) TryAcquire() bool {
 	select {
-	case p <- struct{}{}:
+	case s <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-// Leave returns a place.
-func (p Places) Leave() { <-p }
+// Release gives a slot back.
+func (s Semaphore) Release() { <-s }
 
-// Context returns a context that is cancelled when stop is closed.
-func Context(stop <-chan struct{}) context.Context { return stopContext{stop} }
+// ContextFromChannel returns a context that is cancelled when stop is closed.
+func ContextFromChannel(stop <-chan struct{}) context.Context { return stopContext{stop} }
 
 type stopContext struct{ stop <-chan struct{} }
 
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -115,11 +115,11 @@
 	(<-accepted).Close()
 	listener.Close()
 	<-ended
-	places := make(Places, 1)
-	if !places.Take() || places.Take() {
+	slots := make(Semaphore, 1)
+	if !slots.TryAcquire() || slots.TryAcquire() {
 		t.Fatal("one place is not taken exactly once")
 	}
-	if places.Leave(); !places.Take() {
+	if slots.Release(); !slots.TryAcquire() {
 		t.Fatal("a returned place is not free")
 	}
 }
--- a/node/connections.go
+++ b/node/connections.go
@@ -108,14 +108,14 @@
 	delete(n.endpoints, request.Conn)
 	peer.discard.Store(true)
 	tcp, ok := peer.Conn().(*net.TCPConn)
-	if !request.Linger || !ok || !n.lingerSlots.Take() {
+	if !request.Linger || !ok || !n.lingerSlots.TryAcquire() {
 		peer.Close()
 		return
 	}
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		defer n.lingerSlots.Leave()
+		defer n.lingerSlots.Release()
 		deadline := time.Now().Add(lingerTime)
 		peer.Drain(deadline)
 		_ = tcp.CloseWrite()
@@ -132,7 +132,7 @@
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		ctx, cancel := context.WithTimeout(link.Context(n.stop), request.Timeout)
+		ctx, cancel := context.WithTimeout(link.ContextFromChannel(n.stop), request.Timeout)
 		defer cancel()
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", request.Addr)
 		if err != nil {
--- a/node/discovery.go
+++ b/node/discovery.go
@@ -142,7 +142,7 @@
 // soon is not given up, since a slow service would then never get to answer. Hedged requests go out beside it, and the
 // first answer is used.
 func (c *discoveryClient) openStream() (*discoveryStream, error) {
-	ctx, cancel := context.WithCancel(link.Context(c.node.stop))
+	ctx, cancel := context.WithCancel(link.ContextFromChannel(c.node.stop))
 	results := make(chan streamResult)
 	outstanding := 0
 	defer func() {
--- a/node/loop.go
+++ b/node/loop.go
@@ -128,7 +128,7 @@
 	in.At = now
 	switch in.Kind {
 	case callserver.InAccepted:
-		n.unhandled.Leave()
+		n.unhandled.Release()
 		in.Conn, in.From = n.core.NewConn(), in.conn.RemoteAddr().String()
 		n.serve(in.Conn, in.conn)
 	case callserver.InConnected:
--- a/node/node.go
+++ b/node/node.go
@@ -39,11 +39,11 @@
 	listener        net.Listener
 	discoveryPos    atomic.Uint64 // position in the discovery stream up to which events have been applied
 	discovery       *discoveryClient
-	lingerSlots     link.Places
-	unhandled       link.Places   // connections that are accepted and that the loop has not handled yet
-	acceptStoppedAt time.Duration // Unix time at which the listener was closed by a drain; 0: it is open
-	drainStartedAt  time.Duration // Unix time; 0: no drain has started
-	drainEndsAt     time.Duration // planned end of the drain, Unix time; 0: the core has not been notified of it
+	lingerSlots     link.Semaphore
+	unhandled       link.Semaphore // connections that are accepted and that the loop has not handled yet
+	acceptStoppedAt time.Duration  // Unix time at which the listener was closed by a drain; 0: it is open
+	drainStartedAt  time.Duration  // Unix time; 0: no drain has started
+	drainEndsAt     time.Duration  // planned end of the drain, Unix time; 0: the core has not been notified of it
 }
 
 // input is a message from another goroutine to the event loop.
@@ -82,7 +82,7 @@
 	}
 	n := &Node{cfg: cfg, configPath: path, log: log.With("node", cfg.Name), inputs: make(chan input, inputQueueSize), stop: make(chan struct{}),
 		reloadRequests: make(chan struct{}, 1), drainRequests: make(chan struct{}, 1), endpoints: map[callserver.ConnID]*endpoint{},
-		lingerSlots: make(link.Places, maxLingering), unhandled: make(link.Places, maxUnhandled), startTime: time.Now()}
+		lingerSlots: make(link.Semaphore, maxLingering), unhandled: make(link.Semaphore, maxUnhandled), startTime: time.Now()}
 	n.startUnix = time.Duration(n.startTime.UnixNano())
 	settings := cfg.serverConfig()
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
--- a/server/server.go
+++ b/server/server.go
@@ -397,16 +397,16 @@
 // accept serves the connections that peers open.
 func (s *Server) accept() {
 	defer s.wg.Done()
-	places := make(link.Places, max(1, s.cfg.MaxConnections))
+	slots := make(link.Semaphore, max(1, s.cfg.MaxConnections))
 	link.Accept(s.listener, func(conn net.Conn) {
-		if !places.Take() {
+		if !slots.TryAcquire() {
 			s.refuse(conn, &m3ua.Fault{Code: m3ua.ErrBlocking, Text: "too many connections"})
 			return
 		}
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			defer places.Leave()
+			defer slots.Release()
 			cancelClose := context.AfterFunc(s.stopContext(), func() { conn.Close() })
 			id, initialBytes, err := s.identify(conn)
 			if !cancelClose() || err != nil {
@@ -422,7 +422,7 @@
 }
 
 // stopContext returns a context that ends with the server.
-func (s *Server) stopContext() context.Context { return link.Context(s.stop) }
+func (s *Server) stopContext() context.Context { return link.ContextFromChannel(s.stop) }
 
 // errorWriteTimeout bounds the time to send an M3UA error to a connection that is refused.
 const errorWriteTimeout = time.Second
