--- a/config/config.go
+++ b/config/config.go
@@ -439,7 +439,7 @@
 		nextLink += router.LinkID(len(aspIDs))
 		cfg.Router.Peers = append(cfg.Router.Peers, router.Peer{Name: peer.Name, Kind: kind, PointCode: peer.PointCode,
 			Circuits: circuits, ASPs: slices.Repeat([]m3ua.Settings{association}, len(aspIDs)), Mode: mode,
-			Needed: peer.RequiredASPs, Weight: peer.Weight})
+			MinActiveASPs: peer.RequiredASPs, Weight: peer.Weight})
 	}
 	c.require(!acceptsConnections || f.Listen != "", "listen", "peers without dial need an address to connect to")
 }
@@ -476,7 +476,7 @@
 		"%q is not a string of digits", settings.RoutingPrefix)
 	cfg.EnumAddress = settings.Listen
 	routerCfg := &cfg.Router
-	routerCfg.Routing, routerCfg.Lease, routerCfg.AskWithin = settings.RoutingPrefix, time.Duration(settings.Lease),
+	routerCfg.Routing, routerCfg.Lease, routerCfg.QueryTimeout = settings.RoutingPrefix, time.Duration(settings.Lease),
 		cmp.Or(time.Duration(settings.ReplyTimeout), time.Second)
 	if routerCfg.Lease == 0 && len(f.Classes) > 0 {
 		routerCfg.Lease = time.Hour
@@ -500,8 +500,8 @@
 			enumClient.Networks = append(enumClient.Networks, prefix)
 		}
 		cfg.Enum.Clients = append(cfg.Enum.Clients, enumClient)
-		routerCfg.Askers = append(routerCfg.Askers,
-			router.Asker{Name: client.Name, Client: client.Client, Class: class, Leases: client.Leases})
+		routerCfg.ENUMClients = append(routerCfg.ENUMClients,
+			router.ENUMClient{Name: client.Name, Client: client.Client, Class: class, Leases: client.Leases})
 	}
 }
 
@@ -582,7 +582,7 @@
 	}
 	c.require(f.Limits.Calls >= 0, "limits.calls", "%d is negative", f.Limits.Calls)
 	c.require(f.Limits.Connections >= 0, "limits.connections", "%d is negative", f.Limits.Connections)
-	cfg.Router.NoShares = f.Limits.NoShares
+	cfg.Router.DisableShares = f.Limits.NoShares
 	cfg.Router.MaxCalls, cfg.MaxConnections = f.Limits.Calls, cmp.Or(f.Limits.Connections, defaultMaxConnections)
 	if cfg.MaxMessageBytes == 0 {
 		cfg.MaxMessageBytes = m3ua.DefaultMaxMessage
--- a/enum/frontend.go
+++ b/enum/frontend.go
@@ -59,7 +59,7 @@
 	Message *dns.Msg
 }
 
-// RouteQuery queries the Router for the route of a number (router.InAsk).
+// RouteQuery queries the Router for the route of a number (router.InQuery).
 type RouteQuery struct {
 	ID     uint64
 	Client string
@@ -219,12 +219,12 @@
 
 // Reply handles the Router's reply to a route query and responds to all queries that wait for it.
 func (f *Frontend) Reply(now time.Duration, reply router.Reply) []Effect {
-	lookup := f.lookupsByID[reply.Ask]
+	lookup := f.lookupsByID[reply.QueryID]
 	if lookup == nil || lookup.reply != nil {
 		return nil
 	}
-	lookup.reply, lookup.replyUntil = &reply, reply.Until
-	if reply.Verdict != router.Stands {
+	lookup.reply, lookup.replyUntil = &reply, reply.ExpiresAt
+	if reply.Result != router.Established {
 		lookup.replyUntil = now + refusalLifetime
 	}
 	var effects []Effect
@@ -316,19 +316,19 @@
 func (f *Frontend) responseFor(waiting waitingQuery, lookup *routeLookup) *dns.Msg {
 	reply := lookup.reply
 	switch {
-	case reply.Verdict == router.Stands:
+	case reply.Result == router.Established:
 		response := f.newResponse(waiting, dns.RcodeSuccess, 0, "")
 		response.Answer = []dns.RR{&dns.NAPTR{
 			Hdr:   dns.RR_Header{Name: waiting.query.Question[0].Name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET},
 			Order: 100, Preference: 10, Flags: "u", Service: "E2U+pstn:tel",
-			Regexp: fmt.Sprintf("!^.*$!tel:+%s;npdi;rn=+%s!", lookup.key.number, reply.Routing)}}
+			Regexp: fmt.Sprintf("!^.*$!tel:+%s;npdi;rn=+%s!", lookup.key.number, reply.RoutingNumber)}}
 		if !waiting.tcp {
 			response.Truncate(udpSizeLimit(waiting.query))
 		}
 		return response
 	case reply.Cause == isup.CauseUnallocated:
 		return f.newResponse(waiting, dns.RcodeNameError, 0, "")
-	case reply.Verdict == router.Refused:
+	case reply.Result == router.Refused:
 		return f.newResponse(waiting, dns.RcodeRefused, dns.ExtendedErrorCodeNotReady, fmt.Sprintf("cause %d", reply.Cause))
 	}
 	return f.newResponse(waiting, dns.RcodeServerFailure, dns.ExtendedErrorCodeOther, fmt.Sprintf("cause %d", reply.Cause))
--- a/enum/frontend_test.go
+++ b/enum/frontend_test.go
@@ -68,7 +68,7 @@
 	if effects := f.Query(2, clientAddr, false, naptrQuery("5521"), "new id, new port"); len(effects) != 0 {
 		t.Fatalf("a repeat: %+v", effects)
 	}
-	lease := router.Reply{Ask: 1, Verdict: router.Stands, Routing: "9912345678", Until: 200 * time.Millisecond}
+	lease := router.Reply{QueryID: 1, Result: router.Established, RoutingNumber: "9912345678", ExpiresAt: 200 * time.Millisecond}
 	responses := f.Reply(time.Millisecond, lease)
 	if len(responses) != 3 {
 		t.Fatalf("%d responses, want 3", len(responses))
@@ -87,7 +87,7 @@
 	if effects := f.Query(200*time.Millisecond, netip.MustParseAddr("127.0.0.3"), false, naptrQuery("5521"), nil); len(effects) != 1 || effects[0] != (RouteQuery{3, "two", "5521"}) {
 		t.Errorf("another client: %+v", effects)
 	}
-	f.Reply(201*time.Millisecond, router.Reply{Ask: 2, Verdict: router.Stands, Routing: "99", Until: time.Second})
+	f.Reply(201*time.Millisecond, router.Reply{QueryID: 2, Result: router.Established, RoutingNumber: "99", ExpiresAt: time.Second})
 	f.EndLookup(2)
 	if effects := f.Query(202*time.Millisecond, clientAddr, false, naptrQuery("5521"), nil); len(effects) != 1 || effects[0] != (RouteQuery{4, "one", "5521"}) {
 		t.Errorf("after the set-up: %+v", effects)
@@ -95,12 +95,12 @@
 }
 
 func TestEachAnswerHasItsCode(t *testing.T) {
-	reply := func(v router.Verdict, c isup.Cause) *dns.Msg {
+	reply := func(v router.Result, c isup.Cause) *dns.Msg {
 		f := newTestFrontend()
 		q := naptrQuery("5521")
 		q.SetEdns0(1232, false)
 		f.Query(0, clientAddr, false, q, nil)
-		return onlyResponse(t, f.Reply(0, router.Reply{Ask: 1, Verdict: v, Cause: c}))
+		return onlyResponse(t, f.Reply(0, router.Reply{QueryID: 1, Result: v, Cause: c}))
 	}
 	for _, c := range []struct {
 		response      *dns.Msg
@@ -173,7 +173,7 @@
 	for i := range 2 * maxWaitingQueries {
 		repeated.Query(0, clientAddr, false, naptrQuery("5521"), i+1)
 	}
-	if n := len(repeated.Reply(0, router.Reply{Ask: 1, Verdict: router.Refused})); n != maxWaitingQueries {
+	if n := len(repeated.Reply(0, router.Reply{QueryID: 1, Result: router.Refused})); n != maxWaitingQueries {
 		t.Errorf("%d waiting queries got a response", n)
 	}
 	repeated.RemoveExpired(time.Second)
@@ -190,7 +190,7 @@
 	q.SetEdns0(4096, false)
 	q.IsEdns0().Option = append(q.IsEdns0().Option, &dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: "0123456789abcdef"})
 	f.Query(0, clientAddr, false, q, nil)
-	first := onlyResponse(t, f.Reply(0, router.Reply{Ask: 1, Verdict: router.Stands, Routing: "99", Until: time.Second}))
+	first := onlyResponse(t, f.Reply(0, router.Reply{QueryID: 1, Result: router.Established, RoutingNumber: "99", ExpiresAt: time.Second}))
 	limited := onlyResponse(t, f.Query(1, clientAddr, false, q, nil))
 	if !limited.Truncated || len(limited.Answer) > 0 || limited.Len() > q.Len() {
 		t.Errorf("above the rate limit: %v", limited)
@@ -230,6 +230,6 @@
 				}
 			}
 		}
-		frontend.Reply(0, router.Reply{Ask: 1, Verdict: router.Stands, Routing: "99"})
+		frontend.Reply(0, router.Reply{QueryID: 1, Result: router.Established, RoutingNumber: "99"})
 	})
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -117,9 +117,9 @@
 	<-ended
 	slots := make(Semaphore, 1)
 	if !slots.TryAcquire() || slots.TryAcquire() {
-		t.Fatal("one place is not taken exactly once")
+		t.Fatal("one slot is not acquired exactly once")
 	}
 	if slots.Release(); !slots.TryAcquire() {
-		t.Fatal("a returned place is not free")
+		t.Fatal("a released slot is not free")
 	}
 }
--- a/model/fleet.go
+++ b/model/fleet.go
@@ -179,7 +179,7 @@
 			if n.router != nil {
 				office := f.offices[changed.index]
 				n.recordNotification(office)
-				n.router.List(f.now, logic.ListUpdate, []logic.Office{office})
+				n.router.UpdateExchanges(f.now, logic.ListUpdate, []logic.Office{office})
 				n.applyEffects()
 			}
 		})
--- a/model/node.go
+++ b/model/node.go
@@ -252,7 +252,7 @@
 			}
 		}
 	}
-	if at, ok := n.router.Next(); ok && (n.timerAt == 0 || at < n.timerAt || n.timerAt <= n.fleet.now) {
+	if at, ok := n.router.NextTimer(); ok && (n.timerAt == 0 || at < n.timerAt || n.timerAt <= n.fleet.now) {
 		n.timerAt = at
 		generation := n.generation
 		n.fleet.schedule(at-n.fleet.now, func() {
--- a/model/play.go
+++ b/model/play.go
@@ -255,7 +255,7 @@
 				return fmt.Errorf("model: %s: circuits are not free: %+v", n.name, group)
 			}
 		}
-		if held, _ := n.router.Held(); held > 0 && f.Fallen() == 0 {
+		if held, _ := n.router.CallCounts(); held > 0 && f.Fallen() == 0 {
 			return fmt.Errorf("model: %s holds %d calls: %+v", n.name, held, n.router.Calls(f.now, 3))
 		}
 	}
@@ -276,8 +276,8 @@
 				return fmt.Errorf("model: %s at %v: inconsistent circuit accounting: %+v", n.name, f.now, group)
 			}
 		}
-		_, unanswered := n.router.Held()
-		if _, hasTimer := n.router.Next(); unanswered > 0 && !hasTimer {
+		_, unanswered := n.router.CallCounts()
+		if _, hasTimer := n.router.NextTimer(); unanswered > 0 && !hasTimer {
 			return fmt.Errorf("model: %s at %v: %d calls without a final answer, and no timer", n.name, f.now, unanswered)
 		}
 	}
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -75,7 +75,7 @@
 		receive(from, rel)
 		receive(to, rlc)
 		for _, e := range r.Effects() {
-			if a, ok := e.(Answer); ok && a.Verdict == Stands {
+			if a, ok := e.(Answer); ok && a.Result == Established {
 				established++
 			}
 		}
--- a/router/call.go
+++ b/router/call.go
@@ -107,7 +107,7 @@
 	if call.class = r.categories.Of(call.setup.Category); found && entry.Class >= 0 {
 		call.class = entry.Class
 	}
-	call.destination, call.hopCounter = entry.Exchange, r.cfg.Hops
+	call.destination, call.hopCounter = entry.Exchange, r.cfg.HopCounter
 	if call.setup.Hops >= 0 {
 		call.hopCounter = call.setup.Hops
 	}
@@ -220,7 +220,7 @@
 	}
 	call.answerMessage = answer
 	r.sendOrHold(call.incoming, answer)
-	r.emit(Answer{At: r.now, Call: call.id, Verdict: Stands, Elapsed: r.now - call.receivedAt, Transit: call.transit || !call.managed})
+	r.emit(Answer{At: r.now, Call: call.id, Result: Established, Elapsed: r.now - call.receivedAt, Transit: call.transit || !call.managed})
 	if call.managed {
 		r.controller.Established(r.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Elapsed: r.now - call.sentAt})
 	}
@@ -257,11 +257,11 @@
 		return
 	}
 	call.outgoing = nil
-	r.rejectCall(call, verdictOf(info.Cause), info)
+	r.rejectCall(call, resultOf(info.Cause), info)
 }
 
-// verdictOf returns the verdict of a call that ended with a cause before it was established.
-func verdictOf(cause isup.Cause) Verdict {
+// resultOf returns the result of a call that ended with a cause before it was established.
+func resultOf(cause isup.Cause) Result {
 	if cause == isup.CauseNoCircuit || cause == isup.CauseCongestion {
 		return Refused
 	}
@@ -361,7 +361,7 @@
 	r.endAdmission(call)
 	call.incoming = nil
 	if !call.established {
-		r.emit(Answer{At: r.now, Call: call.id, Verdict: HungUp, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+		r.emit(Answer{At: r.now, Call: call.id, Result: HungUp, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
 			Transit: call.transit || !call.managed})
 		if call.managed {
 			r.deferWork(func() {
@@ -390,17 +390,17 @@
 }
 
 // rejectCall gives a call that is not established its final answer: REL to the caller.
-func (r *Router) rejectCall(call *call, verdict Verdict, info isup.ReleaseInfo) {
+func (r *Router) rejectCall(call *call, result Result, info isup.ReleaseInfo) {
 	if call.withoutCaller() || call.established {
 		return
 	}
-	if verdict == Refused {
+	if result == Refused {
 		r.reportToShares(call, false)
 	}
-	r.emit(Answer{At: r.now, Call: call.id, Verdict: verdict, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+	r.emit(Answer{At: r.now, Call: call.id, Result: result, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
 		Transit: call.transit || !call.managed})
 	if r.debugEnabled() {
-		r.log(slog.LevelDebug, "answered", call.id, slog.String("answer", verdict.String()), slog.Int("cause", int(info.Cause)))
+		r.log(slog.LevelDebug, "answered", call.id, slog.String("answer", result.String()), slog.Int("cause", int(info.Cause)))
 	}
 	r.finish(call, info)
 }
--- a/router/client_loss_test.go
+++ b/router/client_loss_test.go
@@ -126,7 +126,7 @@
 	m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
 	b, _ := m.Append(nil)
 	start := n.now
-	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(client, b), Waited: 2 * time.Second})
+	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(client, b), Delay: 2 * time.Second})
 	n.deliver("a")
 	n.runUntil(start + 900*time.Millisecond)
 	if got := n.receivedTypes("a", 1); len(got) > 0 {
--- a/router/config.go
+++ b/router/config.go
@@ -50,18 +50,18 @@
 
 // Peer configures a signalling relation and its trunk group.
 type Peer struct {
-	Name      string // for PeerExchange, a name in Config.Exchanges
-	Kind      PeerKind
-	PointCode uint32
-	Circuits  []uint16
-	ASPs      []m3ua.Settings // processes of the peer, with one connection each; an exchange has one
-	Mode      m3ua.Mode       // traffic mode of the ASPs; 0: override
-	Needed    int             // ASPs that must be active before traffic begins; 0: 1
-	Weight    float64         // for PeerClient, the client's weight in the fair shares under overload; 0: 1
+	Name          string // for PeerExchange, a name in Config.Exchanges
+	Kind          PeerKind
+	PointCode     uint32
+	Circuits      []uint16
+	ASPs          []m3ua.Settings // processes of the peer, with one connection each; an exchange has one
+	Mode          m3ua.Mode       // traffic mode of the ASPs; 0: override
+	MinActiveASPs int             // ASPs that must be active before traffic begins; 0: 1
+	Weight        float64         // for PeerClient, the client's weight in the fair shares under overload; 0: 1
 }
 
-// Asker configures an ENUM client: it queries the route of a call first and then sets the call up through a peer.
-type Asker struct {
+// ENUMClient configures an ENUM client: it queries the route of a call first and then sets the call up through a peer.
+type ENUMClient struct {
 	Name   string
 	Client string // name of the peer that sends the set-up
 	Class  int    // index of the class of its calls
@@ -87,16 +87,16 @@
 	Timers     trunk.Timers  // timers of the trunk groups
 	Recovery   time.Duration // T(r): how long the calls of a peer survive without an active association
 
-	Askers    []Asker       // ENUM clients, which query the route of a call before its set-up
-	Routing   string        // prefix of routing numbers; it must not overlap the numbers of any exchange
-	Lease     time.Duration // how long circuits stay reserved for an ENUM client; at most a fifth of the shortest aim
-	AskWithin time.Duration // time limit for the reply to a query
+	ENUMClients  []ENUMClient  // ENUM clients, which query the route of a call before its set-up
+	Routing      string        // prefix of routing numbers; it must not overlap the numbers of any exchange
+	Lease        time.Duration // how long circuits stay reserved for an ENUM client; at most a fifth of the shortest aim
+	QueryTimeout time.Duration // time limit for the reply to a query
 
-	NoShares bool // turns off the fair shares of clients under overload
-	MaxCalls int  // most calls of one client at a time; 0: as many as it has circuits
-	Held     int  // most messages kept for a peer without an active association; 0: 4 for each circuit
-	Network  byte // network indicator of M3UA; 2: national network
-	Hops     int  // initial hop counter of calls that arrive without one; 0: 3
+	DisableShares   bool // turns off the fair shares of clients under overload
+	MaxCalls        int  // most calls of one client at a time; 0: as many as it has circuits
+	MaxHeldMessages int  // most messages kept for a peer without an active association; 0: 4 for each circuit
+	Network         byte // network indicator of M3UA; 2: national network
+	HopCounter      int  // initial hop counter of calls that arrive without one; 0: 3
 
 	// Baseline replaces logic.Controller, for comparisons only.
 	Baseline func(s logic.Settings, seed int64) (Policy, error)
@@ -150,9 +150,9 @@
 			return fmt.Errorf("router: peer %q is configured twice", peer.Name)
 		}
 		peers[peer.Name] = true
-		if len(peer.ASPs) == 0 || peer.Kind == PeerExchange && len(peer.ASPs) > 1 || peer.Needed > len(peer.ASPs) {
+		if len(peer.ASPs) == 0 || peer.Kind == PeerExchange && len(peer.ASPs) > 1 || peer.MinActiveASPs > len(peer.ASPs) {
 			return fmt.Errorf("router: peer %q: invalid number of processes: %d, of which %d must be active; an exchange has exactly one",
-				peer.Name, len(peer.ASPs), peer.Needed)
+				peer.Name, len(peer.ASPs), peer.MinActiveASPs)
 		}
 		if peer.Kind == PeerExchange && (!names[peer.Name] || pointCodes[peer.PointCode] != peer.Name || peer.Name == c.Name) {
 			return fmt.Errorf("router: peer %q with point code %d does not match another exchange", peer.Name, peer.PointCode)
@@ -195,7 +195,7 @@
 
 // checkENUMClients checks the ENUM clients, their lease time and the prefix of routing numbers.
 func (c *Config) checkENUMClients() error {
-	if len(c.Askers) == 0 {
+	if len(c.ENUMClients) == 0 {
 		return nil
 	}
 	shortestAim := c.Classes[0].Aim
@@ -206,11 +206,11 @@
 		return fmt.Errorf("router: lease %v must be positive and at most a fifth of the shortest aim, %v",
 			c.Lease, shortestAim/leaseAimDivisor)
 	}
-	if c.AskWithin <= 0 || len(c.Routing) < 2 || len(c.Routing) > 8 {
+	if c.QueryTimeout <= 0 || len(c.Routing) < 2 || len(c.Routing) > 8 {
 		return fmt.Errorf("router: ENUM clients need a positive query time limit (%v) and a routing prefix of 2 to 8 digits (%q)",
-			c.AskWithin, c.Routing)
+			c.QueryTimeout, c.Routing)
 	}
-	for _, client := range c.Askers {
+	for _, client := range c.ENUMClients {
 		if client.Class < 0 || client.Class >= len(c.Classes) {
 			return fmt.Errorf("router: ENUM client %q has the unknown class %d", client.Name, client.Class)
 		}
@@ -231,7 +231,7 @@
 	settings := ingress.Settings{MaxCalls: c.MaxCalls}
 	for _, peer := range c.Peers {
 		if peer.Kind == PeerClient {
-			settings.DisableShares = c.NoShares
+			settings.DisableShares = c.DisableShares
 			settings.Weights = append(settings.Weights, peer.Weight)
 		}
 	}
--- a/router/effects.go
+++ b/router/effects.go
@@ -47,48 +47,48 @@
 	Office  string
 }
 
-// Verdict is the kind of a final answer.
-type Verdict byte
+// Result is the kind of a final answer.
+type Result byte
 
-// Kinds of final answers. Stands: the call is established. HungUp: the caller released the call first, so none was sent.
+// Kinds of final answers. HungUp: the caller released the call first, so none was sent.
 const (
-	Stands Verdict = iota
+	Established Result = iota
 	Refused
 	Failed
 	HungUp
 )
 
-// String returns the name of the verdict.
-func (v Verdict) String() string { return [...]string{"stands", "refused", "failed", "hung up"}[v] }
+// String returns the name of the kind.
+func (r Result) String() string { return [...]string{"stands", "refused", "failed", "hung up"}[r] }
 
 // Answer reports the final answer of a call. It has been sent already. There are answers for calls to subscribers of
 // this exchange and for calls in transit too.
 type Answer struct {
 	At      time.Duration
 	Call    uint64
-	Verdict Verdict
+	Result  Result
 	Cause   isup.Cause // 0 if the call is established
 	Elapsed time.Duration
 	Transit bool // in transit or ending at this exchange; false for a call of an own caller toward another exchange
 }
 
-// Reply answers a query (InAsk).
+// Reply answers a query (InQuery).
 type Reply struct {
-	Ask      uint64  // ID of the query
-	Verdict  Verdict // Stands: granted; the circuits stay reserved until the lease expires
-	Cause    isup.Cause
-	Routing  string        // routing number that the set-up must call
-	Exchange string        // first exchange on the route of the call
-	Until    time.Duration // time when the lease expires
+	QueryID       uint64 // ID of the query
+	Result        Result // Established: granted; the circuits stay reserved until the lease expires
+	Cause         isup.Cause
+	RoutingNumber string        // routing number that the set-up must call
+	Exchange      string        // first exchange on the route of the call
+	ExpiresAt     time.Duration // time when the lease expires
 }
 
-// Taken reports that the set-up for a granted query has arrived. Ask is the ID of the query.
-type Taken struct{ Ask uint64 }
+// LeaseUsed reports that the set-up for a granted query has arrived. QueryID is the ID of the query.
+type LeaseUsed struct{ QueryID uint64 }
 
-func (Taken) effect()    {}
-func (Reply) effect()    {}
-func (Write) effect()    {}
-func (Close) effect()    {}
-func (Log) effect()      {}
-func (Decision) effect() {}
-func (Answer) effect()   {}
+func (LeaseUsed) effect() {}
+func (Reply) effect()     {}
+func (Write) effect()     {}
+func (Close) effect()     {}
+func (Log) effect()       {}
+func (Decision) effect()  {}
+func (Answer) effect()    {}
--- a/router/established_test.go
+++ b/router/established_test.go
@@ -73,7 +73,7 @@
 				g := i / groupSize
 				setUpCall(b, r, now, clients[g], exchanges[g], r.cfg.Peers[len(exchanges)+1+g].Circuits[i%groupSize], false)
 			}
-			held, open := r.Held()
+			held, open := r.CallCounts()
 			if held != calls || open != 0 {
 				b.Fatalf("%d calls in progress, %d without an answer, want %d", held, open, calls)
 			}
@@ -144,8 +144,8 @@
 func BenchmarkLease(b *testing.B) {
 	cfg := testConfig(0, 2, 3900)
 	cfg.LogLevel = slog.LevelError
-	cfg.Askers = []Asker{{Name: "dns", Client: "counters", Leases: 4000}}
-	cfg.Routing, cfg.Lease, cfg.AskWithin = "99", 200*time.Millisecond, time.Second
+	cfg.ENUMClients = []ENUMClient{{Name: "dns", Client: "counters", Leases: 4000}}
+	cfg.Routing, cfg.Lease, cfg.QueryTimeout = "99", 200*time.Millisecond, time.Second
 	r, err := New(cfg, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -158,7 +158,7 @@
 	before := heapInUse()
 	const leases = 3000
 	for i := range leases {
-		r.Ask(now, uint64(i), "dns", fmt.Sprintf("552%05d", i))
+		r.Query(now, uint64(i), "dns", fmt.Sprintf("552%05d", i))
 	}
 	r.Effects()
 	if len(r.leasedCalls) != leases {
@@ -172,7 +172,7 @@
 	for b.Loop() {
 		now += 300 * time.Millisecond
 		r.Advance(now)
-		r.Ask(now, 1, "dns", "55200001")
+		r.Query(now, 1, "dns", "55200001")
 		r.Effects()
 	}
 	b.ReportMetric(bytesPerLease, "B/lease")
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -43,7 +43,7 @@
 			case router.Decision:
 				fmt.Println(strings.TrimSpace(fmt.Sprintf("call %d: %v %s", e.Call, e.Action, e.Office)))
 			case router.Answer:
-				fmt.Printf("call %d: %v\n", e.Call, e.Verdict)
+				fmt.Printf("call %d: %v\n", e.Call, e.Result)
 			}
 		}
 		for _, f := range ends {
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -155,7 +155,7 @@
 		if got := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON) - before; got != 20 {
 			t.Errorf("%v: %d answers after the failover", mode, got)
 		}
-		if calls, open := r.Held(); calls != 20 || open != 0 {
+		if calls, open := r.CallCounts(); calls != 20 || open != 0 {
 			t.Errorf("%v: %d calls, %d without an answer", mode, calls, open)
 		}
 	}
--- a/router/fair_test.go
+++ b/router/fair_test.go
@@ -67,7 +67,7 @@
 			ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}})
 	}
 	cfg.Classes[0].Hold, cfg.Classes[1].Hold = 3*time.Second, 3*time.Second
-	cfg.NoShares = !shares
+	cfg.DisableShares = !shares
 	r, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/router/input.go
+++ b/router/input.go
@@ -15,35 +15,35 @@
 	InStart        InputKind = iota // List
 	InConnected                     // Link
 	InDisconnected                  // Link, Count: bytes written
-	InReceive                       // Link, Bytes, Waited
+	InReceive                       // Link, Bytes, Delay
 	InAdvance                       // no fields: only the time advances
-	InList                          // ListKind, List
+	InExchanges                     // ListKind, List
 	InDrain
 	InUndrain
-	InLeave
+	InCloseAssociations
 	InReleaseAll
-	InBlock // Peer, Count, Group, On
+	InBlock // Peer, Count, Group, Blocked
 	InReset // Peer, Count
-	InAsk   // Ask, Asker, Number: query for the route of a call
+	InQuery // QueryID, ENUMClient, Number: query for the route of a call
 )
 
 // Input is one input of a Router as data: the same inputs in the same order give the same effects, with or without
 // sockets. The kind determines which fields are used.
 type Input struct {
-	At       time.Duration
-	Kind     InputKind
-	Link     LinkID
-	Peer     PeerID
-	Bytes    []byte
-	Waited   time.Duration // how long the bytes waited in this process, and the callers with them
-	Count    int64         // bytes written, or number of circuits
-	List     []logic.Office
-	ListKind logic.ListKind
-	Group    isup.GroupType
-	On       bool   // block; false: unblock
-	Ask      uint64 // ID of the query
-	Asker    string // name of the ENUM client
-	Number   string // called number
+	At         time.Duration
+	Kind       InputKind
+	Link       LinkID
+	Peer       PeerID
+	Bytes      []byte
+	Delay      time.Duration // how long the bytes waited in this process, and the callers with them
+	Count      int64         // bytes written, or number of circuits
+	List       []logic.Office
+	ListKind   logic.ListKind
+	Group      isup.GroupType
+	Blocked    bool   // block; false: unblock
+	QueryID    uint64 // ID of the query
+	ENUMClient string // name of the ENUM client
+	Number     string // called number
 }
 
 // Apply handles an input. It returns the number of circuits changed for InBlock and InReset, and 0 otherwise.
@@ -56,25 +56,25 @@
 	case InDisconnected:
 		r.Disconnected(input.At, input.Link, input.Count)
 	case InReceive:
-		r.queueDelay = max(0, input.Waited)
+		r.queueDelay = max(0, input.Delay)
 		r.Receive(input.At, input.Link, input.Bytes)
 		r.queueDelay = 0
 	case InAdvance:
 		r.Advance(input.At)
-	case InList:
-		r.List(input.At, input.ListKind, input.List)
+	case InExchanges:
+		r.UpdateExchanges(input.At, input.ListKind, input.List)
 	case InDrain:
 		r.Drain(input.At)
 	case InUndrain:
 		r.Undrain(input.At)
-	case InLeave:
-		r.Leave(input.At)
+	case InCloseAssociations:
+		r.CloseAssociations(input.At)
 	case InReleaseAll:
 		r.ReleaseAll(input.At)
 	case InBlock:
-		return r.Block(input.At, input.Peer, int(input.Count), input.Group, input.On)
-	case InAsk:
-		r.Ask(input.At, input.Ask, input.Asker, input.Number)
+		return r.Block(input.At, input.Peer, int(input.Count), input.Group, input.Blocked)
+	case InQuery:
+		r.Query(input.At, input.QueryID, input.ENUMClient, input.Number)
 	case InReset:
 		return r.Reset(input.At, input.Peer, int(input.Count))
 	}
--- a/router/late_answer_test.go
+++ b/router/late_answer_test.go
@@ -84,7 +84,7 @@
 	n.endpoints["b/lines"].onMessage = nil
 	n.offerCall("a", 1, "5521", 1)
 	n.runUntil(n.now + 20*time.Millisecond)
-	n.routers["a"].List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
+	n.routers["a"].UpdateExchanges(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
 	n.deliver("a")
 	setupsBefore := len(n.setups)
 	n.breakLink("a", "b", 40*time.Millisecond)
--- a/router/lease.go
+++ b/router/lease.go
@@ -26,7 +26,7 @@
 
 // enumClient is an ENUM client with its number of active leases.
 type enumClient struct {
-	Asker
+	ENUMClient
 	peer         *peer // peer that its set-ups come from
 	activeLeases int
 }
@@ -43,18 +43,18 @@
 	r.leasedCalls, r.enumClients = map[string]*call{}, map[string]*enumClient{}
 	// A separate source, so that the Controller's random numbers do not depend on queries. The constant is "lease".
 	r.routingRand = rand.New(rand.NewPCG(uint64(seed), 0x6c65617365))
-	for _, client := range r.cfg.Askers {
+	for _, client := range r.cfg.ENUMClients {
 		if client.Leases == 0 {
 			client.Leases = defaultMaxLeases
 		}
-		r.enumClients[client.Name] = &enumClient{Asker: client}
+		r.enumClients[client.Name] = &enumClient{ENUMClient: client}
 	}
 }
 
-// Ask handles a query: where may a call of an ENUM client to a number go? Exactly one Reply with the same query ID
-// follows within Config.AskWithin. Each call of Ask is a query of its own, so a front end that receives a query twice
+// Query handles a query: where may a call of an ENUM client to a number go? Exactly one Reply with the same query ID
+// follows within Config.QueryTimeout. Each call of Query is a query of its own, so a front end that receives a query twice
 // must pass it on once.
-func (r *Router) Ask(now time.Duration, queryID uint64, clientName, number string) {
+func (r *Router) Query(now time.Duration, queryID uint64, clientName, number string) {
 	r.now = now
 	r.handleQuery(queryID, clientName, number)
 	r.processPending()
@@ -64,7 +64,7 @@
 func (r *Router) handleQuery(queryID uint64, clientName, number string) {
 	client := r.enumClients[clientName]
 	entry, found := r.numberingTable.Find(number)
-	reply := func(verdict Verdict, cause isup.Cause) { r.emit(Reply{Ask: queryID, Verdict: verdict, Cause: cause}) }
+	reply := func(result Result, cause isup.Cause) { r.emit(Reply{QueryID: queryID, Result: result, Cause: cause}) }
 	switch {
 	case client == nil:
 		reply(Refused, isup.CauseRejected)
@@ -85,9 +85,9 @@
 	if entry.Class >= 0 {
 		class = entry.Class
 	}
-	call := &call{id: r.lastCallID, managed: true, class: class, destination: entry.Exchange, hopCounter: r.cfg.Hops, receivedAt: r.now,
+	call := &call{id: r.lastCallID, managed: true, class: class, destination: entry.Exchange, hopCounter: r.cfg.HopCounter, receivedAt: r.now,
 		setup: isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Width: r.cfg.Classes[class].Width, Hops: -1},
-		lease: &lease{queryID: queryID, enumClient: client, expiresAt: r.now + r.cfg.AskWithin}}
+		lease: &lease{queryID: queryID, enumClient: client, expiresAt: r.now + r.cfg.QueryTimeout}}
 	r.calls[call.id] = call
 	client.activeLeases++
 	if !r.admit(call, client.peer) {
@@ -118,8 +118,8 @@
 		r.leasedCalls[call.lease.routingNumber] = call
 		call.lease.expiresAt = r.now + r.cfg.Lease
 		r.armTimer(call.lease.expiresAt, timer{kind: timerLease, call: call.id})
-		r.emit(Reply{Ask: call.lease.queryID, Verdict: Stands, Routing: call.lease.routingNumber, Exchange: call.office,
-			Until: call.lease.expiresAt})
+		r.emit(Reply{QueryID: call.lease.queryID, Result: Established, RoutingNumber: call.lease.routingNumber, Exchange: call.office,
+			ExpiresAt: call.lease.expiresAt})
 	}
 	return leg, true
 }
@@ -128,9 +128,9 @@
 // the Controller as a caller that hung up: nothing was sent, so it says nothing about the exchange.
 func (r *Router) expireLease(call *call) {
 	if call.lease.routingNumber == "" {
-		r.emit(Reply{Ask: call.lease.queryID, Verdict: Refused, Cause: isup.CauseCongestion})
+		r.emit(Reply{QueryID: call.lease.queryID, Result: Refused, Cause: isup.CauseCongestion})
 	}
-	r.emit(Answer{At: r.now, Call: call.id, Verdict: HungUp, Elapsed: r.now - call.receivedAt})
+	r.emit(Answer{At: r.now, Call: call.id, Result: HungUp, Elapsed: r.now - call.receivedAt})
 	r.removeLease(call)
 	r.controller.HungUp(r.now, call.id)
 	if call.outgoing == nil {
@@ -141,7 +141,7 @@
 // endLease ends the lease of a call that was refused or failed before a set-up came.
 func (r *Router) endLease(call *call, info isup.ReleaseInfo) {
 	if call.lease.routingNumber == "" {
-		r.emit(Reply{Ask: call.lease.queryID, Verdict: verdictOf(info.Cause), Cause: info.Cause})
+		r.emit(Reply{QueryID: call.lease.queryID, Result: resultOf(info.Cause), Cause: info.Cause})
 	}
 	r.removeLease(call)
 }
@@ -179,7 +179,7 @@
 	leased.setup.Elapsed = setup.Elapsed
 	leased.incoming = &leg{call: leased, peer: client, seizure: seizure}
 	seizure.Owner = leased.incoming
-	r.emit(Taken{Ask: leased.lease.queryID})
+	r.emit(LeaseUsed{QueryID: leased.lease.queryID})
 	admitted := leased.admitted
 	leased.admitted = false // stays in the fair share; the incoming leg ends it
 	r.removeLease(leased)
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -15,8 +15,8 @@
 		linkDelay: 5 * time.Millisecond, disconnected: map[string]bool{}, now: time.Hour}
 	for i := range count {
 		config := testConfig(i, count, circuits)
-		config.Askers = []Asker{{Name: "dns", Client: "counters", Leases: 3}}
-		config.Routing, config.Lease, config.AskWithin = "99", 200*time.Millisecond, time.Second
+		config.ENUMClients = []ENUMClient{{Name: "dns", Client: "counters", Leases: 3}}
+		config.Routing, config.Lease, config.QueryTimeout = "99", 200*time.Millisecond, time.Second
 		n.addRouter(config)
 	}
 	for _, name := range n.exchangeNames() {
@@ -29,7 +29,7 @@
 
 // query sends a query of the ENUM client to an exchange.
 func (n *testNetwork) query(exchange string, queryID uint64, number string) {
-	n.routers[exchange].Apply(Input{At: n.now, Kind: InAsk, Ask: queryID, Asker: "dns", Number: number})
+	n.routers[exchange].Apply(Input{At: n.now, Kind: InQuery, QueryID: queryID, ENUMClient: "dns", Number: number})
 	n.deliver(exchange)
 }
 
@@ -47,14 +47,14 @@
 	n := newENUMNetwork(t, 2, 4)
 	n.query("a", 7, "5521")
 	got := n.replies("a")
-	if len(got) != 1 || got[0].Ask != 7 || got[0].Verdict != Stands || got[0].Exchange != "b" || len(got[0].Routing) != 10 {
+	if len(got) != 1 || got[0].QueryID != 7 || got[0].Result != Established || got[0].Exchange != "b" || len(got[0].RoutingNumber) != 10 {
 		t.Fatalf("replies %+v", got)
 	}
 	if g := n.routers["a"].Groups()[0]; g.Spare != 3 || len(n.setups) != 0 {
 		t.Errorf("group %+v, %d set-ups", g, len(n.setups))
 	}
 	n.runUntil(n.now + 100*time.Millisecond)
-	n.offerCall("a", 1, got[0].Routing, 1)
+	n.offerCall("a", 1, got[0].RoutingNumber, 1)
 	n.runUntil(n.now + time.Second)
 	if received := n.receivedTypes("a", 1); !slices.Equal(received, []isup.Type{isup.ACM, isup.ANM}) {
 		t.Errorf("received %v; %v", received, n.decisions("a"))
@@ -81,7 +81,7 @@
 func TestLeaseRunsOut(t *testing.T) {
 	n := newENUMNetwork(t, 2, 4)
 	n.query("a", 1, "5521")
-	routing := n.replies("a")[0].Routing
+	routing := n.replies("a")[0].RoutingNumber
 	n.runUntil(n.now + 200*time.Millisecond)
 	if err := n.checkIdle(); err != nil || len(n.setups) != 0 {
 		t.Errorf("%v, %d set-ups", err, len(n.setups))
@@ -92,7 +92,7 @@
 		t.Errorf("set-up after the lease expired: cause %d", c)
 	}
 	n.query("a", 2, "5521") // a new query is a new call
-	if got := n.replies("a"); len(got) != 2 || got[1].Routing == routing {
+	if got := n.replies("a"); len(got) != 2 || got[1].RoutingNumber == routing {
 		t.Errorf("replies %+v", got)
 	}
 }
@@ -103,9 +103,9 @@
 	for _, offset := range []time.Duration{-time.Microsecond, 0, time.Microsecond} {
 		n := newENUMNetwork(t, 2, 4)
 		n.query("a", 1, "5521")
-		at := n.replies("a")[0].Until + offset - time.Millisecond // the IAM takes a millisecond to arrive
+		at := n.replies("a")[0].ExpiresAt + offset - time.Millisecond // the IAM takes a millisecond to arrive
 		n.runUntil(at)
-		n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+		n.offerCall("a", 1, n.replies("a")[0].RoutingNumber, 1)
 		n.runUntil(n.now + time.Second)
 		received := n.receivedTypes("a", 1)
 		answered, refused := slices.Equal(received, []isup.Type{isup.ACM, isup.ANM}), slices.Equal(received, []isup.Type{isup.REL})
@@ -123,7 +123,7 @@
 func TestForgedAndForeignRoutingNumbers(t *testing.T) {
 	n := newENUMNetwork(t, 2, 4)
 	n.query("a", 1, "5521")
-	routing := n.replies("a")[0].Routing
+	routing := n.replies("a")[0].RoutingNumber
 	n.offerCall("a", 1, "9900000001", 1)
 	n.offerCall("b", 1, routing, 1) // leased by another call server
 	n.offerCall("a", 2, routing, 2) // another width than leased
@@ -151,9 +151,9 @@
 func TestDrainBetweenAnswerAndSetUp(t *testing.T) {
 	n := newENUMNetwork(t, 3, 4)
 	n.query("a", 1, "5521")
-	n.routers["a"].List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
+	n.routers["a"].UpdateExchanges(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
 	n.deliver("a")
-	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.offerCall("a", 1, n.replies("a")[0].RoutingNumber, 1)
 	n.runUntil(n.now + 4*time.Second)
 	for _, s := range n.setups {
 		if s.from == "a" && s.to == "b" {
@@ -174,10 +174,10 @@
 	n.query("a", 1, "5521")
 	n.query("a", 2, "5522")
 	n.runUntil(n.now + 150*time.Millisecond)
-	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.offerCall("a", 1, n.replies("a")[0].RoutingNumber, 1)
 	n.runUntil(n.now + 2*time.Second)
 	got := n.replies("a")
-	if len(got) != 2 || got[0].Verdict != Stands || got[1].Verdict == Stands || got[1].Ask != 2 {
+	if len(got) != 2 || got[0].Result != Established || got[1].Result == Established || got[1].QueryID != 2 {
 		t.Errorf("replies %+v", got)
 	}
 }
@@ -188,7 +188,7 @@
 	n.query("a", 1, "5521")        // reserves circuit 1
 	n.offerCall("b", 4, "5513", 2) // seizes both circuits, one of them reserved at a
 	n.runUntil(n.now + 50*time.Millisecond)
-	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.offerCall("a", 1, n.replies("a")[0].RoutingNumber, 1)
 	n.runUntil(n.now + 4*time.Second)
 	if got := n.receivedTypes("b", 4); !slices.Contains(got, isup.ANM) {
 		t.Errorf("b received %v", got)
@@ -205,17 +205,17 @@
 	}
 	granted := 0
 	for _, r := range n.replies("a") {
-		if r.Verdict == Stands {
+		if r.Result == Established {
 			granted++
 		}
 	}
-	if got := n.replies("a"); granted != 3 || len(got) != 5 || got[4].Verdict != Refused {
+	if got := n.replies("a"); granted != 3 || len(got) != 5 || got[4].Result != Refused {
 		t.Errorf("%d granted of %+v", granted, got)
 	}
 	n.query("a", 10, "5529") // still over the limit
 	n.query("a", 11, "7700") // unallocated
 	n.query("a", 12, "5511") // of the own exchange: no route needed
-	n.routers["a"].Apply(Input{At: n.now, Kind: InAsk, Ask: 13, Asker: "stranger", Number: "5521"})
+	n.routers["a"].Apply(Input{At: n.now, Kind: InQuery, QueryID: 13, ENUMClient: "stranger", Number: "5521"})
 	n.deliver("a")
 	got := n.replies("a")
 	if got[5].Cause != isup.CauseCongestion || got[6].Cause != isup.CauseUnallocated ||
@@ -231,7 +231,7 @@
 	n.query("a", 1, "5521")
 	start := n.now
 	n.breakLink("a", "b", 5*time.Second)
-	n.offerCall("a", 1, n.replies("a")[0].Routing, 1)
+	n.offerCall("a", 1, n.replies("a")[0].RoutingNumber, 1)
 	n.runUntil(start + 3*time.Second)
 	if got := n.receivedTypes("a", 1); !slices.Equal(got, []isup.Type{isup.REL}) {
 		t.Errorf("received %v", got)
@@ -247,8 +247,8 @@
 			if queryFirst {
 				before := len(n.replies("a"))
 				n.query("a", uint64(i), "552"+string(rune('0'+i%10)))
-				if got := n.replies("a"); len(got) > before && got[before].Verdict == Stands {
-					n.offerCall("a", cic, got[before].Routing, 1)
+				if got := n.replies("a"); len(got) > before && got[before].Result == Established {
+					n.offerCall("a", cic, got[before].RoutingNumber, 1)
 				}
 			} else {
 				n.offerCall("a", cic, "552"+string(rune('0'+i%10)), 1)
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -64,7 +64,7 @@
 	for {
 		nextDue, nextRouter := until+1, ""
 		for _, name := range n.exchangeNames() {
-			if at, ok := n.routers[name].Next(); ok && at < nextDue {
+			if at, ok := n.routers[name].NextTimer(); ok && at < nextDue {
 				nextDue, nextRouter = at, name
 			}
 		}
@@ -321,7 +321,7 @@
 				return fmt.Errorf("%s: group %s: %+v", name, g.Peer, g)
 			}
 		}
-		if calls, _ := r.Held(); calls != 0 {
+		if calls, _ := r.CallCounts(); calls != 0 {
 			return fmt.Errorf("%s holds %d calls: %+v", name, calls, r.Calls(n.now, 10))
 		}
 	}
@@ -336,7 +336,7 @@
 		case Decision:
 			out = append(out, fmt.Sprintf("%v call %d %v %s %d", e.At, e.Call, e.Action, e.Office, e.Attempt))
 		case Answer:
-			out = append(out, fmt.Sprintf("%v call %d %v %d %v", e.At, e.Call, e.Verdict, e.Cause, e.Elapsed))
+			out = append(out, fmt.Sprintf("%v call %d %v %d %v", e.At, e.Call, e.Result, e.Cause, e.Elapsed))
 		case Log:
 			if e.Level >= slog.LevelError {
 				n.t.Errorf("%s: %s", exchange, e.Text)
--- a/router/peer.go
+++ b/router/peer.go
@@ -63,7 +63,7 @@
 		}
 	}
 	peer := &peer{id: id, cfg: cfg, group: group, clientIndex: clients, reportedCircuits: [2]int{-1, -1},
-		as: m3ua.NewAS(m3ua.ASSettings{Mode: cfg.Mode, ASPs: len(cfg.ASPs), Needed: cfg.Needed, Recovery: r.cfg.Recovery})}
+		as: m3ua.NewAS(m3ua.ASSettings{Mode: cfg.Mode, ASPs: len(cfg.ASPs), Needed: cfg.MinActiveASPs, Recovery: r.cfg.Recovery})}
 	for i, settings := range cfg.ASPs {
 		settings.Key = r.ownExchange.PointCode
 		if len(cfg.ASPs) > 1 {
@@ -377,7 +377,7 @@
 // holdMessage keeps a message for a peer that may return. A message above the limit is dropped: its call then ends by
 // the timers of the caller or of the peer.
 func (r *Router) holdMessage(leg *leg, message *isup.Message) {
-	limit := r.cfg.Held
+	limit := r.cfg.MaxHeldMessages
 	if limit == 0 {
 		limit = heldMessagesPerCircuit * leg.peer.group.Size()
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -55,8 +55,8 @@
 	if cfg.Recovery <= 0 {
 		cfg.Recovery = DefaultRecovery
 	}
-	if cfg.Hops <= 0 {
-		cfg.Hops = defaultHopCounter
+	if cfg.HopCounter <= 0 {
+		cfg.HopCounter = defaultHopCounter
 	}
 	r := &Router{cfg: cfg, ownExchange: own, peersByName: map[string]*peer{}, peersByPointCode: map[uint32]*peer{},
 		calls: map[uint64]*call{}, offices: map[string]logic.Office{}, exchangeNumbers: map[string]int{},
@@ -93,7 +93,7 @@
 			offices = append(offices, logic.Office{ID: exchange.Name, Exchange: exchange.Number})
 		}
 	}
-	r.List(now, logic.ListRestored, offices)
+	r.UpdateExchanges(now, logic.ListRestored, offices)
 	for _, peer := range r.peers {
 		r.reportCircuits(peer)
 	}
@@ -127,9 +127,9 @@
 	r.processPending()
 }
 
-// List handles an update or a snapshot of the exchanges from service discovery. Entries with unknown names are logged
+// UpdateExchanges handles an update or a snapshot of the exchanges from service discovery. Entries with unknown names are logged
 // and ignored.
-func (r *Router) List(now time.Duration, kind logic.ListKind, offices []logic.Office) {
+func (r *Router) UpdateExchanges(now time.Duration, kind logic.ListKind, offices []logic.Office) {
 	r.now = now
 	known := make([]logic.Office, 0, len(offices))
 	for _, office := range offices {
@@ -167,8 +167,8 @@
 	return office
 }
 
-// Next returns the time of the next timer, at which Advance must be called; false if no timer is armed.
-func (r *Router) Next() (time.Duration, bool) {
+// NextTimer returns the time of the next timer, at which Advance must be called; false if no timer is armed.
+func (r *Router) NextTimer() (time.Duration, bool) {
 	return r.timers.Next()
 }
 
@@ -219,8 +219,8 @@
 	}
 }
 
-// Leave closes the associations in order (ASPIA, ASPDN). Calls should have ended before.
-func (r *Router) Leave(now time.Duration) {
+// CloseAssociations closes the associations in order (ASPIA, ASPDN). Calls should have ended before.
+func (r *Router) CloseAssociations(now time.Duration) {
 	r.now = now
 	for _, peer := range r.peers {
 		for _, link := range peer.links {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -214,7 +214,7 @@
 	n.offerCall("a", 1, "5521", 1) // outstanding when the drain is reported
 	n.runUntil(n.now + 50*time.Millisecond)
 	drainedAt := n.now
-	n.routers["a"].List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
+	n.routers["a"].UpdateExchanges(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
 	n.deliver("a")
 	for i := range 5 {
 		n.offerCall("a", uint16(2+i), "5522", 1)
@@ -305,11 +305,11 @@
 	n.disconnected[linkKey("a", "counters")] = true
 	a.Disconnected(n.now, id, -1)
 	n.runUntil(n.now + DefaultRecovery - time.Millisecond)
-	if calls, _ := a.Held(); calls != 1 {
+	if calls, _ := a.CallCounts(); calls != 1 {
 		t.Fatalf("%d calls within the recovery time", calls)
 	}
 	n.runUntil(n.now + time.Second)
-	if calls, _ := a.Held(); calls != 0 || n.routers["b"].Groups()[0].Spare != 4 {
+	if calls, _ := a.CallCounts(); calls != 0 || n.routers["b"].Groups()[0].Spare != 4 {
 		t.Errorf("after the recovery time: %d calls, %+v", calls, n.routers["b"].Groups()[0])
 	}
 }
@@ -329,7 +329,7 @@
 			t.Errorf("call %d received %v", i+1, got)
 		}
 	}
-	if calls, _ := n.routers["a"].Held(); calls != 0 {
+	if calls, _ := n.routers["a"].CallCounts(); calls != 0 {
 		t.Errorf("%d calls in progress", calls)
 	}
 }
@@ -425,7 +425,7 @@
 		n.runUntil(n.now + 50*time.Millisecond)
 		a.Block(n.now, id, 1, isup.Maintenance, false)
 		if drains {
-			a.List(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
+			a.UpdateExchanges(n.now, logic.ListUpdate, []logic.Office{{ID: "b", State: logic.Draining}})
 		}
 		n.deliver("a")
 		drainedAt, repeats := n.now, 0
--- a/router/status.go
+++ b/router/status.go
@@ -44,12 +44,12 @@
 
 // AssociationView describes the association with one process of a peer for operators.
 type AssociationView struct {
-	Peer  string
-	ASP   int          // index in Peer.ASPs
-	AS    m3ua.ASState // state of the application server, for the whole peer
-	State m3ua.State
-	Sent  int64 // bytes sent on this connection
-	Held  int   // messages that wait for the peer to become active
+	Peer         string
+	ASP          int          // index in Peer.ASPs
+	AS           m3ua.ASState // state of the application server, for the whole peer
+	State        m3ua.State
+	Sent         int64 // bytes sent on this connection
+	HeldMessages int   // messages that wait for the peer to become active
 }
 
 // Calls lists up to limit calls in progress, oldest first.
@@ -77,8 +77,8 @@
 	return views
 }
 
-// Held returns the number of calls in progress, and how many of them have no final answer yet.
-func (r *Router) Held() (calls, unanswered int) {
+// CallCounts returns the number of calls in progress, and how many of them have no final answer yet.
+func (r *Router) CallCounts() (calls, unanswered int) {
 	for _, call := range r.calls {
 		if !call.established && call.incoming != nil {
 			unanswered++
@@ -121,7 +121,7 @@
 	for _, peer := range r.peers {
 		for _, link := range peer.links {
 			views = append(views, AssociationView{Peer: peer.cfg.Name, ASP: link.aspIndex, AS: peer.as.State(), State: link.assoc.State(),
-				Sent: link.bytesWritten, Held: len(peer.heldMessages)})
+				Sent: link.bytesWritten, HeldMessages: len(peer.heldMessages)})
 		}
 	}
 	return views
--- a/server/console.go
+++ b/server/console.go
@@ -160,7 +160,7 @@
 	add := func(format string, values ...any) { lines = append(lines, fmt.Sprintf(format, values...)) }
 	views := map[string]func(r *router.Router, now time.Duration){
 		"status": func(r *router.Router, now time.Duration) {
-			heldCalls, unanswered := r.Held()
+			heldCalls, unanswered := r.CallCounts()
 			add("exchange %s up %v draining %v", r.Name(), (now - Epoch).Round(time.Second), r.Draining())
 			add("calls %d unanswered %d", heldCalls, unanswered)
 			add("stands %d refused %d failed %d hung-up %d", s.finalAnswers[0], s.finalAnswers[1], s.finalAnswers[2], s.finalAnswers[3])
@@ -190,7 +190,7 @@
 		"associations": func(r *router.Router, now time.Duration) {
 			for _, association := range r.Associations() {
 				add("association %s/%d %v %v sent %d held %d", association.Peer, association.ASP,
-					association.State, association.AS, association.Sent, association.Held)
+					association.State, association.AS, association.Sent, association.HeldMessages)
 			}
 		},
 	}
@@ -270,7 +270,7 @@
 				}
 			}
 		}
-		s.applyOnLoop(router.Input{At: now, Kind: router.InList, ListKind: logic.ListUpdate, List: []logic.Office{office}})
+		s.applyOnLoop(router.Input{At: now, Kind: router.InExchanges, ListKind: logic.ListUpdate, List: []logic.Office{office}})
 	})
 	if err == nil {
 		err = listErr
@@ -326,7 +326,7 @@
 		reason = isup.Hardware
 	}
 	groupSize := func(group router.GroupView) int { return group.Size }
-	return s.applyToPeer(args, groupSize, router.Input{Kind: router.InBlock, Group: reason, On: blocked})
+	return s.applyToPeer(args, groupSize, router.Input{Kind: router.InBlock, Group: reason, Blocked: blocked})
 }
 
 // resetCommand resets circuits that carry calls.
--- a/server/dns.go
+++ b/server/dns.go
@@ -97,7 +97,7 @@
 	}) {
 		return
 	}
-	timeout := time.NewTimer(s.cfg.Router.AskWithin + loopAllowance)
+	timeout := time.NewTimer(s.cfg.Router.QueryTimeout + loopAllowance)
 	defer timeout.Stop()
 	select {
 	case message := <-response:
@@ -116,7 +116,7 @@
 		case enum.Respond:
 			effect.ReplyTo.(chan *dns.Msg) <- effect.Message
 		case enum.RouteQuery:
-			s.applyOnLoop(router.Input{At: s.now(), Kind: router.InAsk, Ask: effect.ID, Asker: effect.Client, Number: effect.Number})
+			s.applyOnLoop(router.Input{At: s.now(), Kind: router.InQuery, QueryID: effect.ID, ENUMClient: effect.Client, Number: effect.Number})
 		}
 	}
 }
--- a/server/server.go
+++ b/server/server.go
@@ -38,7 +38,7 @@
 	listener       net.Listener     // for M3UA
 	console        net.Listener     // for operators
 	initialOffices []logic.Office   // last known snapshot of service discovery
-	finalAnswers   [4]uint64        // calls by router.Verdict
+	finalAnswers   [4]uint64        // calls by router.Result
 	enumFrontend   *enum.Frontend   // nil: no DNS frontend
 	dnsServers     [2]*dns.Server   // TCP and UDP
 	traffic        *trafficRecorder // nil: no traffic measurement
@@ -196,7 +196,7 @@
 	defer poll.Stop()
 	for waiting := true; waiting; {
 		heldCalls := 0
-		if err := s.Do(func(r *router.Router, now time.Duration) { heldCalls, _ = r.Held() }); err != nil {
+		if err := s.Do(func(r *router.Router, now time.Duration) { heldCalls, _ = r.CallCounts() }); err != nil {
 			return err
 		}
 		select {
@@ -209,11 +209,11 @@
 			waiting = false
 		}
 	}
-	err := errors.Join(s.apply(router.Input{Kind: router.InReleaseAll}), s.apply(router.Input{Kind: router.InLeave}))
+	err := errors.Join(s.apply(router.Input{Kind: router.InReleaseAll}), s.apply(router.Input{Kind: router.InCloseAssociations}))
 	s.flushLinks()
 	s.writeTraffic()
 	s.Kill()
-	s.log.Info("ended", "stands", s.finalAnswers[router.Stands], "refused", s.finalAnswers[router.Refused],
+	s.log.Info("ended", "stands", s.finalAnswers[router.Established], "refused", s.finalAnswers[router.Refused],
 		"failed", s.finalAnswers[router.Failed], "hung_up", s.finalAnswers[router.HungUp])
 	return err
 }
@@ -298,7 +298,7 @@
 	s.applyOnLoop(router.Input{At: s.now(), Kind: router.InStart, List: s.initialOffices})
 	s.executeEffects()
 	for {
-		if wakeAt, ok := s.router.Next(); ok {
+		if wakeAt, ok := s.router.NextTimer(); ok {
 			timer.Reset(max(0, wakeAt-s.now()))
 		} else {
 			timer.Reset(maxIdleWait)
@@ -361,12 +361,12 @@
 			s.logLine(effect)
 		case router.Answer:
 			if !effect.Transit {
-				s.finalAnswers[effect.Verdict]++
+				s.finalAnswers[effect.Result]++
 			}
 		case router.Reply:
 			s.executeEnumEffects(s.enumFrontend.Reply(s.now(), effect))
-		case router.Taken:
-			s.enumFrontend.EndLookup(effect.Ask)
+		case router.LeaseUsed:
+			s.enumFrontend.EndLookup(effect.QueryID)
 		}
 	}
 }
@@ -558,7 +558,7 @@
 			receivedAt := s.now()
 			posted := s.post(func(now time.Duration) {
 				if s.links[id] == peerLink {
-					s.applyOnLoop(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: buffer[:n], Waited: now - receivedAt})
+					s.applyOnLoop(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: buffer[:n], Delay: now - receivedAt})
 				}
 				readBuffers.Put(buffer)
 			})
