--- a/router/call.go
+++ b/router/call.go
@@ -53,7 +53,7 @@
 		r.log(slog.LevelWarn, event.Text, 0, slog.String("peer", peer.cfg.Name))
 		return
 	}
-	if event.Kind == trunk.Arrived {
+	if event.Kind == trunk.IncomingCall {
 		r.handleSetup(peer, event.Seizure, event.Message)
 		return
 	}
@@ -230,10 +230,10 @@
 func (r *Router) outgoingEnded(call *call, event trunk.Event) {
 	var info isup.ReleaseInfo
 	switch event.Kind {
-	case trunk.Lost:
+	case trunk.SeizureLost:
 		r.repeatSetup(call)
 		return
-	case trunk.Cut:
+	case trunk.Dropped:
 		info = isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork}
 	case trunk.Released:
 		info = event.Message.Release()
@@ -242,7 +242,7 @@
 	status, note := r.outcomeOf(call, info)
 	if call.established {
 		status, note = logic.Ended, 0
-		if event.Kind == trunk.Cut || info.Cause == isup.CauseTemporaryFailure {
+		if event.Kind == trunk.Dropped || info.Cause == isup.CauseTemporaryFailure {
 			status = logic.Reset
 		}
 		call.outgoing = nil
@@ -334,7 +334,7 @@
 			slog.String("status", string(status)), slog.Int("note", note))
 	}
 	if peer := r.peersByName[call.office]; peer != nil && peer.cfg.Kind == PeerExchange {
-		outcome.Load = []float64{float64(peer.group.Spare()), float64(peer.group.Total())}
+		outcome.Load = []float64{float64(peer.group.Spare()), float64(peer.group.Unblocked())}
 	}
 	r.deferWork(func() {
 		outcome.Over = outcome.Over || call.withoutCaller()
--- a/router/host.go
+++ b/router/host.go
@@ -62,7 +62,7 @@
 		return nil, false
 	}
 	leg.seizure = seizure
-	peer.group.Send(seizure, call.forwardedIAM(r.now, seizure.Map))
+	peer.group.Send(seizure, call.forwardedIAM(r.now, seizure.CircuitMap))
 	r.flush(peer)
 	r.recordSendPosition(leg)
 	r.markPending(peer)
--- a/router/lease.go
+++ b/router/lease.go
@@ -199,7 +199,7 @@
 	peer := leg.peer
 	ready := r.effectiveOffice(r.offices[call.office]).State == logic.Ready
 	if !ready || !peer.active() || !peer.group.Begin(leg.seizure) {
-		peer.group.Drop(leg.seizure)
+		peer.group.Free(leg.seizure)
 		r.markPending(peer)
 		status := logic.NotSent
 		if ready && !peer.active() {
@@ -209,7 +209,7 @@
 		return
 	}
 	call.sentAt = r.now // so that the Controller measures the delay of the exchange, without that of the ENUM client
-	peer.group.Send(leg.seizure, call.forwardedIAM(r.now, leg.seizure.Map))
+	peer.group.Send(leg.seizure, call.forwardedIAM(r.now, leg.seizure.CircuitMap))
 	r.flush(peer)
 	r.recordSendPosition(leg)
 	r.markPending(peer)
--- a/router/peer.go
+++ b/router/peer.go
@@ -51,7 +51,7 @@
 func (r *Router) addPeer(id PeerID, cfg Peer) error {
 	direction := map[PeerKind]trunk.Direction{PeerExchange: trunk.BothWay, PeerClient: trunk.Incoming,
 		PeerSubscribers: trunk.Outgoing}[cfg.Kind]
-	group, err := trunk.New(trunk.Settings{Own: r.ownExchange.PointCode, Peer: cfg.PointCode, Circuits: cfg.Circuits,
+	group, err := trunk.New(trunk.Settings{OwnPointCode: r.ownExchange.PointCode, PeerPointCode: cfg.PointCode, Circuits: cfg.Circuits,
 		Direction: direction, Timers: r.cfg.Timers})
 	if err != nil {
 		return err
@@ -160,7 +160,7 @@
 
 // reportCircuits reports the circuits toward an exchange to the Controller when they have changed.
 func (r *Router) reportCircuits(peer *peer) {
-	circuits := [2]int{peer.group.Spare(), peer.group.Total()}
+	circuits := [2]int{peer.group.Spare(), peer.group.Unblocked()}
 	if peer.cfg.Kind != PeerExchange || peer.reportedCircuits == circuits {
 		return
 	}
@@ -346,7 +346,7 @@
 func (r *Router) endLostAttempt(call *call, written int64) {
 	leg := call.outgoing
 	if leg.seizure.Reserved() || written >= 0 && leg.endOffset > written {
-		leg.peer.group.Drop(leg.seizure)
+		leg.peer.group.Free(leg.seizure)
 		r.attemptEnded(call, logic.NoConnect, 0)
 		return
 	}
--- a/router/status.go
+++ b/router/status.go
@@ -94,7 +94,7 @@
 func (r *Router) Groups() (views []GroupView) {
 	for _, peer := range r.peers {
 		byState, blocked := peer.group.States()
-		views = append(views, GroupView{Peer: peer.cfg.Name, Kind: peer.cfg.Kind, Size: peer.group.Size(), Total: peer.group.Total(),
+		views = append(views, GroupView{Peer: peer.cfg.Name, Kind: peer.cfg.Kind, Size: peer.group.Size(), Total: peer.group.Unblocked(),
 			Spare: peer.group.Spare(), Out: byState[1], In: byState[2], Releasing: byState[3], Resetting: byState[4], Blocked: blocked})
 	}
 	return views
--- a/trunk/group.go
+++ b/trunk/group.go
@@ -42,11 +42,11 @@
 
 // Settings describes one end of a trunk group.
 type Settings struct {
-	Own       uint32   // point code of this end; the end with the higher one controls the even circuits
-	Peer      uint32   // point code of the far end
-	Circuits  []uint16 // circuit identification codes, without time slot 0 of the 2,048 kbit/s systems
-	Direction Direction
-	Timers    Timers
+	OwnPointCode  uint32   // point code of this end; the end with the higher one controls the even circuits
+	PeerPointCode uint32   // point code of the far end
+	Circuits      []uint16 // circuit identification codes, without time slot 0 of the 2,048 kbit/s systems
+	Direction     Direction
+	Timers        Timers
 }
 
 // State is the call state of a circuit. Blocking is independent of it.
@@ -100,7 +100,7 @@
 	CIC              uint16 // lowest circuit of the call, which carries its signalling
 	Outgoing         bool   // seized by this end
 	Owner            any    // value of the caller of Seize; not used by this package
-	Map              uint32 // circuit assignment map: bit 0 is time slot 1; 0 for a single circuit
+	CircuitMap       uint32 // circuit assignment map: bit 0 is time slot 1; 0 for a single circuit
 	circuits         []int  // indexes into Group.circuits
 	backwardReceived bool   // a backward message was received, so a dual seizure is no longer possible
 	reserved         bool   // nothing has been sent: the far end does not know of it and wins a dual seizure
@@ -116,19 +116,19 @@
 
 // Kinds of events.
 const (
-	Arrived  EventKind = iota // IAM received: Seizure is a new incoming call
-	Progress                  // ACM, CPG, ANM, CON or another message of a call received
-	Released                  // REL received: the circuits are idle again, RLC has been sent
-	Lost                      // outgoing seizure ended by a dual seizure or an unequipped circuit; its call was never set up
-	Cut                       // seizure ended by a reset or by hardware blocking
-	Alert                     // condition for maintenance, described by Text
+	IncomingCall EventKind = iota // IAM received: Seizure is a new incoming call
+	Progress                      // ACM, CPG, ANM, CON or another message of a call received
+	Released                      // REL received: the circuits are idle again, RLC has been sent
+	SeizureLost                   // outgoing seizure ended by a dual seizure or an unequipped circuit; its call was never set up
+	Dropped                       // seizure ended by a reset or by hardware blocking
+	Alert                         // condition for maintenance, described by Text
 )
 
 // Event is a change in a group that its owner has to handle.
 type Event struct {
 	Kind    EventKind
 	Seizure *Seizure      // nil for Alert
-	Message *isup.Message // received message; nil for Lost, Cut and Alert
+	Message *isup.Message // received message; nil for SeizureLost, Dropped and Alert
 	Text    string        // of Alert only
 }
 
@@ -151,8 +151,8 @@
 	if len(settings.Circuits) == 0 {
 		return nil, errors.New("trunk: group has no circuits")
 	}
-	if settings.Own == settings.Peer {
-		return nil, fmt.Errorf("trunk: both ends have point code %d", settings.Own)
+	if settings.OwnPointCode == settings.PeerPointCode {
+		return nil, fmt.Errorf("trunk: both ends have point code %d", settings.OwnPointCode)
 	}
 	timers, defaults := &settings.Timers, DefaultTimers
 	for _, timer := range []struct{ value, fallback *time.Duration }{{&timers.T1, &defaults.T1}, {&timers.T5, &defaults.T5},
@@ -186,8 +186,8 @@
 // Spare returns the number of circuits that can be seized now: idle and not blocked.
 func (g *Group) Spare() int { return g.usableCount }
 
-// Total returns the number of circuits that are not blocked.
-func (g *Group) Total() int { return g.unblockedCount }
+// Unblocked returns the number of circuits that are not blocked.
+func (g *Group) Unblocked() int { return g.unblockedCount }
 
 // Size returns the number of circuits, including blocked ones.
 func (g *Group) Size() int { return len(g.circuits) }
@@ -269,7 +269,7 @@
 		return nil
 	}
 	slices.Sort(found)
-	seizure := &Seizure{CIC: g.circuits[found[0]].cic, Outgoing: true, Owner: owner, circuits: found, Map: g.assignmentMap(found)}
+	seizure := &Seizure{CIC: g.circuits[found[0]].cic, Outgoing: true, Owner: owner, circuits: found, CircuitMap: g.assignmentMap(found)}
 	for _, i := range found {
 		g.setState(i, SeizedOutgoing, seizure)
 	}
@@ -290,7 +290,7 @@
 // system, so its cost does not grow with the number of busy circuits.
 func (g *Group) hunt(width int) []int {
 	for offset := range g.usableSlots {
-		system, fromTop := offset, g.settings.Own > g.settings.Peer
+		system, fromTop := offset, g.settings.OwnPointCode > g.settings.PeerPointCode
 		if fromTop {
 			system = len(g.usableSlots) - 1 - offset
 		}
@@ -315,13 +315,13 @@
 
 // Setup returns the IAM of a seizure, with the circuit assignment map of its circuits. It fails as isup.NewSetup does.
 func (s *Seizure) Setup(setup isup.Setup) (*isup.Message, error) {
-	setup.Map = s.Map
+	setup.Map = s.CircuitMap
 	return isup.NewSetup(s.CIC, setup)
 }
 
-// Drop frees the circuits of a seizure without sending a message. It is for seizures of which nothing reached the far end:
+// Free frees the circuits of a seizure without sending a message. It is for seizures of which nothing reached the far end:
 // nothing was sent, or the transport accepted no part of it.
-func (g *Group) Drop(seizure *Seizure) {
+func (g *Group) Free(seizure *Seizure) {
 	if seizure.ended {
 		return
 	}
@@ -387,5 +387,5 @@
 	if own.Width() != farWidth {
 		return own.Width() > farWidth
 	}
-	return (g.settings.Own > g.settings.Peer) == (min(own.CIC, farCIC)%2 == 0)
+	return (g.settings.OwnPointCode > g.settings.PeerPointCode) == (min(own.CIC, farCIC)%2 == 0)
 }
--- a/trunk/receive.go
+++ b/trunk/receive.go
@@ -99,13 +99,13 @@
 	for _, seizure := range lost {
 		if !seizure.ended {
 			g.endSeizure(seizure, Idle)
-			g.addEvent(Lost, seizure, nil)
+			g.addEvent(SeizureLost, seizure, nil)
 		}
 	}
 	for _, c := range staleCircuits {
 		g.dropCall(c)
 	}
-	seizure := &Seizure{CIC: message.CIC, circuits: circuits, Map: setup.Map}
+	seizure := &Seizure{CIC: message.CIC, circuits: circuits, CircuitMap: setup.Map}
 	if g.settings.Direction == Incoming {
 		seizure.callKey = callKeyOf(message)
 	}
@@ -115,7 +115,7 @@
 		}
 		g.setState(index, SeizedIncoming, seizure)
 	}
-	g.addEvent(Arrived, seizure, message)
+	g.addEvent(IncomingCall, seizure, message)
 }
 
 // callKeyOf returns what identifies a call among those of its circuit: the called and the calling number. An IAM on a circuit
@@ -205,7 +205,7 @@
 func (g *Group) dropCall(circuit *circuit) {
 	if s := circuit.seizure; s != nil {
 		g.endSeizure(s, Idle)
-		g.addEvent(Cut, s, nil)
+		g.addEvent(Dropped, s, nil)
 	}
 }
 
@@ -214,7 +214,7 @@
 	c := &g.circuits[index]
 	if seizure := c.seizure; seizure != nil && seizure.Outgoing && !seizure.backwardReceived {
 		g.endSeizure(seizure, Idle)
-		g.addEvent(Lost, seizure, nil)
+		g.addEvent(SeizureLost, seizure, nil)
 	}
 	g.removeFromProcedures(releaseProcedure, index)
 	g.removeFromProcedures(resetProcedure, index)
@@ -296,6 +296,6 @@
 func (g *Group) dropCallByRelease(now time.Duration, index int) {
 	if seizure := g.circuits[index].seizure; seizure != nil {
 		g.Release(now, seizure, isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork})
-		g.addEvent(Cut, seizure, nil)
+		g.addEvent(Dropped, seizure, nil)
 	}
 }
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -22,7 +22,7 @@
 func newGroupPair(t *testing.T, circuits ...uint16) *groupPair {
 	pair := &groupPair{t: t}
 	for i, own := range []uint32{101, 102} {
-		group, err := New(Settings{Own: own, Peer: 203 - own, Circuits: circuits, Timers: Timers{T1: time.Second, T5: 4 * time.Second,
+		group, err := New(Settings{OwnPointCode: own, PeerPointCode: 203 - own, Circuits: circuits, Timers: Timers{T1: time.Second, T5: 4 * time.Second,
 			T12: time.Second, T13: 4 * time.Second}})
 		if err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 		p.inTransit[i] = append(p.inTransit[i], group.Output()...)
 		for _, event := range group.Events() {
 			p.events[i] = append(p.events[i], event)
-			if event.Kind == Arrived {
+			if event.Kind == IncomingCall {
 				p.seizures[i] = append(p.seizures[i], event.Seizure)
 			}
 		}
@@ -111,8 +111,8 @@
 	if a, b := pair.seize(0, 1), pair.seize(1, 1); a.CIC != 1 || b.CIC != 10 {
 		t.Errorf("circuits %d and %d", a.CIC, b.CIC)
 	}
-	if wide := pair.seize(0, 3); wide.CIC != 2 || wide.Map != 0b1110 {
-		t.Errorf("wide call on %d, map %b", wide.CIC, wide.Map)
+	if wide := pair.seize(0, 3); wide.CIC != 2 || wide.CircuitMap != 0b1110 {
+		t.Errorf("wide call on %d, map %b", wide.CIC, wide.CircuitMap)
 	}
 	if s := pair.groups[0].Seize(7, nil); s != nil {
 		t.Error("7 of 6 circuits were seized")
@@ -143,14 +143,14 @@
 			pair.seize(1, widths[1])
 			pair.deliverAll()
 			if widths[0] == 1 && widths[1] == 1 || widths[0]+widths[1] > len(circuits) {
-				lost, arrived := pair.countEvents(0, Lost)+pair.countEvents(1, Lost), pair.countEvents(0, Arrived)+pair.countEvents(1, Arrived)
+				lost, arrived := pair.countEvents(0, SeizureLost)+pair.countEvents(1, SeizureLost), pair.countEvents(0, IncomingCall)+pair.countEvents(1, IncomingCall)
 				if lost != 1 || arrived != 1 {
 					t.Errorf("widths %v on %v: %d lost, %d arrived", widths, circuits, lost, arrived)
 				}
-				if widths[0] != widths[1] && (pair.countEvents(0, Lost) == 1) != (widths[0] < widths[1]) {
+				if widths[0] != widths[1] && (pair.countEvents(0, SeizureLost) == 1) != (widths[0] < widths[1]) {
 					t.Errorf("widths %v on %v: the wider call lost", widths, circuits)
 				}
-				if widths[0] == widths[1] && (pair.countEvents(1, Lost) == 1) != (circuits[0]%2 == 1) {
+				if widths[0] == widths[1] && (pair.countEvents(1, SeizureLost) == 1) != (circuits[0]%2 == 1) {
 					t.Errorf("widths %v on %v: the higher point code controls even circuits", widths, circuits)
 				}
 			}
@@ -240,8 +240,8 @@
 	pair.groups[0].ResetAll(pair.now)
 	pair.deliverAll()
 	for end, group := range pair.groups {
-		if pair.countEvents(end, Cut) != 10 || group.Spare() != 40 {
-			t.Errorf("end %d: %d calls dropped, %d spare", end, pair.countEvents(end, Cut), group.Spare())
+		if pair.countEvents(end, Dropped) != 10 || group.Spare() != 40 {
+			t.Errorf("end %d: %d calls dropped, %d spare", end, pair.countEvents(end, Dropped), group.Spare())
 		}
 	}
 }
@@ -255,15 +255,15 @@
 		t.Fatalf("%d blocked", n)
 	}
 	pair.deliverAll()
-	if pair.countEvents(0, Cut)+pair.countEvents(1, Cut) != 0 || pair.groups[1].Total() != 6 || pair.groups[0].Total() != 6 {
-		t.Errorf("maintenance: %d dropped, %d and %d not blocked", pair.countEvents(0, Cut), pair.groups[0].Total(), pair.groups[1].Total())
+	if pair.countEvents(0, Dropped)+pair.countEvents(1, Dropped) != 0 || pair.groups[1].Unblocked() != 6 || pair.groups[0].Unblocked() != 6 {
+		t.Errorf("maintenance: %d dropped, %d and %d not blocked", pair.countEvents(0, Dropped), pair.groups[0].Unblocked(), pair.groups[1].Unblocked())
 	}
 	pair.groups[0].Block(pair.now, 4, isup.Maintenance, false)
 	pair.deliverAll()
 	pair.groups[0].Block(pair.now, 4, isup.Hardware, true)
 	pair.deliverAll()
-	if pair.countEvents(1, Cut)+pair.countEvents(1, Released) != 1 || seizure.CIC != 10 || pair.groups[1].Spare() != 5 {
-		t.Errorf("hardware: %d dropped, %d spare", pair.countEvents(1, Cut)+pair.countEvents(1, Released), pair.groups[1].Spare())
+	if pair.countEvents(1, Dropped)+pair.countEvents(1, Released) != 1 || seizure.CIC != 10 || pair.groups[1].Spare() != 5 {
+		t.Errorf("hardware: %d dropped, %d spare", pair.countEvents(1, Dropped)+pair.countEvents(1, Released), pair.groups[1].Spare())
 	}
 	pair.groups[0].Block(pair.now, 10, isup.Hardware, false)
 	pair.deliverAll()
@@ -279,14 +279,14 @@
 	pair.seize(0, 1)
 	pair.seize(0, 1)
 	pair.deliverAll()
-	if pair.countEvents(0, Lost) != 1 || pair.groups[0].Total() != 1 {
-		t.Errorf("%d lost, %d not blocked", pair.countEvents(0, Lost), pair.groups[0].Total())
+	if pair.countEvents(0, SeizureLost) != 1 || pair.groups[0].Unblocked() != 1 {
+		t.Errorf("%d lost, %d not blocked", pair.countEvents(0, SeizureLost), pair.groups[0].Unblocked())
 	}
 }
 
 func TestBadSettings(t *testing.T) {
-	for name, settings := range map[string]Settings{"none": {Own: 1, Peer: 2}, "slot 0": {Own: 1, Peer: 2, Circuits: []uint16{32}},
-		"twice": {Own: 1, Peer: 2, Circuits: []uint16{3, 3}}, "same ends": {Own: 1, Peer: 1, Circuits: []uint16{3}}} {
+	for name, settings := range map[string]Settings{"none": {OwnPointCode: 1, PeerPointCode: 2}, "slot 0": {OwnPointCode: 1, PeerPointCode: 2, Circuits: []uint16{32}},
+		"twice": {OwnPointCode: 1, PeerPointCode: 2, Circuits: []uint16{3, 3}}, "same ends": {OwnPointCode: 1, PeerPointCode: 1, Circuits: []uint16{3}}} {
 		if _, err := New(settings); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
@@ -361,8 +361,8 @@
 	}
 	pair.groups[0].Receive(pair.now, iam)
 	pair.collect()
-	if pair.countEvents(0, Lost) != 0 || pair.countEvents(0, Arrived) != 0 {
-		t.Errorf("%d lost, %d arrived", pair.countEvents(0, Lost), pair.countEvents(0, Arrived))
+	if pair.countEvents(0, SeizureLost) != 0 || pair.countEvents(0, IncomingCall) != 0 {
+		t.Errorf("%d lost, %d arrived", pair.countEvents(0, SeizureLost), pair.countEvents(0, IncomingCall))
 	}
 }
 
@@ -387,9 +387,9 @@
 			pair.deliverAll()
 		}
 		if a, b := pair.groups[0].Spare(), pair.groups[1].Spare(); a != b || a < 4 ||
-			pair.countEvents(1, Cut)+pair.countEvents(1, Released) != 1 {
+			pair.countEvents(1, Dropped)+pair.countEvents(1, Released) != 1 {
 			t.Errorf("%s: finally %d and %d spare, %d calls ended at the far end", name, a, b,
-				pair.countEvents(1, Cut)+pair.countEvents(1, Released))
+				pair.countEvents(1, Dropped)+pair.countEvents(1, Released))
 		}
 	}
 }
@@ -412,7 +412,7 @@
 			pair.groups[1].Tick(pair.now)
 			pair.deliverAll()
 		}
-		if a, b := pair.groups[0].Total(), pair.groups[1].Total(); a != 8 || b != 8 {
+		if a, b := pair.groups[0].Unblocked(), pair.groups[1].Unblocked(); a != 8 || b != 8 {
 			t.Errorf("kind %v: %d and %d circuits are not blocked, want 8 at both ends", kind, a, b)
 		}
 		pair.groups[0].Block(pair.now, 21, kind, false)
