--- a/config/config.go
+++ b/config/config.go
@@ -415,7 +415,7 @@
 		c.require(peer.Weight >= 0 && peer.Weight <= 1e6, path+".weight", "%v is not between 0 and 1,000,000", peer.Weight)
 		c.require(peer.RequiredASPs >= 0 && peer.RequiredASPs <= max(1, len(aspIDs)), path+".needed",
 			"%d of %d processes cannot be required", peer.RequiredASPs, max(1, len(aspIDs)))
-		association := m3ua.Settings{TAck: time.Duration(f.Timers.Ack), Beat: time.Duration(peer.Heartbeat),
+		association := m3ua.Settings{TAck: time.Duration(f.Timers.Ack), HeartbeatInterval: time.Duration(peer.Heartbeat),
 			ASPID: pointCodes[f.Name]}
 		if peer.RoutingContext != nil {
 			association.RoutingContext, association.HasContext = *peer.RoutingContext, true
--- a/m3ua/as.go
+++ b/m3ua/as.go
@@ -47,10 +47,10 @@
 
 // ASSettings describes an application server.
 type ASSettings struct {
-	Mode     Mode          // 0: Override
-	ASPs     int           // number of configured ASPs; at least 1 is assumed
-	Needed   int           // ASPs that must be active before the AS is (n of n+k; loadshare and broadcast); 0: 1
-	Recovery time.Duration // T(r): how long the AS stays pending without an active ASP
+	Mode          Mode          // 0: Override
+	ASPs          int           // number of configured ASPs; at least 1 is assumed
+	MinActiveASPs int           // ASPs that must be active before the AS is (n of n+k; loadshare and broadcast); 0: 1
+	Recovery      time.Duration // T(r): how long the AS stays pending without an active ASP
 }
 
 // ASEventKind is the kind of an ASEvent.
@@ -58,9 +58,9 @@
 
 // Kinds of events of an application server.
 const (
-	ASChanged    ASEventKind = iota // the AS has entered State
-	ASOverridden                    // ASP is no longer active: another one has taken over
-	ASShort                         // fewer than Needed ASPs are active: the ASPs that are up are to be notified
+	ASChanged      ASEventKind = iota // the AS has entered State
+	ASOverridden                      // ASP is no longer active: another one has taken over
+	ASInsufficient                    // fewer than MinActiveASPs ASPs are active: the ASPs that are up are to be notified
 )
 
 // ASEvent is a change of an application server that its owner has to handle.
@@ -87,9 +87,9 @@
 		settings.Mode = Override
 	}
 	settings.ASPs = max(settings.ASPs, 1)
-	settings.Needed = min(max(settings.Needed, 1), settings.ASPs)
+	settings.MinActiveASPs = min(max(settings.MinActiveASPs, 1), settings.ASPs)
 	if settings.Mode == Override {
-		settings.Needed = 1
+		settings.MinActiveASPs = 1
 	}
 	return &AS{settings: settings, aspStates: make([]State, settings.ASPs)}
 }
@@ -143,16 +143,16 @@
 }
 
 // updateState derives the state of the AS from those of its ASPs (RFC 4666 section 4.3.2, figure 4). An active AS stays active
-// as long as any ASP is active; Needed applies only to becoming active.
+// as long as any ASP is active; MinActiveASPs applies only to becoming active.
 func (a *AS) updateState(now time.Duration) {
 	anyUp := slices.ContainsFunc(a.aspStates, func(s State) bool { return s == Inactive || s == Active })
 	activeCount := len(a.activeASPs)
 	switch {
 	case a.state == ASActive && activeCount > 0:
-		if activeCount < a.settings.Needed {
-			a.events = append(a.events, ASEvent{Kind: ASShort})
+		if activeCount < a.settings.MinActiveASPs {
+			a.events = append(a.events, ASEvent{Kind: ASInsufficient})
 		}
-	case a.state == ASPending && activeCount > 0, activeCount >= a.settings.Needed:
+	case a.state == ASPending && activeCount > 0, activeCount >= a.settings.MinActiveASPs:
 		a.setState(ASActive)
 	case a.state == ASActive:
 		a.recoveryDeadline = now + a.settings.Recovery
--- a/m3ua/as_test.go
+++ b/m3ua/as_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestLoadshareKeepsCallsAndNeedsN(t *testing.T) {
-	as := NewAS(ASSettings{Mode: Loadshare, ASPs: 3, Needed: 2, Recovery: time.Second})
+	as := NewAS(ASSettings{Mode: Loadshare, ASPs: 3, MinActiveASPs: 2, Recovery: time.Second})
 	as.Update(0, 0, Active)
 	if as.State() == ASActive {
 		t.Error("AS is active with one of two needed ASPs")
@@ -71,7 +71,7 @@
 		t.Error("event although two of two needed ASPs are active")
 	}
 	as.Update(0, 2, Closed)
-	if events := as.Events(); len(events) != 1 || events[0].Kind != ASShort || as.State() != ASActive {
+	if events := as.Events(); len(events) != 1 || events[0].Kind != ASInsufficient || as.State() != ASActive {
 		t.Errorf("one of two: %+v, %v", events, as.State())
 	}
 }
@@ -112,7 +112,7 @@
 func routingKey(pairs ...any) []byte { return appendUint32Params(nil, pairs...) }
 
 func TestRegistration(t *testing.T) {
-	gateway := Settings{Role: RoleSGP, RoutingContext: 9, HasContext: true, Key: 101, Mode: Loadshare}
+	gateway := Settings{Role: RoleSGP, RoutingContext: 9, HasContext: true, DestinationPointCode: 101, Mode: Loadshare}
 	validKey := routingKey(tagLocalKeyIdentifier, uint32(3), tagDestinationPointCode, uint32(101),
 		TagTrafficModeType, uint32(Loadshare))
 	serviceIndicators := binary.BigEndian.AppendUint16(nil, uint16(tagServiceIndicators))
--- a/m3ua/assoc.go
+++ b/m3ua/assoc.go
@@ -10,9 +10,9 @@
 
 // Defaults of Settings.
 const (
-	defaultTAck       = 2 * time.Second
-	defaultBeat       = 30 * time.Second
-	defaultBeatMisses = 2
+	defaultTAck                = 2 * time.Second
+	defaultHeartbeatInterval   = 30 * time.Second
+	defaultMaxMissedHeartbeats = 2
 )
 
 const (
@@ -53,16 +53,16 @@
 
 // Settings describes one end of an association.
 type Settings struct {
-	Role           Role
-	RoutingContext uint32        // sent and expected if HasContext
-	HasContext     bool          // a routing context is configured
-	Mode           Mode          // traffic mode that an ASP may request; 0: any
-	Key            uint32        // destination point code that an ASP may register
-	ASPID          uint32        // ASP identifier that an initiating end sends in ASPUP; 0: none
-	TAck           time.Duration // T(ack), until a request is sent again; 0: 2 s
-	Beat           time.Duration // T(beat), interval of heartbeats; 0: 30 s, negative: this end sends none
-	BeatMisses     int           // heartbeats without any message of the peer until the association is considered lost; 0: 2
-	MaxMessage     int           // longest message that is accepted, in octets; 0: DefaultMaxMessage
+	Role                 Role
+	RoutingContext       uint32        // sent and expected if HasContext
+	HasContext           bool          // a routing context is configured
+	Mode                 Mode          // traffic mode that an ASP may request; 0: any
+	DestinationPointCode uint32        // destination point code that an ASP may register
+	ASPID                uint32        // ASP identifier that an initiating end sends in ASPUP; 0: none
+	TAck                 time.Duration // T(ack), until a request is sent again; 0: 2 s
+	HeartbeatInterval    time.Duration // T(beat), interval of heartbeats; 0: 30 s, negative: this end sends none
+	MaxMissedHeartbeats  int           // heartbeats without any message of the peer until the association is considered lost; 0: 2
+	MaxMessage           int           // longest message that is accepted, in octets; 0: DefaultMaxMessage
 }
 
 // Indication is an event of an association that its owner has to handle.
@@ -102,14 +102,14 @@
 	nextHeartbeat       time.Duration
 	missedHeartbeats    int           // heartbeats sent since the last message of the peer
 	lastActivity        time.Duration // time of the last message of the peer, or of Connected
-	shuttingDown        bool          // Leave was called
+	shuttingDown        bool          // Shutdown was called
 
 	registered bool  // the peer has registered its routing key
 	written    int64 // octets returned by Output since Connected
 	confirmed  int64 // of these, octets that the peer has read: it has acknowledged a heartbeat sent after them
 }
 
-// ErrNotActive is returned by Send and Network while the association is not in ASP-ACTIVE.
+// ErrNotActive is returned by Send and SendNetworkManagement while the association is not in ASP-ACTIVE.
 var ErrNotActive = errors.New("m3ua: association is not active")
 
 var errHeartbeatTimeout = errors.New("m3ua: heartbeats are not acknowledged")
@@ -119,11 +119,11 @@
 	if settings.TAck <= 0 {
 		settings.TAck = defaultTAck
 	}
-	if settings.Beat == 0 {
-		settings.Beat = defaultBeat
+	if settings.HeartbeatInterval == 0 {
+		settings.HeartbeatInterval = defaultHeartbeatInterval
 	}
-	if settings.BeatMisses <= 0 {
-		settings.BeatMisses = defaultBeatMisses
+	if settings.MaxMissedHeartbeats <= 0 {
+		settings.MaxMissedHeartbeats = defaultMaxMissedHeartbeats
 	}
 	return &Assoc{settings: settings}
 }
@@ -157,7 +157,7 @@
 	}
 	a.framer, a.output, a.pendingRequest, a.missedHeartbeats, a.shuttingDown = Framer{Max: a.settings.MaxMessage}, nil, 0, 0, false
 	a.written, a.confirmed, a.registered = 0, 0, false
-	a.lastActivity, a.nextHeartbeat = now, now+a.settings.Beat
+	a.lastActivity, a.nextHeartbeat = now, now+a.settings.HeartbeatInterval
 	a.setState(Down)
 	if a.settings.Role.initiates() {
 		a.sendRequest(now, ASPUP)
@@ -194,10 +194,10 @@
 	a.write(request)
 }
 
-// Leave takes this end out of service. On an active association an initiating end sends ASPIA, and ASPDN once that is
+// Shutdown takes this end out of service. On an active association an initiating end sends ASPIA, and ASPDN once that is
 // acknowledged; a signalling gateway notifies its ASP by NTFY; an IPSP server sends ASPIA of its own. No ASPAC is accepted until
 // Connected is called again.
-func (a *Assoc) Leave(now time.Duration) {
+func (a *Assoc) Shutdown(now time.Duration) {
 	a.shuttingDown = true
 	switch {
 	case a.state != Active:
@@ -221,9 +221,9 @@
 	return nil
 }
 
-// Network sends a signalling network management message, such as SCON or DUNA, for a point code. congestion is the congestion
-// level of an SCON, or 0; other messages do not carry it.
-func (a *Assoc) Network(kind Kind, pointCode uint32, congestion byte) error {
+// SendNetworkManagement sends a signalling network management message, such as SCON or DUNA, for a point code. congestion is
+// the congestion level of an SCON, or 0; other messages do not carry it.
+func (a *Assoc) SendNetworkManagement(kind Kind, pointCode uint32, congestion byte) error {
 	if a.state != Active {
 		return ErrNotActive
 	}
@@ -258,7 +258,7 @@
 	if a.pendingRequest != 0 {
 		deadline, ok = a.resendAt, true
 	}
-	if a.settings.Beat > 0 && (!ok || a.nextHeartbeat < deadline) {
+	if a.settings.HeartbeatInterval > 0 && (!ok || a.nextHeartbeat < deadline) {
 		deadline, ok = a.nextHeartbeat, true
 	}
 	return deadline, ok
@@ -272,17 +272,17 @@
 	if a.pendingRequest != 0 && now >= a.resendAt {
 		a.sendRequest(now, a.pendingRequest)
 	}
-	if a.settings.Beat <= 0 || now < a.nextHeartbeat {
+	if a.settings.HeartbeatInterval <= 0 || now < a.nextHeartbeat {
 		return
 	}
-	if a.missedHeartbeats >= a.settings.BeatMisses {
+	if a.missedHeartbeats >= a.settings.MaxMissedHeartbeats {
 		a.indications = append(a.indications,
 			Indication{Kind: IndClose, Err: errHeartbeatTimeout, Silence: now - a.lastActivity})
-		a.nextHeartbeat = now + a.settings.Beat
+		a.nextHeartbeat = now + a.settings.HeartbeatInterval
 		return
 	}
 	a.missedHeartbeats++
-	a.nextHeartbeat = now + a.settings.Beat
+	a.nextHeartbeat = now + a.settings.HeartbeatInterval
 	a.write((&Message{Kind: BEAT}).With(TagHeartbeat,
 		binary.BigEndian.AppendUint64(nil, uint64(a.written)+uint64(len(a.output)))))
 }
@@ -346,7 +346,7 @@
 			return &Fault{ErrMissingParameter, message.Kind.String() + " without an affected point code"}
 		}
 		if a.state != Active && a.state != Inactive {
-			return &Fault{ErrUnexpected, fmt.Sprintf("%v in %v", message.Kind, a.state)}
+			return &Fault{ErrUnexpectedMessage, fmt.Sprintf("%v in %v", message.Kind, a.state)}
 		}
 		a.indications = append(a.indications, Indication{Kind: IndNetwork, Message: message})
 	case ClassRKM:
@@ -374,7 +374,7 @@
 		}
 	case ASPUP:
 		if a.settings.Role.initiates() && a.settings.Role != RoleIPSPClient {
-			return &Fault{ErrUnexpected, "ASPUP from the signalling gateway"}
+			return &Fault{ErrUnexpectedMessage, "ASPUP from the signalling gateway"}
 		}
 		a.write(&Message{Kind: ASPUPACK})
 		a.setState(Inactive) // RFC 4666 section 4.3.4.1: also from ASP-ACTIVE, and the peer must activate again
@@ -407,7 +407,7 @@
 			routingContext, a.settings.RoutingContext)}
 	}
 	if a.state == Down {
-		return &Fault{ErrUnexpected, fmt.Sprintf("%v in %v", message.Kind, a.state)}
+		return &Fault{ErrUnexpectedMessage, fmt.Sprintf("%v in %v", message.Kind, a.state)}
 	}
 	switch message.Kind {
 	case ASPAC:
@@ -459,7 +459,7 @@
 // receiveData handles a decoded DATA.
 func (a *Assoc) receiveData(message *Message) error {
 	if a.state != Active {
-		return &Fault{ErrUnexpected, fmt.Sprintf("DATA in %v", a.state)}
+		return &Fault{ErrUnexpectedMessage, fmt.Sprintf("DATA in %v", a.state)}
 	}
 	data, err := ReadProtocolData(message)
 	if err != nil {
@@ -502,8 +502,9 @@
 	}
 }
 
-// NotifyShort notifies an ASP that is up that its application server has too few active ASPs. Only a signalling gateway sends it.
-func (a *Assoc) NotifyShort() {
+// NotifyInsufficientASPs notifies an ASP that is up that its application server has too few active ASPs. Only a signalling
+// gateway sends it.
+func (a *Assoc) NotifyInsufficientASPs() {
 	if a.settings.Role == RoleSGP && (a.state == Inactive || a.state == Active) {
 		a.notify(statusTypeOther, statusInfoInsufficientASPs)
 	}
--- a/m3ua/codec.go
+++ b/m3ua/codec.go
@@ -102,10 +102,10 @@
 // Error codes.
 const (
 	ErrInvalidVersion         ErrorCode = 0x01
-	ErrClass                  ErrorCode = 0x03 // unsupported message class
+	ErrUnsupportedClass       ErrorCode = 0x03 // unsupported message class
 	ErrUnsupportedType        ErrorCode = 0x04
 	ErrUnsupportedTrafficMode ErrorCode = 0x05
-	ErrUnexpected             ErrorCode = 0x06
+	ErrUnexpectedMessage      ErrorCode = 0x06
 	ErrProtocol               ErrorCode = 0x07
 	ErrBlocking               ErrorCode = 0x0d // refused, management blocking
 	ErrInvalidParameterValue  ErrorCode = 0x11
@@ -223,7 +223,7 @@
 	case ClassMGMT, ClassTransfer, ClassSSNM, ClassASPSM, ClassASPTM, ClassRKM:
 		return &Fault{ErrUnsupportedType, kind.String() + " is not known"}
 	}
-	return &Fault{ErrClass, kind.String() + " is not supported"}
+	return &Fault{ErrUnsupportedClass, kind.String() + " is not supported"}
 }
 
 // ProtocolData holds the parameters of a DATA message (RFC 4666 section 3.3.1).
--- a/m3ua/identify.go
+++ b/m3ua/identify.go
@@ -16,7 +16,7 @@
 		return 0, err
 	}
 	if message.Kind != ASPUP {
-		return 0, &Fault{ErrUnexpected, fmt.Sprintf("%v before ASPUP", message.Kind)}
+		return 0, &Fault{ErrUnexpectedMessage, fmt.Sprintf("%v before ASPUP", message.Kind)}
 	}
 	id, ok := message.Uint32(TagASPID)
 	if !ok {
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -125,18 +125,18 @@
 func TestLeaveInOrder(t *testing.T) {
 	pair := newPair(Settings{Role: RoleIPSPClient}, Settings{Role: RoleIPSPServer})
 	pair.exchangeAll()
-	pair.client.Leave(0)
+	pair.client.Shutdown(0)
 	pair.exchangeAll()
 	if pair.client.State() != Down || pair.server.State() != Down {
 		t.Errorf("%v and %v", pair.client.State(), pair.server.State())
 	}
 	if err := pair.client.Send(sampleData); !errors.Is(err, ErrNotActive) {
-		t.Errorf("Send after Leave: %v", err)
+		t.Errorf("Send after Shutdown: %v", err)
 	}
 }
 
 func TestRequestsGoOutAgain(t *testing.T) {
-	assoc := NewAssoc(Settings{Role: RoleASP, TAck: time.Second, Beat: -1})
+	assoc := NewAssoc(Settings{Role: RoleASP, TAck: time.Second, HeartbeatInterval: -1})
 	assoc.Connected(0)
 	first := assoc.Output()
 	deadline, ok := assoc.Deadline()
@@ -154,7 +154,8 @@
 }
 
 func TestHeartbeats(t *testing.T) {
-	pair := newPair(Settings{Role: RoleIPSPClient, Beat: time.Second, BeatMisses: 2}, Settings{Role: RoleIPSPServer, Beat: -1})
+	pair := newPair(Settings{Role: RoleIPSPClient, HeartbeatInterval: time.Second, MaxMissedHeartbeats: 2},
+		Settings{Role: RoleIPSPServer, HeartbeatInterval: -1})
 	pair.exchangeAll()
 	for pair.now = time.Second; pair.now <= 5*time.Second; pair.now += time.Second {
 		pair.client.Tick(pair.now)
@@ -191,7 +192,7 @@
 		want  ErrorCode
 	}{
 		{"version 2", version, ErrInvalidVersion},
-		{"class 7", encode(newMessage(0x0701)), ErrClass},
+		{"class 7", encode(newMessage(0x0701)), ErrUnsupportedClass},
 		{"type 9 of ASPSM", encode(newMessage(Kind(ClassASPSM)<<8 | 9)), ErrUnsupportedType},
 		{"parameter too long", badParam, ErrParameterField},
 		{"DATA without data", encode(newMessage(DATA)), ErrMissingParameter},
@@ -226,7 +227,7 @@
 	assoc.Connected(0)
 	assoc.Receive(0, sampleData.Message().Append(nil))
 	reply, err := Decode(assoc.Output())
-	if code, _ := reply.Uint32(TagErrorCode); err != nil || ErrorCode(code) != ErrUnexpected {
+	if code, _ := reply.Uint32(TagErrorCode); err != nil || ErrorCode(code) != ErrUnexpectedMessage {
 		t.Errorf("%v, %v", reply, err)
 	}
 	assoc.Receive(0, (&Message{Kind: ERR}).WithUint32(TagErrorCode, 99).Append(nil))
@@ -254,7 +255,7 @@
 	if _, err := Identify((&Message{Kind: ASPUP}).Append(nil)); !errors.As(err, &fault) || fault.Code != ErrIDRequired {
 		t.Errorf("without an identifier: %v", err)
 	}
-	if _, err := Identify((&Message{Kind: ASPAC}).Append(nil)); !errors.As(err, &fault) || fault.Code != ErrUnexpected {
+	if _, err := Identify((&Message{Kind: ASPAC}).Append(nil)); !errors.As(err, &fault) || fault.Code != ErrUnexpectedMessage {
 		t.Errorf("ASPAC first: %v", err)
 	}
 }
--- a/m3ua/rkm.go
+++ b/m3ua/rkm.go
@@ -67,7 +67,7 @@
 // receiveRKM answers registration and deregistration requests. Only a signalling gateway accepts them.
 func (a *Assoc) receiveRKM(message *Message) error {
 	if a.state == Down || a.settings.Role != RoleSGP {
-		return &Fault{ErrUnexpected, message.Kind.String() + " in " + a.state.String()}
+		return &Fault{ErrUnexpectedMessage, message.Kind.String() + " in " + a.state.String()}
 	}
 	response := &Message{Kind: message.Kind + 1}
 	switch message.Kind {
@@ -83,7 +83,7 @@
 			response.With(tagDeregistrationResult, a.deregister(binary.BigEndian.Uint32(contexts)))
 		}
 	default:
-		return &Fault{ErrUnexpected, message.Kind.String() + " received by a signalling gateway"}
+		return &Fault{ErrUnexpectedMessage, message.Kind.String() + " received by a signalling gateway"}
 	}
 	if len(response.Params) == 0 {
 		return &Fault{ErrMissingParameter, message.Kind.String() + " without a routing key or routing context"}
@@ -142,7 +142,7 @@
 				return RegUnsupportedTrafficMode
 			}
 		case tagDestinationPointCode:
-			if hasDestination = true; value&pointCodeMask != a.settings.Key {
+			if hasDestination = true; value&pointCodeMask != a.settings.DestinationPointCode {
 				return RegInvalidDPC
 			}
 		case tagServiceIndicators:
--- a/model/accessendpoint.go
+++ b/model/accessendpoint.go
@@ -26,7 +26,7 @@
 // newAccessEndpoint creates an endpoint that is not connected.
 func (n *node) newAccessEndpoint(pointCode uint32, link router.LinkID, name string) *accessEndpoint {
 	return &accessEndpoint{node: n, pointCode: pointCode, link: link, name: name, relation: plant.NewRelation(),
-		assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, Beat: -1})}
+		assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, HeartbeatInterval: -1})}
 }
 
 // Now returns the simulated time.
--- a/model/node.go
+++ b/model/node.go
@@ -106,7 +106,7 @@
 			Class: logic.Class{Name: class.Name, Worth: class.Worth, LateShare: class.LateShare, Aim: class.Aim,
 				Deadline: class.Deadline, Hold: class.Hold, Width: class.Width, SafeToRepeat: true}})
 	}
-	client, server := []m3ua.Settings{{Role: m3ua.RoleIPSPClient, Beat: -1}}, []m3ua.Settings{{Role: m3ua.RoleIPSPServer, Beat: -1}}
+	client, server := []m3ua.Settings{{Role: m3ua.RoleIPSPClient, HeartbeatInterval: -1}}, []m3ua.Settings{{Role: m3ua.RoleIPSPServer, HeartbeatInterval: -1}}
 	for i, exchange := range f.exchanges {
 		if i != n.index {
 			role := server
@@ -117,7 +117,7 @@
 				Circuits: f.circuitsBetween(n.index, i), ASPs: role})
 		}
 	}
-	signallingGateway := []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}
+	signallingGateway := []m3ua.Settings{{Role: m3ua.RoleSGP, HeartbeatInterval: -1}}
 	config.Peers = append(config.Peers, router.Peer{Name: "counters", Kind: router.PeerClient, PointCode: n.access[0].pointCode,
 		Circuits: f.accessCircuits, ASPs: signallingGateway}, router.Peer{Name: "lines", Kind: router.PeerSubscribers,
 		PointCode: n.access[1].pointCode, Circuits: f.accessCircuits, ASPs: signallingGateway})
--- a/router/client_loss_test.go
+++ b/router/client_loss_test.go
@@ -102,7 +102,7 @@
 	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
-	a.links[id].assoc = m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleSGP, Beat: 300 * time.Millisecond})
+	a.links[id].assoc = m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleSGP, HeartbeatInterval: 300 * time.Millisecond})
 	n.dropClient(-1)
 	n.reconnectClient()
 	n.runUntil(n.now + time.Second)
--- a/router/established_test.go
+++ b/router/established_test.go
@@ -38,7 +38,7 @@
 	}
 	for group := range groupCount {
 		cfg.Peers = append(cfg.Peers, Peer{Name: fmt.Sprintf("counters%d", group), Kind: PeerClient, PointCode: uint32(5000 + group),
-			Circuits: circuits, ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}})
+			Circuits: circuits, ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, HeartbeatInterval: -1}}})
 	}
 	r, err := New(cfg, 1)
 	if err != nil {
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -27,7 +27,7 @@
 	if !ok {
 		t.Fatalf("no link %s %d", peer, aspIndex)
 	}
-	return &process{t: t, router: r, linkID: id, pointCode: pointCode, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, Beat: -1})}
+	return &process{t: t, router: r, linkID: id, pointCode: pointCode, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, HeartbeatInterval: -1})}
 }
 
 // transferBytes transports bytes between a Router and its processes in both directions until none is left.
@@ -94,7 +94,7 @@
 func newTwoProcessClient(t *testing.T, mode m3ua.Mode) (r *Router, now *time.Duration, first, second, exchange *process) {
 	cfg := testConfig(0, 2, 30)
 	client := slices.IndexFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
-	settings := m3ua.Settings{Role: m3ua.RoleSGP, Beat: -1}
+	settings := m3ua.Settings{Role: m3ua.RoleSGP, HeartbeatInterval: -1}
 	cfg.Peers[client].ASPs, cfg.Peers[client].Mode = []m3ua.Settings{settings, settings}, mode
 	r, err := New(cfg, 3)
 	if err != nil {
--- a/router/fair_test.go
+++ b/router/fair_test.go
@@ -64,7 +64,7 @@
 	cfg.Peers = cfg.Peers[:1]
 	for i := range clients {
 		cfg.Peers = append(cfg.Peers, Peer{Name: string(rune('A' + i)), Kind: PeerClient, PointCode: uint32(5000 + i), Circuits: clientCircuits,
-			ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}})
+			ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP, HeartbeatInterval: -1}}})
 	}
 	cfg.Classes[0].Hold, cfg.Classes[1].Hold = 3*time.Second, 3*time.Second
 	cfg.DisableShares = !shares
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -193,10 +193,10 @@
 				role = m3ua.RoleIPSPClient
 			}
 			config.Peers = append(config.Peers, Peer{Name: exchangeName(i), PointCode: uint32(101 + i), Circuits: trunkCircuits,
-				ASPs: []m3ua.Settings{{Role: role, Beat: -1}}})
+				ASPs: []m3ua.Settings{{Role: role, HeartbeatInterval: -1}}})
 		}
 	}
-	sgp := []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}
+	sgp := []m3ua.Settings{{Role: m3ua.RoleSGP, HeartbeatInterval: -1}}
 	config.Peers = append(config.Peers,
 		Peer{Name: "counters", Kind: PeerClient, PointCode: uint32(2001 + index), Circuits: clientCircuits, ASPs: sgp},
 		Peer{Name: "lines", Kind: PeerSubscribers, PointCode: uint32(3001 + index), Circuits: clientCircuits, ASPs: sgp})
@@ -246,7 +246,7 @@
 
 // addEndpoint creates the scripted endpoint for a peer of an exchange, and connects it.
 func (n *testNetwork) addEndpoint(exchange string, peer Peer) {
-	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, Beat: -1}), pointCode: peer.PointCode,
+	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, HeartbeatInterval: -1}), pointCode: peer.PointCode,
 		routerPointCode: n.routers[exchange].ownExchange.PointCode}
 	end.send = func(m *isup.Message) {
 		b, err := m.Append(nil)
--- a/router/peer.go
+++ b/router/peer.go
@@ -63,9 +63,9 @@
 		}
 	}
 	peer := &peer{id: id, cfg: cfg, group: group, clientIndex: clients, reportedCircuits: [2]int{-1, -1},
-		as: m3ua.NewAS(m3ua.ASSettings{Mode: cfg.Mode, ASPs: len(cfg.ASPs), Needed: cfg.MinActiveASPs, Recovery: r.cfg.Recovery})}
+		as: m3ua.NewAS(m3ua.ASSettings{Mode: cfg.Mode, ASPs: len(cfg.ASPs), MinActiveASPs: cfg.MinActiveASPs, Recovery: r.cfg.Recovery})}
 	for i, settings := range cfg.ASPs {
-		settings.Key = r.ownExchange.PointCode
+		settings.DestinationPointCode = r.ownExchange.PointCode
 		if len(cfg.ASPs) > 1 {
 			settings.Mode = max(cfg.Mode, m3ua.Override)
 		}
@@ -124,7 +124,7 @@
 // sendNetworkManagement sends a network management message about the own point code to a peer.
 func (r *Router) sendNetworkManagement(peer *peer, kind m3ua.Kind, congestion byte) {
 	for _, link := range peer.links {
-		if link.assoc.Network(kind, r.ownExchange.PointCode, congestion) == nil {
+		if link.assoc.SendNetworkManagement(kind, r.ownExchange.PointCode, congestion) == nil {
 			r.markPending(peer)
 		}
 	}
@@ -215,9 +215,9 @@
 	switch event.Kind {
 	case m3ua.ASOverridden:
 		peer.links[event.ASP].assoc.Overridden()
-	case m3ua.ASShort:
+	case m3ua.ASInsufficient:
 		for _, link := range peer.links {
-			link.assoc.NotifyShort()
+			link.assoc.NotifyInsufficientASPs()
 		}
 	case m3ua.ASChanged:
 		if len(peer.links) > 1 {
@@ -307,7 +307,7 @@
 	if message.Kind == m3ua.DAUD { // only the state of the own point code is known here
 		reply := map[bool]m3ua.Kind{true: m3ua.DRST, false: m3ua.DAVA}[r.draining]
 		if slices.Contains(m3ua.AffectedPointCodes(message), r.ownExchange.PointCode) {
-			_ = link.assoc.Network(reply, r.ownExchange.PointCode, 0)
+			_ = link.assoc.SendNetworkManagement(reply, r.ownExchange.PointCode, 0)
 		}
 		return
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -224,7 +224,7 @@
 	r.now = now
 	for _, peer := range r.peers {
 		for _, link := range peer.links {
-			link.assoc.Leave(now)
+			link.assoc.Shutdown(now)
 		}
 		r.markPending(peer)
 	}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -75,7 +75,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	p := &testPeer{t: t, conn: conn, pointCode: pointCode,
-		assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, ASPID: pointCode, Beat: -1})}
+		assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, ASPID: pointCode, HeartbeatInterval: -1})}
 	p.assoc.Connected(0)
 	p.readUntil("active", func() bool { return p.assoc.State() == m3ua.Active })
 	return p
@@ -209,8 +209,8 @@
 	}{
 		"unknown identifier":  {unknownASPUP, m3ua.ErrIDInvalid},
 		"no identifier":       {(&m3ua.Message{Kind: m3ua.ASPUP}).Append(nil), m3ua.ErrIDRequired},
-		"DATA first":          {(&m3ua.Message{Kind: m3ua.DATA}).Append(nil), m3ua.ErrUnexpected},
-		"unknown class":       {(&m3ua.Message{Kind: 0x0701}).Append(nil), m3ua.ErrClass},
+		"DATA first":          {(&m3ua.Message{Kind: m3ua.DATA}).Append(nil), m3ua.ErrUnexpectedMessage},
+		"unknown class":       {(&m3ua.Message{Kind: 0x0701}).Append(nil), m3ua.ErrUnsupportedClass},
 		"length 0":            {header(0), 0},
 		"length 7":            {header(7), 0},
 		"length 2^31":         {header(1 << 31), 0},
--- a/server/storm_test.go
+++ b/server/storm_test.go
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
-	assoc := m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, ASPID: pointCode, Beat: -1})
+	assoc := m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, ASPID: pointCode, HeartbeatInterval: -1})
 	assoc.Connected(0)
 	buffer := make([]byte, 4096)
 	for assoc.State() != m3ua.Active {
