--- a/internal/plant/callers.go
+++ b/internal/plant/callers.go
@@ -206,7 +206,7 @@
 	try := &setUpTry{caller: caller, circuits: circuits}
 	c.setUpCount++
 	iam, err := isup.NewSetup(circuits[0], isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1},
-		Category: class.Category, Width: class.Width, Map: isup.CircuitMap(circuits), Hops: -1})
+		Category: class.Category, Width: class.Width, CircuitMap: isup.CircuitMap(circuits), HopCounter: -1})
 	if err == nil {
 		iam.Set(isup.ParamCallingNumber, callingNumber(c.id, c.setUpCount)...)
 		err = c.association.Send(iam)
@@ -269,7 +269,7 @@
 			c.handleAnswer(try)
 		}
 	case isup.REL:
-		_ = c.association.Send(isup.Simple(isup.RLC, message.CIC))
+		_ = c.association.Send(isup.NewSimple(isup.RLC, message.CIC))
 		if try != nil {
 			c.handleRelease(try, message.Release().Cause, false)
 		}
@@ -289,7 +289,7 @@
 			}
 		}
 	case isup.RSC:
-		_ = c.association.Send(isup.Simple(isup.RLC, message.CIC))
+		_ = c.association.Send(isup.NewSimple(isup.RLC, message.CIC))
 		if try != nil {
 			c.handleRelease(try, isup.CauseTemporaryFailure, true)
 		}
--- a/internal/plant/lines.go
+++ b/internal/plant/lines.go
@@ -37,7 +37,7 @@
 		l.answerCall(message)
 	case isup.REL, isup.RSC:
 		l.release(message.CIC)
-		_ = l.association.Send(isup.Simple(isup.RLC, message.CIC))
+		_ = l.association.Send(isup.NewSimple(isup.RLC, message.CIC))
 	case isup.GRS:
 		circuits, err := message.RangeStatus()
 		if err != nil {
@@ -80,11 +80,11 @@
 	l.release(iam.CIC)
 	l.busyLines[called.Digits]++
 	l.calledNumbers[iam.CIC] = called.Digits
-	_ = l.association.Send(isup.Simple(isup.ACM, iam.CIC))
+	_ = l.association.Send(isup.NewSimple(isup.ACM, iam.CIC))
 	cic := iam.CIC
 	l.association.After(l.ExtraDelay+time.Duration((0.5+l.rng.Float64())*float64(l.RingTime)), func() {
 		if l.calledNumbers[cic] == called.Digits {
-			_ = l.association.Send(isup.Simple(isup.ANM, cic))
+			_ = l.association.Send(isup.NewSimple(isup.ANM, cic))
 		}
 	})
 }
--- a/internal/plant/plant_test.go
+++ b/internal/plant/plant_test.go
@@ -24,7 +24,7 @@
 // setUpFrame returns the frame of an IAM on a circuit.
 func setUpFrame(t *testing.T, cic uint16) Frame {
 	t.Helper()
-	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5501", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5501", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	if intercepted, _, _ := r.InterceptRefused(1, setUpFrame(t, 7)); !intercepted {
 		t.Error("the call server's own set-up was sent before RLC arrived")
 	}
-	intercepted, _, resumed := r.InterceptRefused(0, newFrame(t, isup.Simple(isup.RLC, 7)))
+	intercepted, _, resumed := r.InterceptRefused(0, newFrame(t, isup.NewSimple(isup.RLC, 7)))
 	if !intercepted || len(resumed) != 1 || resumed[0].ISUP.Type != isup.IAM || r.RepeatRelease(iam) != nil {
 		t.Errorf("RLC: intercepted %v, %d frames resumed", intercepted, len(resumed))
 	}
@@ -70,7 +70,7 @@
 		t.Error("the processor refused a dual seizure, which the call server has to resolve")
 	}
 	resetSetUp := Classify(r, 0, setUpFrame(t, 11), &message)
-	Classify(r, 0, newFrame(t, isup.Simple(isup.RSC, 11)), &message)
+	Classify(r, 0, newFrame(t, isup.NewSimple(isup.RSC, 11)), &message)
 	if reply, mustDeliver := r.Refuse(0, resetSetUp); reply != nil || mustDeliver {
 		t.Error("a set-up was answered after its circuit was reset: the answer would release the next call on it")
 	}
--- a/internal/plant/relation.go
+++ b/internal/plant/relation.go
@@ -233,7 +233,7 @@
 		refused.heldFrames = append(refused.heldFrames, frame)
 		return true, nil, nil
 	case frame.ISUP.Type == isup.REL: // the refused end releases the call itself; its RLC for the refusal is still due
-		return true, frame.reply(isup.Simple(isup.RLC, frame.ISUP.CIC)), nil
+		return true, frame.reply(isup.NewSimple(isup.RLC, frame.ISUP.CIC)), nil
 	case frame.ISUP.Type != isup.RLC:
 		return true, nil, nil
 	}
@@ -257,7 +257,7 @@
 		return false, nil
 	}
 	if f.ISUP.Type == isup.REL {
-		reply = f.reply(isup.Simple(isup.RLC, f.ISUP.CIC))
+		reply = f.reply(isup.NewSimple(isup.RLC, f.ISUP.CIC))
 	}
 	return true, reply
 }
--- a/internal/rulecheck/messages.go
+++ b/internal/rulecheck/messages.go
@@ -155,7 +155,7 @@
 		call.excused = true
 	}
 	patience, ok := c.parameters.Patience[setup.Category]
-	call = &callState{number: number, takenAt: record.At, patience: patience - setup.Elapsed, excused: !ok}
+	call = &callState{number: number, takenAt: record.At, patience: patience - setup.PropagationDelay, excused: !ok}
 	call.incoming = &callLeg{call: call, peer: record.Peer, cics: cics}
 	group.incoming[cics[0]] = call.incoming
 	server.calls[number] = call
--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -33,9 +33,9 @@
 
 // iam adds an IAM of the call whose calling number ends in caller; its circuits start at cic.
 func (rec *recording) iam(ms int, exchange, peer string, out bool, cic uint16, caller byte, width int) {
-	setup := isup.Setup{Called: isup.Number{Digits: "551", Nature: 3, Plan: 1}, Category: 10, Width: width, Hops: -1}
+	setup := isup.Setup{Called: isup.Number{Digits: "551", Nature: 3, Plan: 1}, Category: 10, Width: width, HopCounter: -1}
 	if width > 1 {
-		setup.Map = (1<<width - 1) << (cic - 1)
+		setup.CircuitMap = (1<<width - 1) << (cic - 1)
 	}
 	message, err := isup.NewSetup(cic, setup)
 	if err != nil {
@@ -46,7 +46,7 @@
 }
 
 func (rec *recording) simple(ms int, exchange, peer string, out bool, messageType isup.Type, cic uint16) {
-	rec.message(ms, exchange, peer, out, isup.Simple(messageType, cic))
+	rec.message(ms, exchange, peer, out, isup.NewSimple(messageType, cic))
 }
 
 // query adds an ENUM query for a number, or its response with a routing number.
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Setup{Called: Number{"5501234", 3, 1}, Category: 10, Width: 1, Hops: -1}
+	want := Setup{Called: Number{"5501234", 3, 1}, Category: 10, Width: 1, HopCounter: -1}
 	if message.CIC != 0x123 || setup != want {
 		t.Errorf("circuit %x, %+v, want 123, %+v", message.CIC, setup, want)
 	}
@@ -44,17 +44,17 @@
 }
 
 func TestRoundTrips(t *testing.T) {
-	iam, err := NewSetup(77, Setup{Called: Number{"55012345678", 3, 1}, Category: 11, Width: 4, Map: 0x1e,
-		Elapsed: 1234 * time.Millisecond, Hops: 3})
+	iam, err := NewSetup(77, Setup{Called: Number{"55012345678", 3, 1}, Category: 11, Width: 4, CircuitMap: 0x1e,
+		PropagationDelay: 1234 * time.Millisecond, HopCounter: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	rangeStatus := Range{Range: 9}
 	rangeStatus.SetBit(0)
 	rangeStatus.SetBit(9)
-	for _, message := range []*Message{iam, NewRelease(5, ReleaseInfo{CauseCongestion, LocationBeyond, 2}), Simple(ACM, 1),
-		Simple(ANM, 1), Simple(CON, 2), Simple(CPG, 3), Simple(RLC, 4095), Simple(RSC, 9), Simple(BLO, 9), Simple(UBL, 9),
-		Simple(BLA, 9), Simple(UBA, 9), Simple(UCIC, 9), NewGroup(GRS, 33, 0, rangeStatus), NewGroup(GRA, 33, 0, rangeStatus),
+	for _, message := range []*Message{iam, NewRelease(5, ReleaseInfo{CauseCongestion, LocationBeyond, 2}), NewSimple(ACM, 1),
+		NewSimple(ANM, 1), NewSimple(CON, 2), NewSimple(CPG, 3), NewSimple(RLC, 4095), NewSimple(RSC, 9), NewSimple(BLO, 9), NewSimple(UBL, 9),
+		NewSimple(BLA, 9), NewSimple(UBA, 9), NewSimple(UCIC, 9), NewGroup(GRS, 33, 0, rangeStatus), NewGroup(GRA, 33, 0, rangeStatus),
 		NewGroup(CGB, 33, Hardware, rangeStatus), NewGroup(CGBA, 33, Hardware, rangeStatus), NewGroup(CGU, 33, 0, rangeStatus),
 		NewGroup(CGUA, 33, 0, rangeStatus)} {
 		raw, err := message.Append(nil)
@@ -73,7 +73,7 @@
 	}
 	got, _ := iam.Append(nil)
 	message, _ := Decode(got)
-	if s, err := message.Setup(); err != nil || s.Width != 4 || s.Map != 0x1e || s.Elapsed != 1234*time.Millisecond || s.Hops != 3 {
+	if s, err := message.Setup(); err != nil || s.Width != 4 || s.CircuitMap != 0x1e || s.PropagationDelay != 1234*time.Millisecond || s.HopCounter != 3 {
 		t.Errorf("set-up %+v, %v", s, err)
 	}
 }
@@ -120,7 +120,7 @@
 	if _, err := empty.Append(nil); err == nil {
 		t.Error("an IAM without its mandatory part was encoded")
 	}
-	tooLong := Simple(ANM, 1)
+	tooLong := NewSimple(ANM, 1)
 	tooLong.Params = append(tooLong.Params, Param{0x70, make([]byte, 255)}, Param{0x71, make([]byte, 255)})
 	if _, err := tooLong.Append(nil); err == nil {
 		t.Error("a message over 268 octets was encoded")
@@ -156,7 +156,7 @@
 			t.Errorf("%s: %+v, want %+v", testCase.name, got, testCase.want)
 		}
 	}
-	message := Simple(ACM, 1)
+	message := NewSimple(ACM, 1)
 	message.Set(0x70, 1)
 	message.Set(0x71, 2)
 	message.Set(ParamParameterCompatibility, 0x70, 0x80|compatDiscardParameter|compatEndNode|compatNotify, 0x71, 0x80)
@@ -171,7 +171,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(sampleIAM)
-	for _, message := range []*Message{NewRelease(5, ReleaseInfo{34, 2, 1}), Simple(ACM, 1), NewGroup(GRS, 1, 0, Range{Range: 9})} {
+	for _, message := range []*Message{NewRelease(5, ReleaseInfo{34, 2, 1}), NewSimple(ACM, 1), NewGroup(GRS, 1, 0, Range{Range: 9})} {
 		raw, _ := message.Append(nil)
 		f.Add(raw)
 	}
--- a/isup/params.go
+++ b/isup/params.go
@@ -127,26 +127,26 @@
 
 // Setup holds the parameters of an IAM that routing needs.
 type Setup struct {
-	Called   Number        // called party number
-	Category byte          // calling party's category (Q.763 3.11)
-	Width    int           // circuits of 64 kbit/s, from the transmission medium requirement (Q.763 3.54)
-	Map      uint32        // circuit assignment map: bit 0 is time slot 1; 0: consecutive circuits from the CIC
-	Elapsed  time.Duration // propagation delay counter, in milliseconds on the wire
-	Hops     int           // hop counter: hops that are left; -1: absent
+	Called           Number        // called party number
+	Category         byte          // calling party's category (Q.763 3.11)
+	Width            int           // circuits of 64 kbit/s, from the transmission medium requirement (Q.763 3.54)
+	CircuitMap       uint32        // circuit assignment map: bit 0 is time slot 1; 0: consecutive circuits from the CIC
+	PropagationDelay time.Duration // propagation delay counter, in milliseconds on the wire
+	HopCounter       int           // hop counter: hops that are left; -1: absent
 }
 
 // Circuits returns the circuit identification codes of a call whose IAM is sent on a circuit: those of the circuit assignment map,
 // or consecutive ones.
 func (s Setup) Circuits(cic uint16) []uint16 {
 	cics := []uint16{cic}
-	if s.Map == 0 {
+	if s.CircuitMap == 0 {
 		for i := 1; i < s.Width; i++ {
 			cics = append(cics, cic+uint16(i))
 		}
 		return cics
 	}
 	cics = cics[:0]
-	for slots := s.Map; slots != 0; slots &= slots - 1 {
+	for slots := s.CircuitMap; slots != 0; slots &= slots - 1 {
 		cics = append(cics, cic/slotsPerSystem*slotsPerSystem+uint16(bits.TrailingZeros32(slots))+1)
 	}
 	return cics
@@ -163,8 +163,9 @@
 	return bitmap
 }
 
-// NewSetup returns an IAM. Width is encoded as the transmission medium requirement; Elapsed, Map and Hops as optional parameters.
-// It fails if the called number is invalid or if no transmission medium requirement exists for the width.
+// NewSetup returns an IAM. Width is encoded as the transmission medium requirement; PropagationDelay, CircuitMap and
+// HopCounter as optional parameters. It fails if the called number is invalid or if no transmission medium requirement exists
+// for the width.
 func NewSetup(cic uint16, setup Setup) (*Message, error) {
 	message := &Message{CIC: cic, Type: IAM}
 	medium, err := mediumForWidth(setup.Width)
@@ -178,7 +179,7 @@
 	message.Params = append(make([]Param, 0, 8), Param{ParamNatureOfConnectionIndicators, []byte{0}},
 		Param{ParamForwardCallIndicators, []byte{0x20, 0x01}}, Param{ParamCallingPartyCategory, []byte{setup.Category}},
 		Param{ParamTransmissionMediumRequirement, []byte{medium}}, Param{ParamCalledNumber, number})
-	message.SetSetup(setup)
+	message.SetOptional(setup)
 	return message, nil
 }
 
@@ -192,18 +193,18 @@
 	return nil
 }
 
-// SetSetup sets the optional parameters of an IAM that is passed on (Map, Elapsed and Hops, if present). The other parameters
-// stay unchanged.
-func (m *Message) SetSetup(setup Setup) {
-	if setup.Map != 0 {
-		m.Set(ParamCircuitMap, 2, byte(setup.Map), byte(setup.Map>>8), byte(setup.Map>>16), byte(setup.Map>>24)&0x7f)
-	}
-	if setup.Elapsed > 0 {
-		milliseconds := uint16(min(setup.Elapsed.Milliseconds(), math.MaxUint16))
+// SetOptional sets the optional parameters of an IAM that is passed on (CircuitMap, PropagationDelay and HopCounter, if
+// present). The other parameters stay unchanged.
+func (m *Message) SetOptional(setup Setup) {
+	if setup.CircuitMap != 0 {
+		m.Set(ParamCircuitMap, 2, byte(setup.CircuitMap), byte(setup.CircuitMap>>8), byte(setup.CircuitMap>>16), byte(setup.CircuitMap>>24)&0x7f)
+	}
+	if setup.PropagationDelay > 0 {
+		milliseconds := uint16(min(setup.PropagationDelay.Milliseconds(), math.MaxUint16))
 		m.Set(ParamPropagationDelay, byte(milliseconds>>8), byte(milliseconds))
 	}
-	if setup.Hops >= 0 {
-		m.Set(ParamHopCounter, byte(setup.Hops)&0x1f)
+	if setup.HopCounter >= 0 {
+		m.Set(ParamHopCounter, byte(setup.HopCounter)&0x1f)
 	}
 }
 
@@ -221,18 +222,18 @@
 			return setup, fmt.Errorf("isup: transmission medium requirement 0x%02x is not supported", value[0])
 		}
 	}
-	setup.Hops = -1
+	setup.HopCounter = -1
 	if value, ok := m.Get(ParamHopCounter); ok && len(value) >= 1 {
-		setup.Hops = int(value[0] & 0x1f)
+		setup.HopCounter = int(value[0] & 0x1f)
 	}
 	if value, ok := m.Get(ParamPropagationDelay); ok && len(value) >= 2 {
-		setup.Elapsed = time.Duration(uint16(value[0])<<8|uint16(value[1])) * time.Millisecond
+		setup.PropagationDelay = time.Duration(uint16(value[0])<<8|uint16(value[1])) * time.Millisecond
 	}
 	if value, ok := m.Get(ParamCircuitMap); ok {
 		if len(value) < 5 || value[0]&0x3f != 2 {
 			return setup, fmt.Errorf("isup: circuit assignment map %x: only the 2,048 kbit/s map is supported", value)
 		}
-		setup.Map = uint32(value[1]) | uint32(value[2])<<8 | uint32(value[3])<<16 | uint32(value[4]&0x7f)<<24
+		setup.CircuitMap = uint32(value[1]) | uint32(value[2])<<8 | uint32(value[3])<<16 | uint32(value[4]&0x7f)<<24
 	}
 	return setup, nil
 }
@@ -339,9 +340,9 @@
 	return Maintenance
 }
 
-// Simple returns a message whose mandatory parameters need no input: ACM, CON and CPG with default indicators, ANM, RLC, and the
-// messages without parameters.
-func Simple(messageType Type, cic uint16) *Message {
+// NewSimple returns a message whose mandatory parameters need no input: ACM, CON and CPG with default indicators, ANM, RLC,
+// and the messages without parameters.
+func NewSimple(messageType Type, cic uint16) *Message {
 	message := &Message{CIC: cic, Type: messageType}
 	switch messageType {
 	case ACM, CON:
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -60,9 +60,9 @@
 	if g := r.Groups()[to]; g.Spare != 16 {
 		b.Fatalf("group %+v", g)
 	}
-	setup, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	setup, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	iam := frame(counters, setup)
-	acm, anm, rlc := frame(exchange, isup.Simple(isup.ACM, 1)), frame(exchange, isup.Simple(isup.ANM, 1)), frame(exchange, isup.Simple(isup.RLC, 1))
+	acm, anm, rlc := frame(exchange, isup.NewSimple(isup.ACM, 1)), frame(exchange, isup.NewSimple(isup.ANM, 1)), frame(exchange, isup.NewSimple(isup.RLC, 1))
 	rel := frame(counters, isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
 	r.Effects()
 	b.ReportAllocs()
--- a/router/call.go
+++ b/router/call.go
@@ -108,8 +108,8 @@
 		call.class = entry.Class
 	}
 	call.destination, call.hopCounter = entry.Exchange, r.cfg.HopCounter
-	if call.setup.Hops >= 0 {
-		call.hopCounter = call.setup.Hops
+	if call.setup.HopCounter >= 0 {
+		call.hopCounter = call.setup.HopCounter
 	}
 	instruction := isup.Unrecognized(call.iam, !found || entry.Exchange != r.ownExchange.Number)
 	location := isup.LocationLocalNetwork
@@ -151,7 +151,7 @@
 // in the IAM and the time since the call was received.
 func (r *Router) remainingPatience(call *call) time.Duration {
 	class := r.cfg.Classes[max(0, call.class)]
-	return class.Patience - call.setup.Elapsed - (r.now - call.receivedAt)
+	return class.Patience - call.setup.PropagationDelay - (r.now - call.receivedAt)
 }
 
 // routeToSubscribers sends a call to the subscriber lines of this exchange. The final answer is due two ticks before the
@@ -181,7 +181,7 @@
 			message.Params = append(message.Params, param)
 		}
 	}
-	message.SetSetup(isup.Setup{Map: circuits, Elapsed: c.setup.Elapsed + now - c.receivedAt, Hops: c.hopCounter - 1})
+	message.SetOptional(isup.Setup{CircuitMap: circuits, PropagationDelay: c.setup.PropagationDelay + now - c.receivedAt, HopCounter: c.hopCounter - 1})
 	return message
 }
 
@@ -191,7 +191,7 @@
 	case isup.ACM, isup.CPG:
 		if !call.established && call.incoming != nil {
 			if message = copyMessage(message); call.acmSent && message.Type == isup.ACM {
-				message = isup.Simple(isup.CPG, 0) // ACM of a later attempt: the caller already has one
+				message = isup.NewSimple(isup.CPG, 0) // ACM of a later attempt: the caller already has one
 			} else if !call.acmSent && message.Type == isup.CPG {
 				return
 			}
@@ -213,10 +213,10 @@
 	answer := copyMessage(message)
 	if !call.acmSent && message.Type == isup.ANM { // an answer without address complete is a connect (Q.764 2.1.7)
 		params := answer.Params
-		answer = isup.Simple(isup.CON, 0)
+		answer = isup.NewSimple(isup.CON, 0)
 		answer.Params = append(answer.Params, params...)
 	} else if call.acmSent && message.Type == isup.CON {
-		answer = isup.Simple(isup.ANM, 0)
+		answer = isup.NewSimple(isup.ANM, 0)
 	}
 	call.answerMessage = answer
 	r.sendOrHold(call.incoming, answer)
--- a/router/client_loss_test.go
+++ b/router/client_loss_test.go
@@ -58,7 +58,7 @@
 			client := n.endpoints["a/counters"]
 			if test.half {
 				id, _ := n.routers["a"].Link("counters", 0)
-				m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+				m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 				b, _ := m.Append(nil)
 				frame := dataFrame(client, b)
 				n.routers["a"].Receive(n.now, id, frame[:len(frame)/2])
@@ -123,7 +123,7 @@
 	n.endpoints["b/lines"].onMessage = nil
 	a, client := n.routers["a"], n.endpoints["a/counters"]
 	id, _ := a.Link("counters", 0)
-	m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	b, _ := m.Append(nil)
 	start := n.now
 	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(client, b), Delay: 2 * time.Second})
--- a/router/established_test.go
+++ b/router/established_test.go
@@ -107,7 +107,7 @@
 		return dataFrame(&endpoint{pointCode: from.pointCode, routerPointCode: 101}, raw)
 	}
 	number := fmt.Sprintf("55%03d1234", exchange.pointCode-102+2)
-	setup, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	setup, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -131,11 +131,11 @@
 	if outgoingCIC == 0 {
 		b.Fatalf("no set-up toward %d at %v", exchange.pointCode, now)
 	}
-	r.Receive(now, exchange.linkID, frame(exchange, isup.Simple(isup.ACM, outgoingCIC)))
-	r.Receive(now, exchange.linkID, frame(exchange, isup.Simple(isup.ANM, outgoingCIC)))
+	r.Receive(now, exchange.linkID, frame(exchange, isup.NewSimple(isup.ACM, outgoingCIC)))
+	r.Receive(now, exchange.linkID, frame(exchange, isup.NewSimple(isup.ANM, outgoingCIC)))
 	if release {
 		r.Receive(now, client.linkID, frame(client, isup.NewRelease(cic, isup.ReleaseInfo{Cause: 16})))
-		r.Receive(now, exchange.linkID, frame(exchange, isup.Simple(isup.RLC, outgoingCIC)))
+		r.Receive(now, exchange.linkID, frame(exchange, isup.NewSimple(isup.RLC, outgoingCIC)))
 	}
 	r.Effects()
 }
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -106,15 +106,15 @@
 	porto := connect("porto", 102, m3ua.RoleIPSPClient, func(f *farEnd, m *isup.Message) {
 		acknowledgeReset(f, m)
 		if m.Type == isup.IAM {
-			f.send(isup.Simple(isup.ACM, m.CIC))
-			f.send(isup.Simple(isup.ANM, m.CIC))
+			f.send(isup.NewSimple(isup.ACM, m.CIC))
+			f.send(isup.NewSimple(isup.ANM, m.CIC))
 		}
 	})
 	counters := connect("counters", 2001, m3ua.RoleASP, acknowledgeReset)
 	transferBytes(r, now, porto, counters)
 
 	for cic := uint16(1); cic <= 3; cic++ { // three calls for two circuits: the third one waits, and is refused
-		iam, _ := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "55020042", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+		iam, _ := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "55020042", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 		counters.send(iam)
 	}
 	transferBytes(r, now, porto, counters)
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -114,7 +114,7 @@
 
 // sendSetup sends the IAM of a call on a circuit.
 func sendSetup(t *testing.T, client *process, cic uint16) {
-	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +147,8 @@
 		before := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON)
 		for _, m := range exchange.received {
 			if m.Type == isup.IAM {
-				exchange.send(isup.Simple(isup.ACM, m.CIC))
-				exchange.send(isup.Simple(isup.ANM, m.CIC))
+				exchange.send(isup.NewSimple(isup.ACM, m.CIC))
+				exchange.send(isup.NewSimple(isup.ANM, m.CIC))
 			}
 		}
 		transferBytes(r, first, second, exchange)
--- a/router/fair_test.go
+++ b/router/fair_test.go
@@ -140,10 +140,10 @@
 		for _, message := range h.exchange.received {
 			switch busy = true; message.Type {
 			case isup.IAM:
-				h.exchange.send(isup.Simple(isup.ACM, message.CIC))
-				h.exchange.send(isup.Simple(isup.ANM, message.CIC))
+				h.exchange.send(isup.NewSimple(isup.ACM, message.CIC))
+				h.exchange.send(isup.NewSimple(isup.ANM, message.CIC))
 			case isup.REL:
-				h.exchange.send(isup.Simple(isup.RLC, message.CIC))
+				h.exchange.send(isup.NewSimple(isup.RLC, message.CIC))
 			}
 		}
 		h.exchange.received = nil
@@ -156,7 +156,7 @@
 					}
 					heap.Push(&h.releases, scheduledRelease{h.now + time.Duration(h.rng.ExpFloat64()*float64(3*time.Second)), clientCall{clientIndex, message.CIC}})
 				case isup.REL:
-					client.send(isup.Simple(isup.RLC, message.CIC))
+					client.send(isup.NewSimple(isup.RLC, message.CIC))
 					h.freeCircuits[clientIndex] = append(h.freeCircuits[clientIndex], message.CIC)
 				case isup.RLC:
 					h.freeCircuits[clientIndex] = append(h.freeCircuits[clientIndex], message.CIC)
--- a/router/late_answer_test.go
+++ b/router/late_answer_test.go
@@ -45,9 +45,9 @@
 				if calls++; calls > 1 {
 					wait = 50 * time.Millisecond
 				}
-				n.after(wait, func() { lines.send(isup.Simple(isup.ANM, m.CIC)) })
+				n.after(wait, func() { lines.send(isup.NewSimple(isup.ANM, m.CIC)) })
 			case isup.REL:
-				lines.send(isup.Simple(isup.RLC, m.CIC))
+				lines.send(isup.NewSimple(isup.RLC, m.CIC))
 			}
 		}
 		n.offerCall("a", 1, "5521", 1)
--- a/router/lease.go
+++ b/router/lease.go
@@ -86,7 +86,7 @@
 		class = entry.Class
 	}
 	call := &call{id: r.lastCallID, managed: true, class: class, destination: entry.Exchange, hopCounter: r.cfg.HopCounter, receivedAt: r.now,
-		setup: isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Width: r.cfg.Classes[class].Width, Hops: -1},
+		setup: isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Width: r.cfg.Classes[class].Width, HopCounter: -1},
 		lease: &lease{queryID: queryID, enumClient: client, expiresAt: r.now + r.cfg.QueryTimeout}}
 	r.calls[call.id] = call
 	client.activeLeases++
@@ -176,7 +176,7 @@
 	if err := leased.iam.SetCalled(leased.setup.Called); err != nil {
 		r.log(slog.LevelError, "called number of a lease cannot be encoded", leased.id, slog.Any("err", err))
 	}
-	leased.setup.Elapsed = setup.Elapsed
+	leased.setup.PropagationDelay = setup.PropagationDelay
 	leased.incoming = &leg{call: leased, peer: client, seizure: seizure}
 	seizure.Owner = leased.incoming
 	r.emit(LeaseUsed{QueryID: leased.lease.queryID})
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -151,7 +151,7 @@
 			r, _ := message.RangeStatus()
 			end.send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: r.Range}))
 		} else if message.Type == isup.RSC {
-			end.send(isup.Simple(isup.RLC, message.CIC))
+			end.send(isup.NewSimple(isup.RLC, message.CIC))
 		} else if end.onMessage != nil {
 			end.onMessage(message)
 		}
@@ -260,16 +260,16 @@
 		end.onMessage = func(m *isup.Message) {
 			switch m.Type {
 			case isup.IAM:
-				end.send(isup.Simple(isup.ACM, m.CIC))
-				n.after(20*time.Millisecond, func() { end.send(isup.Simple(isup.ANM, m.CIC)) })
+				end.send(isup.NewSimple(isup.ACM, m.CIC))
+				n.after(20*time.Millisecond, func() { end.send(isup.NewSimple(isup.ANM, m.CIC)) })
 			case isup.REL:
-				end.send(isup.Simple(isup.RLC, m.CIC))
+				end.send(isup.NewSimple(isup.RLC, m.CIC))
 			}
 		}
 	} else {
 		end.onMessage = func(m *isup.Message) {
 			if m.Type == isup.REL {
-				end.send(isup.Simple(isup.RLC, m.CIC))
+				end.send(isup.NewSimple(isup.RLC, m.CIC))
 			}
 		}
 	}
@@ -280,9 +280,9 @@
 
 // offerCall offers a call to an exchange, on a circuit of its counters.
 func (n *testNetwork) offerCall(exchange string, cic uint16, number string, width int) {
-	setup := isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: byte(9 + width), Width: width, Hops: -1}
+	setup := isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: byte(9 + width), Width: width, HopCounter: -1}
 	if width == 2 {
-		setup.Map = 3 << (cic - 1)
+		setup.CircuitMap = 3 << (cic - 1)
 	}
 	m, err := isup.NewSetup(cic, setup)
 	if err != nil {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -98,7 +98,7 @@
 	}
 	n.endpoints["b/lines"].onMessage = func(m *isup.Message) {
 		if m.Type == isup.REL {
-			n.endpoints["b/lines"].send(isup.Simple(isup.RLC, m.CIC))
+			n.endpoints["b/lines"].send(isup.NewSimple(isup.RLC, m.CIC))
 		}
 	}
 	n.runUntil(start + 8*time.Second)
@@ -114,9 +114,9 @@
 	lines.onMessage = func(m *isup.Message) {
 		switch m.Type {
 		case isup.IAM:
-			n.after(2970*time.Millisecond, func() { lines.send(isup.Simple(isup.ANM, m.CIC)) })
+			n.after(2970*time.Millisecond, func() { lines.send(isup.NewSimple(isup.ANM, m.CIC)) })
 		case isup.REL:
-			lines.send(isup.Simple(isup.RLC, m.CIC))
+			lines.send(isup.NewSimple(isup.RLC, m.CIC))
 		}
 	}
 	n.linkDelay = 15 * time.Millisecond
--- a/server/dns_test.go
+++ b/server/dns_test.go
@@ -70,8 +70,8 @@
 		if number, err := iam.CalledNumber(); err != nil || number.Digits != "5521" {
 			t.Errorf("%s: the exchange is called %+v, %v", network, number, err)
 		}
-		exchange.send(isup.Simple(isup.ACM, iam.CIC))
-		exchange.send(isup.Simple(isup.ANM, iam.CIC))
+		exchange.send(isup.NewSimple(isup.ACM, iam.CIC))
+		exchange.send(isup.NewSimple(isup.ANM, iam.CIC))
 		exchange.flush()
 		counters.readUntil("answer", counters.hasReceived(isup.ANM, cic))
 		counters.send(isup.NewRelease(cic, isup.ReleaseInfo{Cause: 16}))
--- a/server/library_test.go
+++ b/server/library_test.go
@@ -133,11 +133,11 @@
 	case 4:
 		p.send(isup.NewRelease(cic, isup.ReleaseInfo{Cause: isup.CauseNoCircuit}))
 	case 6:
-		p.send(isup.Simple(isup.RSC, cic))
+		p.send(isup.NewSimple(isup.RSC, cic))
 	case 8: // no answer: the attempt times out
 	default:
-		p.send(isup.Simple(isup.ACM, cic))
-		p.send(isup.Simple(isup.ANM, cic))
+		p.send(isup.NewSimple(isup.ACM, cic))
+		p.send(isup.NewSimple(isup.ANM, cic))
 	}
 }
 
--- a/server/relay_test.go
+++ b/server/relay_test.go
@@ -74,9 +74,9 @@
 	e.handleMessages(func(message *isup.Message) []byte {
 		switch message.Type {
 		case isup.IAM:
-			return append(e.encode(isup.Simple(isup.ACM, message.CIC)), e.encode(isup.Simple(isup.ANM, message.CIC))...)
+			return append(e.encode(isup.NewSimple(isup.ACM, message.CIC)), e.encode(isup.NewSimple(isup.ANM, message.CIC))...)
 		case isup.REL:
-			return e.encode(isup.Simple(isup.RLC, message.CIC))
+			return e.encode(isup.NewSimple(isup.RLC, message.CIC))
 		}
 		return nil
 	})
@@ -155,7 +155,7 @@
 			case isup.REL:
 				b.Errorf("circuit %d released with cause %d", message.CIC, message.Release().Cause)
 				ended++
-				return e.encode(isup.Simple(isup.RLC, message.CIC))
+				return e.encode(isup.NewSimple(isup.RLC, message.CIC))
 			case isup.RLC:
 				freeCircuits <- message.CIC
 				if ended++; ended == count {
@@ -172,7 +172,7 @@
 			time.Sleep(time.Until(startedAt.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
 		}
 		setup, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521234", Nature: 3, Plan: 1},
-			Category: 10, Width: 1, Hops: -1})
+			Category: 10, Width: 1, HopCounter: -1})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -121,7 +121,7 @@
 		status, _ := message.RangeStatus()
 		p.send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: status.Range}))
 	case isup.REL:
-		p.send(isup.Simple(isup.RLC, message.CIC))
+		p.send(isup.NewSimple(isup.RLC, message.CIC))
 	}
 }
 
@@ -147,7 +147,7 @@
 // sendSetup queues the IAM of a call.
 func (p *testPeer) sendSetup(cic uint16, number string) {
 	setup, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1},
-		Category: 10, Width: 1, Hops: -1})
+		Category: 10, Width: 1, HopCounter: -1})
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -189,8 +189,8 @@
 	counters.sendSetup(1, "5521")
 	counters.flush()
 	exchange.readUntil("IAM", exchange.hasReceived(isup.IAM, 1))
-	exchange.send(isup.Simple(isup.ACM, 1))
-	exchange.send(isup.Simple(isup.ANM, 1))
+	exchange.send(isup.NewSimple(isup.ACM, 1))
+	exchange.send(isup.NewSimple(isup.ANM, 1))
 	exchange.flush()
 	counters.readUntil("answer", counters.hasReceived(isup.ANM, 1))
 	counters.send(isup.NewRelease(1, isup.ReleaseInfo{Cause: 16}))
--- a/trunk/group.go
+++ b/trunk/group.go
@@ -315,7 +315,7 @@
 
 // Setup returns the IAM of a seizure, with the circuit assignment map of its circuits. It fails as isup.NewSetup does.
 func (s *Seizure) Setup(setup isup.Setup) (*isup.Message, error) {
-	setup.Map = s.CircuitMap
+	setup.CircuitMap = s.CircuitMap
 	return isup.NewSetup(s.CIC, setup)
 }
 
--- a/trunk/procedure.go
+++ b/trunk/procedure.go
@@ -175,7 +175,7 @@
 	}
 	for _, run := range g.contiguousRuns(circuits, maxRangeCircuits) {
 		first := g.circuits[run[0]].cic
-		message := isup.Simple(isup.RSC, first)
+		message := isup.NewSimple(isup.RSC, first)
 		if len(run) > 1 {
 			message = isup.NewGroup(isup.GRS, first, 0, isup.Range{Range: len(run) - 1})
 		}
@@ -249,7 +249,7 @@
 		}
 		message := isup.NewGroup(messageType, g.circuits[run[0]].cic, kind, rangeStatus)
 		if len(run) == 1 && kind == isup.Maintenance {
-			message = isup.Simple(map[bool]isup.Type{true: isup.BLO, false: isup.UBL}[block], g.circuits[run[0]].cic)
+			message = isup.NewSimple(map[bool]isup.Type{true: isup.BLO, false: isup.UBL}[block], g.circuits[run[0]].cic)
 		}
 		g.startProcedure(now, &procedure{kind: blockingProcedure, circuits: run, message: message, groupType: kind,
 			shortTimer: g.settings.Timers.T12, longTimer: g.settings.Timers.T13})
--- a/trunk/receive.go
+++ b/trunk/receive.go
@@ -23,7 +23,7 @@
 	}
 	if !ok {
 		if message.Type == isup.IAM || message.Type == isup.BLO || message.Type == isup.UBL || message.Type == isup.RSC {
-			g.send(isup.Simple(isup.UCIC, message.CIC)) // Q.764 2.12
+			g.send(isup.NewSimple(isup.UCIC, message.CIC)) // Q.764 2.12
 		}
 		return
 	}
@@ -36,11 +36,11 @@
 	case isup.RLC:
 		g.receiveRLC(message)
 	case isup.RSC:
-		g.send(isup.Simple(isup.RLC, message.CIC))
+		g.send(isup.NewSimple(isup.RLC, message.CIC))
 		g.resetByFarEnd([]int{index})
 	case isup.BLO, isup.UBL:
 		g.setRemoteBlock([]int{index}, isup.Maintenance, message.Type == isup.BLO)
-		g.send(isup.Simple(message.Type+2, message.CIC)) // BLA and UBA follow BLO and UBL by two
+		g.send(isup.NewSimple(message.Type+2, message.CIC)) // BLA and UBA follow BLO and UBL by two
 	case isup.BLA, isup.UBA:
 		g.acknowledge(blockingProcedure, message)
 	default:
@@ -105,7 +105,7 @@
 	for _, c := range staleCircuits {
 		g.dropCall(c)
 	}
-	seizure := &Seizure{CIC: message.CIC, circuits: circuits, CircuitMap: setup.Map}
+	seizure := &Seizure{CIC: message.CIC, circuits: circuits, CircuitMap: setup.CircuitMap}
 	if g.settings.Direction == Incoming {
 		seizure.callKey = callKeyOf(message)
 	}
@@ -134,7 +134,7 @@
 		return []int{first}, true
 	}
 	cic := g.circuits[first].cic
-	slots := setup.Map
+	slots := setup.CircuitMap
 	if slots == 0 {
 		slots = (1<<width - 1) << (cic%slotsPerSystem - 1)
 	}
@@ -167,7 +167,7 @@
 	if seizure != nil && seizure.CIC != message.CIC {
 		return // a call of several circuits is released on its first circuit
 	}
-	g.send(isup.Simple(isup.RLC, message.CIC))
+	g.send(isup.NewSimple(isup.RLC, message.CIC))
 	if seizure != nil {
 		g.endSeizure(seizure, Idle)
 		g.addEvent(Released, seizure, message)
@@ -196,7 +196,7 @@
 			g.setRemoteBlock([]int{i}, isup.Hardware, false)
 		}
 		if c.localBlock.maintenance {
-			g.send(isup.Simple(isup.BLO, c.cic))
+			g.send(isup.NewSimple(isup.BLO, c.cic))
 		}
 	}
 }
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -85,7 +85,7 @@
 func (p *groupPair) seize(end, width int) *Seizure {
 	seizure := p.groups[end].Seize(width, nil)
 	if seizure != nil {
-		iam, err := seizure.Setup(isup.Setup{Called: isup.Number{Digits: "551", Nature: 3, Plan: 1}, Width: width, Hops: -1})
+		iam, err := seizure.Setup(isup.Setup{Called: isup.Number{Digits: "551", Nature: 3, Plan: 1}, Width: width, HopCounter: -1})
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -193,13 +193,13 @@
 	pair := newGroupPair(t, 1)
 	seizure := pair.seize(0, 1)
 	pair.deliverAll()
-	pair.groups[1].Send(pair.seizures[1][0], isup.Simple(isup.ANM, 0))
+	pair.groups[1].Send(pair.seizures[1][0], isup.NewSimple(isup.ANM, 0))
 	pair.groups[0].Release(pair.now, seizure, isup.ReleaseInfo{Cause: 102})
 	pair.deliverAll()
 	if n := pair.countEvents(0, Progress); n != 0 {
 		t.Errorf("a late ANM caused %d Progress events", n)
 	}
-	pair.groups[1].Receive(0, isup.Simple(isup.ANM, 1)) // on an idle circuit: the ends disagree, and it is reset
+	pair.groups[1].Receive(0, isup.NewSimple(isup.ANM, 1)) // on an idle circuit: the ends disagree, and it is reset
 	pair.deliverAll()
 	if pair.groups[0].Spare() != 1 || pair.groups[1].Spare() != 1 {
 		t.Errorf("%d and %d spare", pair.groups[0].Spare(), pair.groups[1].Spare())
@@ -224,7 +224,7 @@
 	if pair.groups[0].Events()[0].Kind != Alert {
 		t.Error("maintenance was not alerted")
 	}
-	pair.groups[0].Receive(pair.now, isup.Simple(isup.RLC, 1))
+	pair.groups[0].Receive(pair.now, isup.NewSimple(isup.RLC, 1))
 	if pair.groups[0].Spare() != 1 {
 		t.Error("the RLC for the RSC did not free the circuit")
 	}
@@ -310,7 +310,7 @@
 				}
 			case action < 55:
 				if n := len(pair.seizures[end]); n > 0 && !pair.seizures[end][n-1].Outgoing {
-					pair.groups[end].Send(pair.seizures[end][n-1], isup.Simple(isup.ANM, 0))
+					pair.groups[end].Send(pair.seizures[end][n-1], isup.NewSimple(isup.ANM, 0))
 				}
 			case action < 57:
 				pair.groups[end].Reset(pair.now, []uint16{uint16(1 + rng.IntN(6))})
@@ -353,9 +353,9 @@
 	pair := newGroupPair(t, 2) // even: the far end, with the higher code, controls it
 	pair.seize(0, 1)
 	pair.deliverAll()
-	pair.groups[1].Send(pair.seizures[1][0], isup.Simple(isup.ACM, 0))
+	pair.groups[1].Send(pair.seizures[1][0], isup.NewSimple(isup.ACM, 0))
 	pair.deliverAll()
-	iam, err := isup.NewSetup(2, isup.Setup{Called: isup.Number{Digits: "551", Nature: 3, Plan: 1}, Width: 1, Hops: -1})
+	iam, err := isup.NewSetup(2, isup.Setup{Called: isup.Number{Digits: "551", Nature: 3, Plan: 1}, Width: 1, HopCounter: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -434,7 +434,7 @@
 	}
 	pair.groups[0].ResetAll(pair.now)
 	seizure := pair.groups[1].Seize(1, nil)
-	iam, err := seizure.Setup(isup.Setup{Called: isup.Number{Digits: "55", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	iam, err := seizure.Setup(isup.Setup{Called: isup.Number{Digits: "55", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
