--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -274,7 +274,7 @@
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	s, err := server.New(cfg, log, server.WithList(offices))
+	s, err := server.New(cfg, log, server.WithSnapshot(offices))
 	if err != nil {
 		return err
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -60,8 +60,10 @@
 	return func(s *Server) { s.listener, s.console = signalling, console }
 }
 
-// WithList starts the Router with the last known snapshot of service discovery.
-func WithList(offices []logic.Office) Option { return func(s *Server) { s.initialOffices = offices } }
+// WithSnapshot starts the Router with the last known snapshot of service discovery.
+func WithSnapshot(offices []logic.Office) Option {
+	return func(s *Server) { s.initialOffices = offices }
+}
 
 // WithObserver passes every input of the Router and all of its effects to two functions, in order and on the goroutine of
 // the event loop. The functions must not keep the bytes of an input, whose buffer is reused. Either may be nil.
