--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -24,13 +24,13 @@
 	sticky         bool                                             // keep the tandem of a destination while it is usable and calls over it succeed
 }
 
-// AdmitAll tries every call once, over its direct route, whatever the load.
-func AdmitAll(settings logic.Settings, seed int64) (router.Policy, error) {
+// DirectOnly tries every call once, over its direct route, whatever the load.
+func DirectOnly(settings logic.Settings, seed int64) (router.Policy, error) {
 	return newPolicy(settings, seed, variant{}), nil
 }
 
-// AtMost tries a call over its direct route while fewer than limit attempts are outstanding, and refuses it otherwise.
-func AtMost(limit int) Maker {
+// MaxOutstanding tries a call over its direct route while fewer than limit attempts are outstanding, and refuses it otherwise.
+func MaxOutstanding(limit int) Maker {
 	return func(settings logic.Settings, seed int64) (router.Policy, error) {
 		return newPolicy(settings, seed, variant{maxOutstanding: limit}), nil
 	}
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -17,7 +17,7 @@
 	policies := []struct {
 		name string
 		make func(logic.Settings, int64) (router.Policy, error)
-	}{{"module", nil}, {"admit-all", baseline.AdmitAll}, {"at-most-8", baseline.AtMost(8)}}
+	}{{"module", nil}, {"admit-all", baseline.DirectOnly}, {"at-most-8", baseline.MaxOutstanding(8)}}
 	for _, load := range []float64{0.8, 1, 1.2, 1.5, 2} {
 		for _, p := range policies {
 			b.Run(fmt.Sprintf("%s/%.0f%%", p.name, 100*load), func(b *testing.B) {
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -134,7 +134,7 @@
 	case Module:
 		return nil, nil
 	case "direct":
-		return baseline.AdmitAll, nil
+		return baseline.DirectOnly, nil
 	case "random":
 		return baseline.RandomTandem, nil
 	}
@@ -142,7 +142,7 @@
 		if parameter, err := strconv.Atoi(name[hyphen+1:]); err == nil && parameter >= 0 && parameter < 4000 {
 			switch name[:hyphen] {
 			case "at-most":
-				return baseline.AtMost(parameter), nil
+				return baseline.MaxOutstanding(parameter), nil
 			case "reservation":
 				return baseline.TrunkReservation(parameter), nil
 			case "two-choices":
--- a/model/theory_test.go
+++ b/model/theory_test.go
@@ -20,7 +20,7 @@
 
 // oneGroup returns the settings of two exchanges with one trunk group between them; rate is that of both together.
 func oneGroup(seed uint64, circuits int, rate float64, classes []plant.Class) Settings {
-	return Settings{Exchanges: 2, Rate: rate, Group: circuits, Free: true, Baseline: baseline.AdmitAll, Seed: seed, Classes: classes}
+	return Settings{Exchanges: 2, Rate: rate, Group: circuits, Free: true, Baseline: baseline.DirectOnly, Seed: seed, Classes: classes}
 }
 
 // newClass returns a class with a mean hold time of a second.
--- a/planning/sizing_test.go
+++ b/planning/sizing_test.go
@@ -60,7 +60,7 @@
 	settings := model.Settings{Exchanges: trial.exchanges, Regions: 2, Rate: trial.rate * float64(trial.exchanges), Seed: seed, Classes: classes, Free: true, Measure: true,
 		Traffic: trial.traffic, Done: func(plant.Outcome) {}}
 	if !trial.controller {
-		settings.Baseline = baseline.AdmitAll
+		settings.Baseline = baseline.DirectOnly
 	}
 	return settings
 }
