--- a/internal/platform/acceptqueue.go
+++ b/internal/platform/acceptqueue.go
@@ -108,7 +108,7 @@
 	_ = listener.SetDeadline(time.Unix(1, 0))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for !p.acceptPaused && p.partition.New && !p.closed && p.listener == listener {
+	for !p.acceptPaused && p.partition.NewConnections && !p.closed && p.listener == listener {
 		p.changed.Wait()
 	}
 }
--- a/internal/platform/behavior.go
+++ b/internal/platform/behavior.go
@@ -3,20 +3,20 @@
 // Behavior says how an office reacts to a set-up.
 type Behavior int
 
-// The behaviors. After those from InvalidBytes to Drop the connection cannot be used any more.
+// The behaviors. After those from InvalidBytes to ResetConnection the connection cannot be used any more.
 const (
-	Stand              Behavior = iota // answers, and releases the call after Office.Hold
+	AnswerCall         Behavior = iota // answers, and releases the call after Office.Hold
 	Busy                               // refuses: the called line is busy
-	Full                               // refuses: no circuit is free
-	Reset                              // releases with a signalling fault (Q.850 cause 41)
-	Mute                               // never replies
+	NoCircuit                          // refuses: no circuit is free
+	SignallingFault                    // releases with a signalling fault (Q.850 cause 41)
+	NeverReply                         // never replies
 	DuplicateAnswer                    // sends an answer with an unknown call id, then the correct answer twice
 	InvalidBytes                       // sends a message with invalid content
 	OversizedLength                    // sends a length above the limit
 	TruncatedAnswer                    // sends the first half of an answer
 	InvalidDescription                 // answers with an invalid session description
-	Drop                               // resets the connection
-	Behaviors                          // number of the behaviors above
+	ResetConnection                    // resets the connection
+	BehaviorCount                      // number of the behaviors above
 	LoseAnswer                         // establishes the call, but the answer is lost
 )
 
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -14,12 +14,12 @@
 // Caller is a connection to a call server on which callers set up calls.
 type Caller struct {
 	net.Conn
-	env   *Environment
-	Heard chan Heard // received messages in order; closed with the connection
+	env      *Environment
+	Received chan ReceivedMessage // received messages in order; closed with the connection
 }
 
-// Heard is a message that a caller received.
-type Heard struct {
+// ReceivedMessage is a message that a caller received.
+type ReceivedMessage struct {
 	Call   uint64 // id of the call
 	Status int    // status code of a response, 0 for a request
 	Method string
@@ -32,12 +32,12 @@
 	if err != nil {
 		return nil, err
 	}
-	caller := &Caller{Conn: conn, env: e, Heard: make(chan Heard, 4096)}
+	caller := &Caller{Conn: conn, env: e, Received: make(chan ReceivedMessage, 4096)}
 	e.onClose(func() { conn.Close() })
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
-		defer close(caller.Heard)
+		defer close(caller.Received)
 		caller.readMessages()
 	}()
 	return caller, nil
@@ -55,11 +55,11 @@
 				return
 			}
 			call, _ := strconv.ParseUint(msg.CallID, 16, 64)
-			received := Heard{Call: call, Status: msg.Status, Method: msg.Method, Body: string(msg.Body)}
+			received := ReceivedMessage{Call: call, Status: msg.Status, Method: msg.Method, Body: string(msg.Body)}
 			if msg.Method == "INVITE" && msg.Status >= 200 {
-				c.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Final(at, call, msg.Status) })
+				c.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Final(at, call, msg.Status) })
 			}
-			c.Heard <- received
+			c.Received <- received
 		}
 		if err != nil {
 			return
@@ -69,14 +69,14 @@
 
 // Invite sends an INVITE and reports to the rule checker that the call was taken.
 func (c *Caller) Invite(call uint64, dest int, patience time.Duration) error {
-	c.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, call, patience) })
-	_, err := io.WriteString(c, Invitation(call, patience, fmt.Sprintf("dest:%d;width:1;via:-1", dest)))
+	c.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, call, patience) })
+	_, err := io.WriteString(c, InviteMessage(call, patience, fmt.Sprintf("dest:%d;width:1;via:-1", dest)))
 	return err
 }
 
-// Invitation returns an INVITE with the given patience and the given value of X-Legs. A caller that writes it without Invite
+// InviteMessage returns an INVITE with the given patience and the given value of X-Legs. A caller that writes it without Invite
 // reports nothing to the rule checker.
-func Invitation(call uint64, patience time.Duration, legs string) string {
+func InviteMessage(call uint64, patience time.Duration, legs string) string {
 	return fmt.Sprintf("INVITE sip:%016x@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: %016x\r\nCSeq: 1 INVITE\r\nX-Cos: status-check\r\n"+
 		"X-Timer-Ms: %d\r\nX-Legs: %s\r\nContent-Length: %d\r\n\r\n%s", call, call, patience.Milliseconds(), legs, len(Description), Description)
 }
@@ -89,14 +89,14 @@
 
 // Cancel withdraws a set-up and reports it to the rule checker.
 func (c *Caller) Cancel(call uint64) error {
-	c.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
+	c.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
 	_, err := fmt.Fprintf(c, "CANCEL sip:exchange@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n", call)
 	return err
 }
 
-// Leave closes the connection, and reports to the rule checker that the callers of these calls no longer wait for an answer.
-func (c *Caller) Leave(calls ...uint64) {
-	c.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+// Abandon closes the connection, and reports to the rule checker that the callers of these calls no longer wait for an answer.
+func (c *Caller) Abandon(calls ...uint64) {
+	c.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 		for _, call := range calls {
 			checker.GivenUp(at, call)
 		}
@@ -104,8 +104,8 @@
 	c.Close()
 }
 
-// Test sends an OPTIONS request as a health check.
-func (c *Caller) Test() error {
+// HealthCheck sends an OPTIONS request as a health check.
+func (c *Caller) HealthCheck() error {
 	_, err := fmt.Fprint(c, "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
 	return err
 }
--- a/internal/platform/callertap.go
+++ b/internal/platform/callertap.go
@@ -68,21 +68,21 @@
 	switch msg.Method {
 	case "INVITE":
 		if strings.Contains(msg.Get("X-Legs"), "at:") {
-			t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Adopted(at, call) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Adopted(at, call) })
 			t.reportCallerKnown(conn)
 			return
 		}
 		patienceMs, _ := strconv.Atoi(msg.Get("X-Timer-Ms"))
 		conn.unanswered[call] = true
-		t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 			checker.Taken(at, call, time.Duration(patienceMs)*time.Millisecond)
 			checker.TakenBy(call, t.node)
 		})
 	case "CANCEL":
 		delete(conn.unanswered, call)
-		t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
+		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
 	case "BYE":
-		t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Settled(at, call) })
+		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Settled(at, call) })
 	}
 }
 
@@ -101,9 +101,9 @@
 		case idErr != nil:
 		case msg.Method == "INVITE" && msg.Status >= 200:
 			delete(conn.unanswered, call)
-			t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Final(at, call, msg.Status) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Final(at, call, msg.Status) })
 		case msg.Method == "BYE" && msg.Status == 0:
-			t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.ToldOver(at, call) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.ToldOver(at, call) })
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	t.untrack(connID, func(conn *tappedCaller) {
 		t.reportIfNoCaller()
 		for call := range conn.unanswered {
-			t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 				if byCallServer {
 					checker.ConnectionEnded(at, call)
 				} else {
@@ -129,7 +129,7 @@
 func (t *CallerTap) reportCallerKnown(conn *tappedCaller) {
 	if !conn.callerKnown {
 		conn.callerKnown = true
-		t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.CallersBack(at, t.node) })
+		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.CallersBack(at, t.node) })
 	}
 }
 
@@ -140,5 +140,5 @@
 			return
 		}
 	}
-	t.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.CallersAway(at, t.node) })
+	t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.CallersAway(at, t.node) })
 }
--- a/internal/platform/callertap_test.go
+++ b/internal/platform/callertap_test.go
@@ -48,14 +48,14 @@
 		tap := env.NewCallerTap("n")
 		tap.Opened(1)
 		tap.ToCallServer(1, fmt.Appendf(nil, inviteFormat, 7, "dest:1"))
-		env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+		env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 			checker.SetUp(at, "o", 7)
 			checker.End(at, "o", 7, false)
 			checker.Answered("o", 7)
 		})
 		tap.FromCallServer(1, fmt.Appendf(nil, answerFormat, 7))
 		tt.steps(tap)
-		env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+		env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 			checker.Over(at, "o", 7, rulecheck.ToldAfterRelease)
 		})
 		violated := false
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -13,74 +13,74 @@
 	"finchlatch/feed"
 )
 
-// Journal is a stand-in of the discovery service. It serves the list of offices as a stream of numbered events.
-type Journal struct {
-	Addr    string
-	mu      sync.Mutex
-	events  []feed.Event
-	changed chan struct{} // closed and replaced when events or fault change
-	fault   JournalFault
-	Asked   chan uint64 // positions that requests asked for
+// DiscoveryService is a stand-in of the discovery service. It serves the set of offices as a stream of numbered events.
+type DiscoveryService struct {
+	Addr     string
+	mu       sync.Mutex
+	events   []feed.Event
+	changed  chan struct{} // closed and replaced when events or fault change
+	fault    DiscoveryFault
+	Requests chan uint64 // stream positions that the requests named
 }
 
-// NewJournal starts a discovery service with these events.
-func (e *Environment) NewJournal(events ...feed.Event) (*Journal, error) {
-	j := &Journal{events: events, changed: make(chan struct{}), Asked: make(chan uint64, 64)}
+// NewDiscoveryService starts a discovery service with these events.
+func (e *Environment) NewDiscoveryService(events ...feed.Event) (*DiscoveryService, error) {
+	d := &DiscoveryService{events: events, changed: make(chan struct{}), Requests: make(chan uint64, 64)}
 	var err error
-	j.Addr, err = e.serve(j.handleRequest)
-	e.onClose(j.notifyChange)
-	return j, err
+	d.Addr, err = e.serve(d.handleRequest)
+	e.onClose(d.notifyChange)
+	return d, err
 }
 
 // notifyChange wakes all requests.
-func (j *Journal) notifyChange() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	close(j.changed)
-	j.changed = make(chan struct{})
+func (d *DiscoveryService) notifyChange() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Tell publishes an event.
-func (j *Journal) Tell(event feed.Event) {
-	j.mu.Lock()
-	j.events = append(j.events, event)
-	j.mu.Unlock()
-	j.notifyChange()
+// Publish publishes an event.
+func (d *DiscoveryService) Publish(event feed.Event) {
+	d.mu.Lock()
+	d.events = append(d.events, event)
+	d.mu.Unlock()
+	d.notifyChange()
 }
 
-// JournalFault is an imposed failure of a Journal.
-type JournalFault struct {
-	Hush bool          // no events and comments are sent, but connections stay open
-	Mute bool          // as Hush, and requests get no response
-	Slow time.Duration // delay before the response to a request
-	Half bool          // a connection ends in the middle of its first event, or after the response header if there is none
+// DiscoveryFault is an imposed failure of a DiscoveryService.
+type DiscoveryFault struct {
+	NoEvents       bool          // no events and comments are sent, but connections stay open
+	NoResponse     bool          // as NoEvents, and requests get no response
+	ResponseDelay  time.Duration // delay before the response to a request
+	TruncateEvents bool          // a connection ends in the middle of its first event, or after the response header if there is none
 }
 
-// Fail imposes a fault from now on, on open and on new connections; the zero JournalFault ends it.
-func (j *Journal) Fail(fault JournalFault) {
-	j.mu.Lock()
-	j.fault = fault
-	j.mu.Unlock()
-	j.notifyChange()
+// Fail imposes a fault from now on, on open and on new connections; the zero DiscoveryFault ends it.
+func (d *DiscoveryService) Fail(fault DiscoveryFault) {
+	d.mu.Lock()
+	d.fault = fault
+	d.mu.Unlock()
+	d.notifyChange()
 }
 
-// Hush stops or resumes sending events and comments.
-func (j *Journal) Hush(withhold bool) { j.Fail(JournalFault{Hush: withhold}) }
+// Withhold stops or resumes sending events and comments.
+func (d *DiscoveryService) Withhold(withhold bool) { d.Fail(DiscoveryFault{NoEvents: withhold}) }
 
 // currentState returns the fault, the events, and a channel that is closed when either changes.
-func (j *Journal) currentState() (JournalFault, []feed.Event, chan struct{}) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.fault, j.events, j.changed
+func (d *DiscoveryService) currentState() (DiscoveryFault, []feed.Event, chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.fault, d.events, d.changed
 }
 
 // startResponse sends the response header as soon as the fault allows it. It returns false if the connection has ended.
-func (j *Journal) startResponse(conn net.Conn) bool {
-	fault, _, changed := j.currentState()
-	if fault.Slow > 0 {
-		time.Sleep(fault.Slow)
+func (d *DiscoveryService) startResponse(conn net.Conn) bool {
+	fault, _, changed := d.currentState()
+	if fault.ResponseDelay > 0 {
+		time.Sleep(fault.ResponseDelay)
 	}
-	for fault.Mute {
+	for fault.NoResponse {
 		select {
 		case <-changed:
 		case <-time.After(commentInterval):
@@ -88,7 +88,7 @@
 		if _, err := conn.Write(nil); err != nil {
 			return false
 		}
-		fault, _, changed = j.currentState()
+		fault, _, changed = d.currentState()
 	}
 	_, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")
 	return err == nil
@@ -99,14 +99,14 @@
 
 // writeEvents writes the events after a position, each twice, and returns the new position, and false if the connection
 // has to be closed.
-func (j *Journal) writeEvents(conn net.Conn, fault JournalFault, events []feed.Event, pos uint64) (uint64, bool) {
+func (d *DiscoveryService) writeEvents(conn net.Conn, fault DiscoveryFault, events []feed.Event, pos uint64) (uint64, bool) {
 	for _, event := range events {
 		if event.Pos <= pos {
 			continue
 		}
 		encoded, _ := json.Marshal(event)
 		text := fmt.Sprintf("id: %d\ndata: %s\n\n", event.Pos, encoded)
-		if fault.Half {
+		if fault.TruncateEvents {
 			_, _ = fmt.Fprint(conn, text[:len(text)/2])
 			return pos, false
 		}
@@ -115,24 +115,24 @@
 			return pos, false
 		}
 	}
-	return pos, !fault.Half
+	return pos, !fault.TruncateEvents
 }
 
 // handleRequest serves one request until its connection ends.
-func (j *Journal) handleRequest(conn net.Conn) {
+func (d *DiscoveryService) handleRequest(conn net.Conn) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
 	pos, _ := strconv.ParseUint(request.Header.Get("Last-Event-ID"), 10, 64)
 	select {
-	case j.Asked <- pos:
+	case d.Requests <- pos:
 	default:
 	}
-	for ok := j.startResponse(conn); ok; {
-		fault, events, changed := j.currentState()
-		if !fault.Hush && !fault.Mute {
-			if pos, ok = j.writeEvents(conn, fault, events, pos); !ok {
+	for ok := d.startResponse(conn); ok; {
+		fault, events, changed := d.currentState()
+		if !fault.NoEvents && !fault.NoResponse {
+			if pos, ok = d.writeEvents(conn, fault, events, pos); !ok {
 				return
 			}
 		}
@@ -142,7 +142,7 @@
 		case <-time.After(commentInterval):
 		}
 		comment := ":\n\n"
-		if fault.Hush || fault.Mute {
+		if fault.NoEvents || fault.NoResponse {
 			comment = ""
 		}
 		if _, err := fmt.Fprint(conn, comment); err != nil {
@@ -151,19 +151,19 @@
 	}
 }
 
-// Break starts a discovery service, on an address of its own, that answers each request with half an event and closes the
-// connection.
-func (e *Environment) Break() (*Journal, error) {
-	j := &Journal{Asked: make(chan uint64, 64)}
+// NewTruncatingDiscoveryService starts a discovery service, on an address of its own, that answers each request with half an
+// event and closes the connection.
+func (e *Environment) NewTruncatingDiscoveryService() (*DiscoveryService, error) {
+	d := &DiscoveryService{Requests: make(chan uint64, 64)}
 	var err error
-	j.Addr, err = e.serve(func(conn net.Conn) {
+	d.Addr, err = e.serve(func(conn net.Conn) {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return
 		}
 		pos, _ := strconv.ParseUint(request.Header.Get("Last-Event-ID"), 10, 64)
-		j.Asked <- pos
+		d.Requests <- pos
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\nid: 99\ndata: {\"pos\":99,\"hosts\":{\"complete\":true")
 	})
-	return j, err
+	return d, err
 }
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -72,8 +72,8 @@
 	return listener, err
 }
 
-// Judge calls report with the current time and the rule checker, one call at a time.
-func (e *Environment) Judge(report func(at time.Duration, checker *rulecheck.Platform)) {
+// Report calls report with the current time and the rule checker, one call at a time.
+func (e *Environment) Report(report func(at time.Duration, checker *rulecheck.Platform)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	report(time.Since(e.startedAt), e.checker)
--- a/internal/platform/office.go
+++ b/internal/platform/office.go
@@ -15,17 +15,17 @@
 
 // Office is a stand-in office. Its exported fields must be set before the first connection is opened.
 type Office struct {
-	Member     feed.Member
-	Hold       time.Duration                           // duration of an established call; 0: until End
-	HoldOf     func(call uint64) time.Duration         // duration by call, in place of Hold; may be nil
-	WidthOf    func(class string) int                  // circuits of a call by its class; nil: 1
-	Delay      func(call uint64) time.Duration         // wait before a set-up is handled; nil: none
-	BehaviorOf func(call uint64, attempt int) Behavior // reaction to a set-up; attempts of a call count from 1
-	Crosses    bool                                    // established calls are released on a half-closed connection, and on no other
-	Circuits   int                                     // circuits toward each call server; 0: defaultCircuits
-	Pushes     bool                                    // each change of a trunk group is sent on every connection of its call server
-	Tapped     bool                                    // a tap reports attempts to the rule checker, not the office
-	Events     OfficeEvents
+	Member              feed.Member
+	Hold                time.Duration                           // duration of an established call; 0: until EndCall
+	HoldOf              func(call uint64) time.Duration         // duration by call, in place of Hold; may be nil
+	WidthOf             func(class string) int                  // circuits of a call by its class; nil: 1
+	Delay               func(call uint64) time.Duration         // wait before a set-up is handled; nil: none
+	BehaviorOf          func(call uint64, attempt int) Behavior // reaction to a set-up; attempts of a call count from 1
+	ReleasesOnHalfClose bool                                    // established calls are released on a half-closed connection, and on no other
+	Circuits            int                                     // circuits toward each call server; 0: defaultCircuits
+	PushesGroupState    bool                                    // each change of a trunk group is sent on every connection of its call server
+	Tapped              bool                                    // a tap reports attempts to the rule checker, not the office
+	Events              OfficeEvents
 
 	env             *Environment
 	mu              sync.Mutex
@@ -41,10 +41,10 @@
 
 // OfficeEvents are called when calls at an Office change; each may be nil. node is the name of the call server.
 type OfficeEvents struct {
-	Stood    func(call uint64, node string)                   // the call is established
-	Over     func(call uint64, node string, releaseSent bool) // the call has ended; releaseSent: a release goes out on an open connection
-	Said     func(call uint64, node string)                   // a release that could not be sent before is sent now
-	Released func(call uint64)                                // the call server has released the call
+	Established func(call uint64, node string)                   // the call is established
+	Ended       func(call uint64, node string, releaseSent bool) // the call has ended; releaseSent: a release goes out on an open connection
+	ReleaseSent func(call uint64, node string)                   // a release that could not be sent before is sent now
+	Released    func(call uint64)                                // the call server has released the call
 }
 
 // establishedCall is an answered call that has not been released.
@@ -74,8 +74,8 @@
 	return o.env.serve(func(conn net.Conn) { o.handle(conn, node) })
 }
 
-// Take adds established calls that the call server does not know of.
-func (o *Office) Take(calls ...uint64) {
+// AddEstablished adds established calls that the call server does not know of.
+func (o *Office) AddEstablished(calls ...uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, call := range calls {
@@ -83,15 +83,15 @@
 	}
 }
 
-// Standing returns the number of established calls.
-func (o *Office) Standing() int {
+// EstablishedCount returns the number of established calls.
+func (o *Office) EstablishedCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.established)
 }
 
-// Held returns the established calls, with the names of their call servers.
-func (o *Office) Held() map[uint64]string {
+// Established returns the established calls, with the names of their call servers.
+func (o *Office) Established() map[uint64]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	callServers := make(map[uint64]string, len(o.established))
@@ -108,9 +108,9 @@
 	return o.setUps[call]
 }
 
-// Disconnect marks the connections of a call server as ended, since its process has ended. The kernel has reset them, even if
-// the office has not read that yet.
-func (o *Office) Disconnect(node string) {
+// CallServerEnded marks the connections of a call server as ended, since its process has ended. The kernel has reset them,
+// even if the office has not read that yet.
+func (o *Office) CallServerEnded(node string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.endedProcesses[node]++
@@ -125,9 +125,9 @@
 	o.resumed.Broadcast()
 }
 
-// Die ends the office as if its process or its machine failed: its calls end, and no release is sent. With resetConns its
+// Crash ends the office as if its process or its machine failed: its calls end, and no release is sent. With resetConns its
 // connections are reset, as the kernel does when only the process fails.
-func (o *Office) Die(resetConns bool) {
+func (o *Office) Crash(resetConns bool) {
 	o.mu.Lock()
 	o.dead, o.hung = true, false
 	o.resumed.Broadcast()
@@ -144,16 +144,16 @@
 	}
 }
 
-// reportEnded calls Events.Over.
+// reportEnded calls Events.Ended.
 func (o *Office) reportEnded(call uint64, node string, releaseSent bool) {
-	if o.Events.Over != nil {
-		o.Events.Over(call, node, releaseSent)
+	if o.Events.Ended != nil {
+		o.Events.Ended(call, node, releaseSent)
 	}
 }
 
-// End ends an established call. The release is sent on the newest connection, and again on the next one that opens, since the
+// EndCall ends an established call. The release is sent on the newest connection, and again on the next one that opens, since the
 // newest may be closing.
-func (o *Office) End(call uint64) {
+func (o *Office) EndCall(call uint64) {
 	o.mu.Lock()
 	for o.hung {
 		o.resumed.Wait()
@@ -191,21 +191,21 @@
 	o.established[call] = establishedCall{node: node, width: width}
 	o.mu.Unlock()
 	o.pushGroupState(node)
-	if o.Events.Stood != nil {
-		o.Events.Stood(call, node)
+	if o.Events.Established != nil {
+		o.Events.Established(call, node)
 	}
 	hold := o.Hold
 	if o.HoldOf != nil {
 		hold = o.HoldOf(call)
 	}
 	if hold > 0 {
-		o.env.After(hold, func() { o.End(call) })
+		o.env.After(hold, func() { o.EndCall(call) })
 	}
 }
 
-// pushGroupState sends the state of the trunk group on every connection of a call server, if Pushes is set.
+// pushGroupState sends the state of the trunk group on every connection of a call server, if PushesGroupState is set.
 func (o *Office) pushGroupState(node string) {
-	if !o.Pushes {
+	if !o.PushesGroupState {
 		return
 	}
 	o.mu.Lock()
@@ -240,13 +240,13 @@
 // report calls the rule checker, unless a tap does so.
 func (o *Office) report(report func(at time.Duration, checker *rulecheck.Platform)) {
 	if !o.Tapped {
-		o.env.Judge(report)
+		o.env.Report(report)
 	}
 }
 
 // refusals holds the cause and the note of each behavior that refuses.
 var refusals = map[Behavior]office.Message{
-	Busy:  {Cause: office.CauseBusy, Note: "occupied"},
-	Full:  {Cause: office.CauseNoCircuit, Note: "blocked"},
-	Reset: {Cause: office.CauseTemporary},
+	Busy:            {Cause: office.CauseBusy, Note: "occupied"},
+	NoCircuit:       {Cause: office.CauseNoCircuit, Note: "blocked"},
+	SignallingFault: {Cause: office.CauseTemporary},
 }
--- a/internal/platform/officeconn.go
+++ b/internal/platform/officeconn.go
@@ -43,7 +43,7 @@
 				return
 			}
 		}
-		if err == io.EOF && o.Crosses {
+		if err == io.EOF && o.ReleasesOnHalfClose {
 			callServerConn.releaseAll()
 		}
 		if err != nil {
@@ -71,8 +71,8 @@
 	}
 	o.mu.Unlock()
 	for _, call := range pendingReleases {
-		if o.Events.Said != nil {
-			o.Events.Said(call, c.node)
+		if o.Events.ReleaseSent != nil {
+			o.Events.ReleaseSent(call, c.node)
 		}
 		c.sendRelease(call)
 	}
@@ -225,11 +225,11 @@
 // the time of writing. It returns false if the connection has to be closed.
 func (c *officeConn) perform(behavior Behavior, call uint64, width int) bool {
 	answer := &office.Message{Type: office.Answer, Call: call, Description: []byte(Description)}
-	if used, total := c.office.circuitUse(c.node); used+width > total && (behavior == Stand || behavior == DuplicateAnswer) {
-		behavior = Full
+	if used, total := c.office.circuitUse(c.node); used+width > total && (behavior == AnswerCall || behavior == DuplicateAnswer) {
+		behavior = NoCircuit
 	}
 	switch behavior {
-	case Stand, DuplicateAnswer:
+	case AnswerCall, DuplicateAnswer:
 		c.reportEnd(call, false)
 		if behavior == DuplicateAnswer {
 			c.send(&office.Message{Type: office.Answer, Call: ^call, Description: []byte(Description)})
@@ -242,8 +242,8 @@
 	case LoseAnswer:
 		delete(c.outstanding, call)
 		c.office.establish(call, c.node, width)
-	case Busy, Full, Reset:
-		c.reportEnd(call, behavior == Reset)
+	case Busy, NoCircuit, SignallingFault:
+		c.reportEnd(call, behavior == SignallingFault)
 		refusal := refusals[behavior]
 		refusal.Type, refusal.Call, refusal.HasCause = office.Release, call, true
 		c.send(&refusal)
@@ -257,7 +257,7 @@
 			data = behavior.corrupt(data)
 		}
 		_, _ = c.Write(data)
-	case Drop:
+	case ResetConnection:
 		if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcpConn.SetLinger(0)
 		}
--- a/internal/platform/proxy.go
+++ b/internal/platform/proxy.go
@@ -18,11 +18,11 @@
 	Closed(connID int, byCallServer bool)
 }
 
-// Cut is a network partition: it says what a Proxy does not forward.
-type Cut struct {
-	Out bool // bytes from the call server
-	In  bool // bytes to the call server
-	New bool // new connections: they are neither established nor refused
+// Partition is a network partition: it says what a Proxy does not forward.
+type Partition struct {
+	Outbound       bool // bytes from the call server
+	Inbound        bool // bytes to the call server
+	NewConnections bool // new connections: they are neither established nor refused
 }
 
 // Proxy is a TCP proxy between a call server and one peer. It forwards bytes in both directions and injects network faults:
@@ -35,7 +35,7 @@
 	mu                sync.Mutex
 	changed           *sync.Cond                       // signals changes of the fields below
 	target            string                           // address that the proxy dials for each connection
-	partition         Cut                              // what is not forwarded
+	partition         Partition                        // what is not forwarded
 	closeOnArrival    bool                             // connections are closed as soon as they are established
 	closed            bool                             // the proxy has ended
 	acceptPaused      bool                             // accept has paused
@@ -92,7 +92,7 @@
 			p.mu.Lock()
 			p.acceptPaused = true
 			p.changed.Broadcast()
-			for p.partition.New && !p.closed && p.listener == listener {
+			for p.partition.NewConnections && !p.closed && p.listener == listener {
 				p.changed.Wait()
 			}
 			p.acceptPaused = false
@@ -236,8 +236,8 @@
 	_, _ = to.Write(data)
 }
 
-// Dribble makes the proxy write bytes to the call server in pieces, with this pause after each; 0 ends it.
-func (p *Proxy) Dribble(interval time.Duration) {
+// WriteSlowly makes the proxy write bytes to the call server in pieces, with this pause after each; 0 ends it.
+func (p *Proxy) WriteSlowly(interval time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pieceInterval = interval
@@ -280,7 +280,7 @@
 func (p *Proxy) awaitForwarding(proxied *proxiedConn, outbound bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for !p.closed && p.conns[proxied] && (outbound && p.partition.Out || !outbound && p.partition.In) {
+	for !p.closed && p.conns[proxied] && (outbound && p.partition.Outbound || !outbound && p.partition.Inbound) {
 		p.changed.Wait()
 	}
 	return !p.closed && p.conns[proxied]
@@ -310,16 +310,16 @@
 	conn.Close()
 }
 
-// Cut replaces the partition of the proxy. Bytes that were held and are not blocked any more are forwarded.
-func (p *Proxy) Cut(partition Cut) {
+// SetPartition replaces the partition of the proxy. Bytes that were held and are not blocked any more are forwarded.
+func (p *Proxy) SetPartition(partition Partition) {
 	p.mu.Lock()
 	previous, listener := p.partition, p.listener
 	p.partition = partition
 	p.mu.Unlock()
-	if listener != nil && partition.New && !previous.New {
+	if listener != nil && partition.NewConnections && !previous.NewConnections {
 		p.blockConnections(listener)
 	}
-	if listener != nil && !partition.New && previous.New {
+	if listener != nil && !partition.NewConnections && previous.NewConnections {
 		p.unblockConnections(listener)
 	}
 	p.mu.Lock()
@@ -355,8 +355,8 @@
 	}
 }
 
-// ResetOne resets the newest open connection.
-func (p *Proxy) ResetOne() {
+// ResetNewest resets the newest open connection.
+func (p *Proxy) ResetNewest() {
 	conns := p.openConns()
 	if len(conns) == 0 {
 		return
@@ -383,8 +383,8 @@
 	p.closeOnArrival = on
 }
 
-// Retarget makes new connections go to another address.
-func (p *Proxy) Retarget(addr string) {
+// SetTarget makes new connections go to another address.
+func (p *Proxy) SetTarget(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = addr
--- a/internal/platform/proxy_test.go
+++ b/internal/platform/proxy_test.go
@@ -73,7 +73,7 @@
 	if !echoes(t, conn, "before", replyTimeout) {
 		t.Fatal("nothing is forwarded")
 	}
-	proxy.Cut(Cut{Out: true, In: true, New: true})
+	proxy.SetPartition(Partition{Outbound: true, Inbound: true, NewConnections: true})
 	if echoes(t, conn, "during", silencePeriod) {
 		t.Error("forwarded during the partition")
 	}
@@ -83,7 +83,7 @@
 	} else if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a connection was refused: %v", err)
 	}
-	proxy.Cut(Cut{})
+	proxy.SetPartition(Partition{})
 	if !receives(t, conn, "during", replyTimeout) {
 		t.Error("bytes that were held are lost")
 	}
@@ -99,7 +99,7 @@
 	_, proxy := startEcho(t)
 	for _, when := range []string{"before a partition", "after a partition"} {
 		proxy.mu.Lock()
-		proxy.partition.New = true // accept pauses, and the queue is not filled
+		proxy.partition.NewConnections = true // accept pauses, and the queue is not filled
 		listener := proxy.listener
 		proxy.mu.Unlock()
 		proxy.pauseAccept(listener)
@@ -108,7 +108,7 @@
 			conns = append(conns, dialProxy(t, proxy))
 		}
 		proxy.mu.Lock()
-		proxy.partition.New = false
+		proxy.partition.NewConnections = false
 		proxy.changed.Broadcast()
 		proxy.mu.Unlock()
 		_ = listener.SetDeadline(time.Time{})
@@ -117,8 +117,8 @@
 				t.Fatalf("%s: nothing is forwarded", when)
 			}
 		}
-		proxy.Cut(Cut{New: true})
-		proxy.Cut(Cut{})
+		proxy.SetPartition(Partition{NewConnections: true})
+		proxy.SetPartition(Partition{})
 	}
 }
 
@@ -153,13 +153,13 @@
 func TestProxyPartitionsOneDirection(t *testing.T) {
 	t.Parallel()
 	_, proxy := startEcho(t)
-	for name, partition := range map[string]Cut{"out": {Out: true}, "in": {In: true}} {
+	for name, partition := range map[string]Partition{"out": {Outbound: true}, "in": {Inbound: true}} {
 		conn := dialProxy(t, proxy)
-		proxy.Cut(partition)
+		proxy.SetPartition(partition)
 		if echoes(t, conn, name, silencePeriod) {
 			t.Errorf("%s: forwarded", name)
 		}
-		proxy.Cut(Cut{})
+		proxy.SetPartition(Partition{})
 		if !receives(t, conn, name, replyTimeout) {
 			t.Errorf("%s: lost", name)
 		}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -36,7 +36,7 @@
 type discoveryView struct {
 	name       string                     // of the call server
 	officeAddr func(office string) string // address of an office for this call server
-	service    *platform.Journal
+	service    *platform.DiscoveryService
 	proxy      *platform.Proxy // between the call server and service
 	outages    []outage
 }
@@ -71,10 +71,10 @@
 	}
 	now := d.env.Now()
 	for _, view := range d.views {
-		view.service.Tell(d.newEvent(view, members, false))
+		view.service.Publish(d.newEvent(view, members, false))
 		for _, member := range members {
 			if member.Phase != feed.Serving {
-				d.env.Judge(func(_ time.Duration, checker *rulecheck.Platform) {
+				d.env.Report(func(_ time.Duration, checker *rulecheck.Platform) {
 					checker.Told(view.latestNotice(now), view.name+"/"+member.ID)
 				})
 			}
--- a/internal/soak/discoveryfaults.go
+++ b/internal/soak/discoveryfaults.go
@@ -37,19 +37,19 @@
 				n.fleet.processFault(n.name, "service discovery address: %v", err)
 			}
 		}()
-	case DiscoveryCut:
-		proxy.Cut(platform.Cut{Out: true, In: true, New: true})
-		defer proxy.Cut(platform.Cut{})
+	case DiscoveryPartitioned:
+		proxy.SetPartition(platform.Partition{Outbound: true, Inbound: true, NewConnections: true})
+		defer proxy.SetPartition(platform.Partition{})
 	case DiscoveryMute:
-		service.Fail(platform.JournalFault{Hush: true, Mute: true})
-		defer service.Fail(platform.JournalFault{})
+		service.Fail(platform.DiscoveryFault{NoEvents: true, NoResponse: true})
+		defer service.Fail(platform.DiscoveryFault{})
 	case DiscoverySlow:
-		service.Fail(platform.JournalFault{Slow: slowResponse})
+		service.Fail(platform.DiscoveryFault{ResponseDelay: slowResponse})
 		proxy.Reset()
-		defer service.Fail(platform.JournalFault{})
+		defer service.Fail(platform.DiscoveryFault{})
 	case DiscoveryTruncated:
-		service.Fail(platform.JournalFault{Half: true})
-		defer service.Fail(platform.JournalFault{})
+		service.Fail(platform.DiscoveryFault{TruncateEvents: true})
+		defer service.Fail(platform.DiscoveryFault{})
 	}
 	time.Sleep(duration)
 }
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -73,7 +73,7 @@
 
 // backgroundKinds are the kinds of the random faults of each Scenario.
 var backgroundKinds = []Kind{Partition, OneWayOut, OneWayIn, Hang, CorruptAnswers, Resets, LateConnections, EarlyClose,
-	DiscoveryDown, DiscoveryCut, DiscoveryMute, DiscoverySlow, DiscoveryTruncated, Reload, ReloadSeries, Restart, RestartWithReload,
+	DiscoveryDown, DiscoveryPartitioned, DiscoveryMute, DiscoverySlow, DiscoveryTruncated, Reload, ReloadSeries, Restart, RestartWithReload,
 	Kill, ConnectionFlood, UnknownClients, Die, Replace}
 
 // faultPatterns are combinations of related faults. The seed of a Scenario selects one.
@@ -85,7 +85,7 @@
 
 // patternLostOffices loses offices with established calls while service discovery is down or silent.
 func patternLostOffices(scenario *Scenario, r *rand.Rand) {
-	kinds := []Kind{DiscoveryDown, DiscoveryCut, DiscoveryMute}
+	kinds := []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryMute}
 	scenario.Deployment.Hold = Span(randomDuration(r, 6*time.Second, 15*time.Second))
 	at := randomDuration(r, firstFaultAt, firstFaultAt+3*time.Second)
 	scenario.addFault(r, kinds[r.IntN(len(kinds))], at-500*time.Millisecond, randomDuration(r, 10*time.Second, 14*time.Second)).Node = -1
@@ -127,7 +127,7 @@
 
 // patternDiscovery has a fault of service discovery, a drain close to its end, and new configurations in quick succession.
 func patternDiscovery(scenario *Scenario, r *rand.Rand) {
-	kinds := []Kind{DiscoveryDown, DiscoveryCut, DiscoveryMute, DiscoverySlow, DiscoveryTruncated}
+	kinds := []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryMute, DiscoverySlow, DiscoveryTruncated}
 	duration := randomDuration(r, 2*time.Second, 9*time.Second)
 	scenario.addFault(r, kinds[r.IntN(len(kinds))], firstFaultAt, duration).Node = -1
 	offset := []time.Duration{-5 * time.Millisecond, 5 * time.Millisecond}[r.IntN(2)]
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,32 +14,32 @@
 
 func init() { // not an initializer, so that functions in the table may use it without an initialization cycle
 	faultActions = map[Kind]func(f *fleet, fault Fault){
-		MachineLost:         (*fleet).loseMachine,
-		Partition:           linkFaultAction(platform.Cut{Out: true, In: true, New: true}),
-		OneWayOut:           linkFaultAction(platform.Cut{Out: true, New: true}),
-		OneWayIn:            linkFaultAction(platform.Cut{In: true, New: true}),
-		Hang:                (*fleet).hang,
-		HangThenDie:         (*fleet).hang,
-		Die:                 (*fleet).die,
-		ReplaceHard:         (*fleet).die,
-		Replace:             (*fleet).replace,
-		CorruptAnswers:      (*fleet).corruptAnswers,
-		Resets:              (*fleet).resets,
-		LateConnections:     (*fleet).lateConns,
-		EarlyClose:          (*fleet).earlyClose,
-		DiscoveryDown:       (*fleet).discoveryFault,
-		DiscoveryCut:        (*fleet).discoveryFault,
-		DiscoveryMute:       (*fleet).discoveryFault,
-		DiscoverySlow:       (*fleet).discoveryFault,
-		DiscoveryTruncated:  (*fleet).discoveryFault,
-		Reload:              (*fleet).reload,
-		ReloadSeries:        (*fleet).reload,
-		Restart:             (*fleet).restart,
-		RestartWithReload:   (*fleet).restart,
-		Kill:                (*fleet).killNode,
-		ConnectionFlood:     (*fleet).connectionFlood,
-		UnknownClients:      (*fleet).unknownClients,
-		CallersDisconnected: (*fleet).closeCallerConns,
+		MachineLost:          (*fleet).loseMachine,
+		Partition:            linkFaultAction(platform.Partition{Outbound: true, Inbound: true, NewConnections: true}),
+		OneWayOut:            linkFaultAction(platform.Partition{Outbound: true, NewConnections: true}),
+		OneWayIn:             linkFaultAction(platform.Partition{Inbound: true, NewConnections: true}),
+		Hang:                 (*fleet).hang,
+		HangThenDie:          (*fleet).hang,
+		Die:                  (*fleet).die,
+		ReplaceHard:          (*fleet).die,
+		Replace:              (*fleet).replace,
+		CorruptAnswers:       (*fleet).corruptAnswers,
+		Resets:               (*fleet).resets,
+		LateConnections:      (*fleet).lateConns,
+		EarlyClose:           (*fleet).earlyClose,
+		DiscoveryDown:        (*fleet).discoveryFault,
+		DiscoveryPartitioned: (*fleet).discoveryFault,
+		DiscoveryMute:        (*fleet).discoveryFault,
+		DiscoverySlow:        (*fleet).discoveryFault,
+		DiscoveryTruncated:   (*fleet).discoveryFault,
+		Reload:               (*fleet).reload,
+		ReloadSeries:         (*fleet).reload,
+		Restart:              (*fleet).restart,
+		RestartWithReload:    (*fleet).restart,
+		Kill:                 (*fleet).killNode,
+		ConnectionFlood:      (*fleet).connectionFlood,
+		UnknownClients:       (*fleet).unknownClients,
+		CallersDisconnected:  (*fleet).closeCallerConns,
 	}
 }
 
@@ -82,7 +82,7 @@
 
 // addLinkFault tells the checker that the links between call servers and an office have a fault for some time.
 func (f *fleet) addLinkFault(nodes []*node, office *platform.Office, duration time.Duration) {
-	f.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 		for _, n := range nodes {
 			checker.AddLinkFault(n.name+"/"+office.Member.ID, at, at+duration)
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -110,11 +110,11 @@
 	n.fleet.discovery.mu.Lock()
 	defer n.fleet.discovery.mu.Unlock()
 	var err error
-	if n.view.service, err = n.fleet.env.NewJournal(); err != nil {
+	if n.view.service, err = n.fleet.env.NewDiscoveryService(); err != nil {
 		return err
 	}
 	if n.fleet.discovery.position > 1 || len(n.fleet.discovery.members) > 0 {
-		n.view.service.Tell(n.fleet.discovery.newEvent(n.view, n.fleet.discovery.members, true))
+		n.view.service.Publish(n.fleet.discovery.newEvent(n.view, n.fleet.discovery.members, true))
 	}
 	n.view.proxy, err = n.fleet.env.NewProxy(n.view.service.Addr, false, nil)
 	return err
@@ -136,7 +136,7 @@
 			return err
 		}
 		proxy.OnLoss(f.countLostReleases)
-		proxy.Dribble(time.Duration(f.scenario.Deployment.PieceInterval))
+		proxy.WriteSlowly(time.Duration(f.scenario.Deployment.PieceInterval))
 		site.proxies, site.taps = append(site.proxies, proxy), append(site.taps, tap)
 	}
 	f.discovery.members = append(f.discovery.members, newOffice.Member)
@@ -172,13 +172,13 @@
 	started.Tapped = true
 	started.HoldOf, started.Delay, started.WidthOf = f.holdOf, delayOf, f.scenario.Deployment.widthOf
 	started.Circuits = f.scenario.Deployment.Circuits
-	started.Pushes = f.scenario.Deployment.PushesUpdates
+	started.PushesGroupState = f.scenario.Deployment.PushesUpdates
 	started.Events = platform.OfficeEvents{
-		Stood: func(callID uint64, _ string) { f.callEstablished(callID, started) },
-		Said: func(callID uint64, _ string) {
-			f.env.Judge(func(_ time.Duration, checker *rulecheck.Platform) { checker.ReleaseWritten(callID) })
+		Established: func(callID uint64, _ string) { f.callEstablished(callID, started) },
+		ReleaseSent: func(callID uint64, _ string) {
+			f.env.Report(func(_ time.Duration, checker *rulecheck.Platform) { checker.ReleaseWritten(callID) })
 		},
-		Over: func(callID uint64, node string, releaseWritten bool) {
+		Ended: func(callID uint64, node string, releaseWritten bool) {
 			f.callEnded(callID, started, node, releaseWritten)
 		},
 	}
@@ -203,7 +203,7 @@
 // callEnded tells the checker of the end of a call. If the office wrote a release on an open connection of a link without a
 // fault, the caller must be notified at once.
 func (f *fleet) callEnded(callID uint64, office *platform.Office, node string, releaseWritten bool) {
-	f.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 		within := rulecheck.ToldAfterEnd
 		if releaseWritten && !checker.HasLinkFault(node+"/"+office.Member.ID, at) {
 			within = rulecheck.ToldAfterRelease
@@ -283,7 +283,7 @@
 
 // processFault reports a violation by a process to the checker.
 func (f *fleet) processFault(node, format string, args ...any) {
-	f.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.ProcessFault(at, node, format, args...) })
+	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.ProcessFault(at, node, format, args...) })
 }
 
 // sampleInterval is the interval at which the resource usage of a process is read.
@@ -311,7 +311,7 @@
 		case <-sample.C:
 			current, now := process.schedWaits(), n.fleet.env.Now()
 			if stalled := current.longestSince(before); stalled >= minStall {
-				n.fleet.env.Judge(func(_ time.Duration, checker *rulecheck.Platform) {
+				n.fleet.env.Report(func(_ time.Duration, checker *rulecheck.Platform) {
 					checker.AddStall(n.name, lastSample, now, stalled)
 				})
 			}
@@ -333,7 +333,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, site := range f.sites {
-		site.office.Disconnect(node)
+		site.office.CallServerEnded(node)
 	}
 }
 
--- a/internal/soak/officefaults.go
+++ b/internal/soak/officefaults.go
@@ -11,21 +11,21 @@
 	"finchlatch/liveness"
 )
 
-// cutLinks sets what the links between call servers and the office do not carry.
-func (s *officeSite) cutLinks(nodes []*node, cut platform.Cut) {
+// setPartition imposes a network partition on the links between call servers and the office.
+func (s *officeSite) setPartition(nodes []*node, partition platform.Partition) {
 	var running sync.WaitGroup
 	for _, n := range nodes {
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			s.proxies[n.number].Cut(cut)
+			s.proxies[n.number].SetPartition(partition)
 		}()
 	}
 	running.Wait()
 }
 
 // linkFaultAction returns the action for a fault of links that heals by itself while the office continues.
-func linkFaultAction(cut platform.Cut) func(*fleet, Fault) {
+func linkFaultAction(partition platform.Partition) func(*fleet, Fault) {
 	return func(f *fleet, fault Fault) {
 		site := f.sites[fault.Office]
 		site.faultMu.Lock()
@@ -33,10 +33,10 @@
 		nodes, duration := f.affectedNodes(fault), time.Duration(fault.For)
 		f.addLinkFault(nodes, site.office, duration)
 		f.countEstablished(site, false)
-		site.cutLinks(nodes, cut)
+		site.setPartition(nodes, partition)
 		time.Sleep(duration)
-		site.cutLinks(nodes, platform.Cut{})
-		if cut.In && cut.Out && duration > rulecheck.ToldAfterEnd-time.Second {
+		site.setPartition(nodes, platform.Partition{})
+		if partition.Inbound && partition.Outbound && duration > rulecheck.ToldAfterEnd-time.Second {
 			f.counts.add(map[bool]string{true: hardHealsBefore, false: hardHealsAfter}[duration < liveness.FailAfter], 1)
 		}
 	}
@@ -79,8 +79,8 @@
 	defer site.faultMu.Unlock()
 	f.countEstablished(site, fault.LateNotice)
 	f.addLinkFault(f.nodes, site.office, time.Hour)
-	site.cutLinks(f.nodes, platform.Cut{Out: true, In: true, New: true})
-	site.office.Die(false)
+	site.setPartition(f.nodes, platform.Partition{Outbound: true, Inbound: true, NewConnections: true})
+	site.office.Crash(false)
 	f.announceEnd(site, fault)
 }
 
@@ -112,10 +112,10 @@
 	site.office = successor
 	f.mu.Unlock()
 	for i, n := range f.nodes {
-		site.proxies[i].Retarget(addrs[i])
+		site.proxies[i].SetTarget(addrs[i])
 		site.taps[i].Replace(n.name + "/" + successor.Member.ID)
 		site.proxies[i].Reset() // the new machine does not know the old connections
-		site.proxies[i].Cut(platform.Cut{})
+		site.proxies[i].SetPartition(platform.Partition{})
 		if err := site.proxies[i].Accept(); err != nil {
 			f.processFault("offices", "successor's address: %v", err)
 		}
@@ -159,9 +159,9 @@
 func (f *fleet) endProcess(site *officeSite, fault Fault) {
 	f.addLinkFault(f.nodes, site.office, time.Hour)
 	if fault.Kind == ReplaceHard {
-		f.counts.add(hardReplaced, site.office.Standing())
+		f.counts.add(hardReplaced, site.office.EstablishedCount())
 		old := site.office
-		old.Die(true)
+		old.Crash(true)
 		gone := old.Member
 		gone.Phase = feed.Deleted
 		f.startSuccessor(site)
@@ -172,7 +172,7 @@
 	for _, proxy := range site.proxies {
 		proxy.Refuse()
 	}
-	site.office.Die(true)
+	site.office.Crash(true)
 	f.announceEnd(site, fault)
 }
 
@@ -217,9 +217,9 @@
 		case hash%64 == 1:
 			return platform.Busy
 		case hash%64 == 3:
-			return platform.Full
+			return platform.NoCircuit
 		}
-		return platform.Stand
+		return platform.AnswerCall
 	}
 }
 
@@ -239,7 +239,7 @@
 	site := f.sites[fault.Office]
 	f.repeat(fault, 700*time.Millisecond, func() {
 		for _, n := range f.affectedNodes(fault) {
-			site.proxies[n.number].ResetOne()
+			site.proxies[n.number].ResetNewest()
 		}
 	})
 }
@@ -250,9 +250,9 @@
 	site.faultMu.Lock()
 	defer site.faultMu.Unlock()
 	f.repeat(fault, 400*time.Millisecond, func() {
-		site.cutLinks(f.affectedNodes(fault), platform.Cut{New: true})
+		site.setPartition(f.affectedNodes(fault), platform.Partition{NewConnections: true})
 		time.Sleep(500 * time.Millisecond)
-		site.cutLinks(f.affectedNodes(fault), platform.Cut{})
+		site.setPartition(f.affectedNodes(fault), platform.Partition{})
 	})
 }
 
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -84,7 +84,7 @@
 // report gets the verdict of the checker and returns the Report.
 func (f *fleet) report() *Report {
 	report := &Report{Scenario: f.scenario, Met: map[string]int{}}
-	f.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 		f.reportHeld(at, checker)
 		report.Breaches = checker.Breaches(at)
 		f.counts.add(hardLastSetUp, checker.Crossings())
@@ -102,7 +102,7 @@
 // reportHeld tells the checker which calls the reachable offices hold.
 func (f *fleet) reportHeld(at time.Duration, checker *rulecheck.Platform) {
 	for _, site := range f.sites {
-		for callID, node := range site.office.Held() {
+		for callID, node := range site.office.Established() {
 			if name := node + "/" + site.office.Member.ID; !checker.HadLinkFault(name, at) {
 				checker.CheckHeld(at, name, callID)
 			}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -124,7 +124,7 @@
 	}
 	add(CorruptAnswers, "rule 1", scenarioWithFaults(5*time.Second, oneFault(CorruptAnswers, duration)))
 	add(Replace, "rule 3", scenarioWithFaults(6*time.Second, oneFault(Replace, Span(10*time.Second))))
-	for _, kind := range []Kind{DiscoveryDown, DiscoveryCut, DiscoveryMute, DiscoverySlow, DiscoveryTruncated} {
+	for _, kind := range []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryMute, DiscoverySlow, DiscoveryTruncated} {
 		add(kind, "rule 3", drainDuring(kind))
 	}
 	for _, kind := range []Kind{Reload, ReloadSeries} { // SIGHUP ends a faultyServer
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -34,16 +34,16 @@
 
 // harness is a Node with stand-ins for offices, callers and the discovery service around it.
 type harness struct {
-	t             *testing.T
-	env           *platform.Environment
-	node          *Node
-	ended         chan error
-	journal       *platform.Journal
-	configPath    string
-	settingsEdits *strings.Replacer // applied to the settings in the configuration of the node
-	offices       []*platform.Office
-	addr          string
-	logHandler    slog.Handler
+	t                *testing.T
+	env              *platform.Environment
+	node             *Node
+	ended            chan error
+	discoveryService *platform.DiscoveryService
+	configPath       string
+	settingsEdits    *strings.Replacer // applied to the settings in the configuration of the node
+	offices          []*platform.Office
+	addr             string
+	logHandler       slog.Handler
 }
 
 // newHarness starts a node and its stand-ins. The changes are applied before the discovery service and the node start.
@@ -63,10 +63,10 @@
 		change(h)
 	}
 	var err error
-	if h.journal, err = h.env.NewJournal(h.discoveryEvent(1, true, h.offices...)); err != nil {
+	if h.discoveryService, err = h.env.NewDiscoveryService(h.discoveryEvent(1, true, h.offices...)); err != nil {
 		t.Fatal(err)
 	}
-	h.writeConfig(h.journal.Addr)
+	h.writeConfig(h.discoveryService.Addr)
 	if h.node, err = New(h.configPath, slog.New(h.logHandler)); err != nil {
 		t.Fatal(err)
 	}
@@ -97,14 +97,14 @@
 }
 
 // writeConfig writes the configuration file of the node, with the address of a discovery service.
-func (h *harness) writeConfig(journal string) {
+func (h *harness) writeConfig(discoveryAddr string) {
 	h.t.Helper()
 	snapshot, err := json.Marshal(feed.Snapshot{Pos: 1, Entries: []feed.Event{h.discoveryEvent(1, true, h.offices...)}})
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","journal":%q,"seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
-		journal, snapshot, h.settingsEdits.Replace(settingsText))
+		discoveryAddr, snapshot, h.settingsEdits.Replace(settingsText))
 	if err := os.WriteFile(h.configPath, []byte(text), 0o600); err != nil {
 		h.t.Fatal(err)
 	}
@@ -129,12 +129,12 @@
 }
 
 // await waits for a message on a caller's connection and skips those that do not match.
-func (h *harness) await(caller *platform.Caller, what string, matches func(platform.Heard) bool) platform.Heard {
+func (h *harness) await(caller *platform.Caller, what string, matches func(platform.ReceivedMessage) bool) platform.ReceivedMessage {
 	h.t.Helper()
 	limit := time.After(8 * time.Second)
 	for {
 		select {
-		case msg, ok := <-caller.Heard:
+		case msg, ok := <-caller.Received:
 			if !ok {
 				h.t.Fatalf("the connection ended before %s", what)
 			}
@@ -150,7 +150,7 @@
 // checkRules reports every violation of a rule up to now.
 func (h *harness) checkRules() {
 	h.t.Helper()
-	h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+	h.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 		for _, violation := range checker.Breaches(at) {
 			h.t.Error(violation)
 		}
@@ -158,8 +158,10 @@
 }
 
 // isFinalAnswer matches the final answer of a call.
-func isFinalAnswer(call uint64) func(platform.Heard) bool {
-	return func(msg platform.Heard) bool { return msg.Call == call && msg.Method == "INVITE" && msg.Status >= 200 }
+func isFinalAnswer(call uint64) func(platform.ReceivedMessage) bool {
+	return func(msg platform.ReceivedMessage) bool {
+		return msg.Call == call && msg.Method == "INVITE" && msg.Status >= 200
+	}
 }
 
 // With offices of every behavior each call gets exactly one answer in time, and no rule is broken.
@@ -167,11 +169,11 @@
 	t.Parallel()
 	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 		if attempt > 1 {
-			return platform.Stand
+			return platform.AnswerCall
 		}
-		return platform.Behavior(call) % platform.Behaviors
+		return platform.Behavior(call) % platform.BehaviorCount
 	})
-	const calls = 10 * uint64(platform.Behaviors)
+	const calls = 10 * uint64(platform.BehaviorCount)
 	callers := []*platform.Caller{h.dial(), h.dial(), h.dial()}
 	ticker := time.NewTicker(15 * time.Millisecond)
 	defer ticker.Stop()
@@ -193,7 +195,7 @@
 			}
 		}
 		for unanswered > 0 || byes < established {
-			msg := h.await(caller, fmt.Sprintf("%d answers", unanswered), func(msg platform.Heard) bool { return true })
+			msg := h.await(caller, fmt.Sprintf("%d answers", unanswered), func(msg platform.ReceivedMessage) bool { return true })
 			switch {
 			case msg.Method == "BYE" && msg.Status == 0:
 				byes++
@@ -218,20 +220,20 @@
 // afterwards are still applied.
 func TestDiscoveryBreaksAndMoves(t *testing.T) {
 	t.Parallel()
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	awaitRequest := func(journal *platform.Journal) uint64 {
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall })
+	awaitRequest := func(journal *platform.DiscoveryService) uint64 {
 		select {
-		case pos := <-journal.Asked:
+		case pos := <-journal.Requests:
 			return pos
 		case <-time.After(5 * time.Second):
 			t.Fatal("the discovery service gets no request")
 			return 0
 		}
 	}
-	if pos := awaitRequest(h.journal); pos != 1 {
+	if pos := awaitRequest(h.discoveryService); pos != 1 {
 		t.Fatalf("the first request asks for events after %d", pos)
 	}
-	broken, err := h.env.Break()
+	broken, err := h.env.NewTruncatingDiscoveryService()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,7 +250,7 @@
 	}
 	h.node.Reload() // an invalid file is logged, and the current configuration stays
 	awaitRequest(broken)
-	second, err := h.env.NewJournal(h.discoveryEvent(1, true, h.offices...))
+	second, err := h.env.NewDiscoveryService(h.discoveryEvent(1, true, h.offices...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,14 +259,14 @@
 	if pos := awaitRequest(second); pos != 1 {
 		t.Fatalf("the request to the last address asks for events after %d", pos)
 	}
-	second.Hush(true)
+	second.Withhold(true)
 	if pos := awaitRequest(second); pos != 1 { // silence counts as a broken connection
 		t.Fatalf("the request after a silence asks for events after %d", pos)
 	}
-	second.Hush(false)
+	second.Withhold(false)
 	h.offices[1].Member.Phase = feed.Draining
-	h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at, "s-a") })
-	second.Tell(h.discoveryEvent(2, false, h.offices[1]))
+	h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at, "s-a") })
+	second.Publish(h.discoveryEvent(2, false, h.offices[1]))
 	caller := h.dial()
 	limit := time.After(5 * time.Second)
 	for id := uint64(1); ; id++ { // until the node knows that the office drains
@@ -287,9 +289,9 @@
 	t.Parallel()
 	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if call == 1 {
-			return platform.Mute
+			return platform.NeverReply
 		}
-		return platform.Stand
+		return platform.AnswerCall
 	}, func(h *harness) {
 		h.settingsEdits = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":1500000000`)
 	})
@@ -307,8 +309,8 @@
 		t.Errorf("call 3: %d", msg.Status)
 	}
 	h.await(caller, "the answer of call 1", isFinalAnswer(1)) // after 1.5 s
-	h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, 4, 9*time.Second) })
-	if _, err := io.WriteString(lateCaller, platform.Invitation(4, 9*time.Second, "dest:2;width:1;via:1;transit:1")); err != nil {
+	h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, 4, 9*time.Second) })
+	if _, err := io.WriteString(lateCaller, platform.InviteMessage(4, 9*time.Second, "dest:2;width:1;via:1;transit:1")); err != nil {
 		t.Fatal(err)
 	}
 	if msg := h.await(lateCaller, "the answer of call 4", isFinalAnswer(4)); msg.Status != 200 {
@@ -318,7 +320,7 @@
 	if msg := h.await(lateCaller, "the answer of call 5", isFinalAnswer(5)); msg.Status != 503 {
 		t.Errorf("call 5, a new one: %d", msg.Status)
 	}
-	h.await(lateCaller, "the release of call 4, which is established on this connection", func(msg platform.Heard) bool {
+	h.await(lateCaller, "the release of call 4, which is established on this connection", func(msg platform.ReceivedMessage) bool {
 		return msg.Method == "BYE" && msg.Call == 4 && msg.Status == 0
 	})
 	select {
@@ -394,9 +396,9 @@
 	blocker := newLoopBlocker("caller's message refused")
 	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 		if call < 100 {
-			return platform.Reset
+			return platform.SignallingFault
 		}
-		return platform.Stand
+		return platform.AnswerCall
 	}, func(h *harness) { h.logHandler = blocker })
 	t.Cleanup(func() { close(blocker.testEnded) })
 	for call := uint64(1); call <= 8; call++ {
@@ -405,7 +407,7 @@
 		h.waitFor("the first attempt", func() bool { return h.offices[1].SetUps(call) == 1 })
 		resetAt := time.Now()
 		h.blockLoop(blocker)
-		caller.Leave(call)
+		caller.Abandon(call)
 		h.waitFor("the end of the connection is read", func() bool { return len(h.node.inputs) > 0 })
 		<-time.After(time.Until(resetAt.Add(300 * time.Millisecond))) // the release time is over
 		blocker.resume <- struct{}{}
@@ -426,7 +428,7 @@
 func TestConnectionFloodWaitsInTheKernel(t *testing.T) {
 	t.Parallel()
 	blocker := newLoopBlocker("caller's message refused")
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(h *harness) { h.logHandler = blocker })
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall }, func(h *harness) { h.logHandler = blocker })
 	t.Cleanup(func() { close(blocker.testEnded) })
 	h.blockLoop(blocker)
 	for range 60 {
@@ -453,20 +455,20 @@
 	t.Parallel()
 	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if call < 100 {
-			return platform.Reset
+			return platform.SignallingFault
 		}
-		return platform.Stand
+		return platform.AnswerCall
 	})
 	ways := []func(caller *platform.Caller, call uint64){
-		func(caller *platform.Caller, call uint64) { caller.Leave(call) },
+		func(caller *platform.Caller, call uint64) { caller.Abandon(call) },
 		func(caller *platform.Caller, call uint64) {
 			if err := caller.Conn.(*net.TCPConn).SetLinger(0); err != nil { // a reset
 				t.Error(err)
 			}
-			caller.Leave(call)
+			caller.Abandon(call)
 		},
 		func(caller *platform.Caller, call uint64) {
-			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
+			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
 			if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil { // half-closed
 				t.Error(err)
 			}
@@ -516,11 +518,11 @@
 		"reload twice, drain":                   {signals: []func(*Node){reload, reload, drain}},
 		"drain, reload":                         {signals: []func(*Node){drain, reload}},
 		"half a file, drain":                    {before: truncateConfig, signals: []func(*Node){reload, drain}},
-		"drain with a silent discovery service": {before: func(h *harness) { h.journal.Hush(true) }, signals: []func(*Node){drain, reload, drain}},
+		"drain with a silent discovery service": {before: func(h *harness) { h.discoveryService.Withhold(true) }, signals: []func(*Node){drain, reload, drain}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(h *harness) {
+			h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall }, func(h *harness) {
 				h.settingsEdits = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":300000000`)
 			})
 			if testCase.before != nil {
@@ -554,7 +556,7 @@
 	for _, caller := range callers {
 		for open := true; open; {
 			select {
-			case _, ok := <-caller.Heard:
+			case _, ok := <-caller.Received:
 				if open = ok; !ok {
 					count++
 				}
@@ -572,17 +574,17 @@
 	t.Parallel()
 	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 		if attempt == 1 {
-			return platform.Drop
+			return platform.ResetConnection
 		}
-		return platform.Stand
+		return platform.AnswerCall
 	})
 	const callerShare = (256 - 24) * 5 / 9
 	var idle []*platform.Caller
-	<-h.journal.Asked
-	h.journal.Hush(true)
+	<-h.discoveryService.Requests
+	h.discoveryService.Withhold(true)
 	for range 2 * callerShare {
 		caller := h.dial()
-		if err := caller.Test(); err != nil {
+		if err := caller.HealthCheck(); err != nil {
 			t.Fatal(err)
 		}
 		idle = append(idle, caller)
@@ -595,8 +597,8 @@
 			t.Errorf("call %d: %d", call, msg.Status)
 		}
 	}
-	<-h.journal.Asked
-	h.journal.Hush(false)
+	<-h.discoveryService.Requests
+	h.discoveryService.Withhold(false)
 	h.checkRules()
 }
 
@@ -604,11 +606,11 @@
 // complete ones are answered.
 func TestSetUpsInPieces(t *testing.T) {
 	t.Parallel()
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall })
 	const legs = "dest:1;width:1;via:-1"
 	recordCalls := func(calls ...uint64) {
 		for _, call := range calls {
-			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, call, 2500*time.Millisecond) })
+			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, call, 2500*time.Millisecond) })
 		}
 	}
 	write := func(caller *platform.Caller, text string) {
@@ -618,21 +620,21 @@
 	}
 	slowWriter := h.dial()
 	recordCalls(1)
-	for _, octet := range []byte(platform.Invitation(1, 2500*time.Millisecond, legs)) {
+	for _, octet := range []byte(platform.InviteMessage(1, 2500*time.Millisecond, legs)) {
 		write(slowWriter, string(octet))
 	}
 	h.await(slowWriter, "the answer to a set-up in single bytes", isFinalAnswer(1))
 	batchWriter := h.dial()
-	incomplete := platform.Invitation(4, 2500*time.Millisecond, legs)
+	incomplete := platform.InviteMessage(4, 2500*time.Millisecond, legs)
 	recordCalls(2, 3)
-	write(batchWriter, platform.Invitation(2, 2500*time.Millisecond, legs)+platform.Invitation(3, 2500*time.Millisecond, legs)+incomplete[:len(incomplete)/2])
+	write(batchWriter, platform.InviteMessage(2, 2500*time.Millisecond, legs)+platform.InviteMessage(3, 2500*time.Millisecond, legs)+incomplete[:len(incomplete)/2])
 	for range 2 {
-		h.await(batchWriter, "the answer to one of several", func(msg platform.Heard) bool { return isFinalAnswer(2)(msg) || isFinalAnswer(3)(msg) })
+		h.await(batchWriter, "the answer to one of several", func(msg platform.ReceivedMessage) bool { return isFinalAnswer(2)(msg) || isFinalAnswer(3)(msg) })
 	}
 	closedEarly := h.dial()
 	write(closedEarly, incomplete[:len(incomplete)-1])
 	closedEarly.Close()
-	for range batchWriter.Heard { // until the node closes the connection, on which nothing more arrives
+	for range batchWriter.Received { // until the node closes the connection, on which nothing more arrives
 	}
 	if setUps := h.offices[1].SetUps(4); setUps != 0 {
 		t.Errorf("an incomplete set-up was sent to the office %d times", setUps)
@@ -644,7 +646,7 @@
 func TestWhatIsAcceptedLastIsAnswered(t *testing.T) {
 	t.Parallel()
 	blocker := newLoopBlocker("draining")
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand }, func(h *harness) {
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall }, func(h *harness) {
 		h.logHandler = blocker
 		h.settingsEdits = strings.NewReplacer(`"deadline_ns":3000000000`, `"deadline_ns":300000000`)
 	})
@@ -674,11 +676,11 @@
 		t.Errorf("a silent connection and a failed connection attempt after it take %v", sum)
 	}
 	t.Parallel()
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	<-h.journal.Asked
-	h.journal.Hush(true)
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall })
+	<-h.discoveryService.Requests
+	h.discoveryService.Withhold(true)
 	silentSince := time.Now()
-	if pos := <-h.journal.Asked; pos != 1 || time.Since(silentSince) >= discoveryReadTimeout+time.Second {
+	if pos := <-h.discoveryService.Requests; pos != 1 || time.Since(silentSince) >= discoveryReadTimeout+time.Second {
 		t.Errorf("asked for events after %d, %v after the silence began", pos, time.Since(silentSince))
 	}
 }
@@ -686,19 +688,19 @@
 // Guards against never reading from a discovery service that answers later than the next request is sent.
 func TestSlowDiscoveryAnswerIsUsed(t *testing.T) {
 	t.Parallel()
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	<-h.journal.Asked
-	slow, err := h.env.NewJournal(h.discoveryEvent(1, true, h.offices...))
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall })
+	<-h.discoveryService.Requests
+	slow, err := h.env.NewDiscoveryService(h.discoveryEvent(1, true, h.offices...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow.Fail(platform.JournalFault{Slow: 2 * discoveryHedgeDelay})
+	slow.Fail(platform.DiscoveryFault{ResponseDelay: 2 * discoveryHedgeDelay})
 	h.writeConfig(slow.Addr)
 	h.node.Reload()
-	<-slow.Asked
+	<-slow.Requests
 	requestedAt := time.Now()
 	h.offices[1].Member.Phase = feed.Draining
-	slow.Tell(h.discoveryEvent(2, false, h.offices[1]))
+	slow.Publish(h.discoveryEvent(2, false, h.offices[1]))
 	h.waitFor("the change is applied", func() bool { return h.node.discoveryPos.Load() == 2 })
 	if took := time.Since(requestedAt); took > 6*time.Second {
 		t.Errorf("applied after %v", took)
@@ -711,45 +713,51 @@
 	t.Parallel()
 	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if call == 1 {
-			return platform.Stand
+			return platform.AnswerCall
 		}
-		return platform.Mute // while an answer is outstanding, idle connections are closed to make room
-	}, func(h *harness) { h.offices[1].Hold, h.offices[1].Crosses = 0, true })
+		return platform.NeverReply // while an answer is outstanding, idle connections are closed to make room
+	}, func(h *harness) { h.offices[1].Hold, h.offices[1].ReleasesOnHalfClose = 0, true })
 	caller := h.dial()
 	h.invite(caller, 1, 1, 3*time.Second)
-	h.await(caller, "the answer of call 1", func(msg platform.Heard) bool { return msg.Call == 1 && msg.Status == 200 })
+	h.await(caller, "the answer of call 1", func(msg platform.ReceivedMessage) bool { return msg.Call == 1 && msg.Status == 200 })
 	h.invite(caller, 2, 1, 3*time.Second)
-	h.await(caller, "the release of call 1", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 1 && msg.Status == 0 })
-	h.await(caller, "the end of call 2", func(msg platform.Heard) bool { return msg.Call == 2 && msg.Status >= 300 })
+	h.await(caller, "the release of call 1", func(msg platform.ReceivedMessage) bool {
+		return msg.Method == "BYE" && msg.Call == 1 && msg.Status == 0
+	})
+	h.await(caller, "the end of call 2", func(msg platform.ReceivedMessage) bool { return msg.Call == 2 && msg.Status >= 300 })
 	h.checkRules()
 }
 
 // Calls that were established before this process started are adopted without an answer, and released at both ends.
 func TestCallsEstablishedBeforeTheStart(t *testing.T) {
 	t.Parallel()
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
-	h.offices[1].Take(1, 2)
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall })
+	h.offices[1].AddEstablished(1, 2)
 	caller := h.dial()
 	for id := uint64(1); id <= 2; id++ {
-		if _, err := io.WriteString(caller, platform.Invitation(id, time.Second, "dest:1;width:1;via:-1;at:s-a")); err != nil {
+		if _, err := io.WriteString(caller, platform.InviteMessage(id, time.Second, "dest:1;width:1;via:-1;at:s-a")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	h.invite(caller, 3, 1, time.Second) // a connection to the office is open once this call is established
-	h.await(caller, "the answer of call 3, and none before", func(msg platform.Heard) bool {
+	h.await(caller, "the answer of call 3, and none before", func(msg platform.ReceivedMessage) bool {
 		if msg.Call != 3 {
 			t.Errorf("established call %d gets %+v", msg.Call, msg)
 		}
 		return msg.Status == 200
 	})
-	h.offices[1].End(1)
-	h.await(caller, "the release of call 1", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 1 && msg.Status == 0 })
+	h.offices[1].EndCall(1)
+	h.await(caller, "the release of call 1", func(msg platform.ReceivedMessage) bool {
+		return msg.Method == "BYE" && msg.Call == 1 && msg.Status == 0
+	})
 	if err := caller.Bye(2); err != nil {
 		t.Fatal(err)
 	}
-	h.await(caller, "the response to the release of call 2", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 2 && msg.Status == 200 })
-	h.await(caller, "the release of call 3", func(msg platform.Heard) bool { return msg.Method == "BYE" && msg.Call == 3 })
-	if established := h.offices[1].Standing(); established != 0 { // call 3 has ended, and call 2 was released long before
+	h.await(caller, "the response to the release of call 2", func(msg platform.ReceivedMessage) bool {
+		return msg.Method == "BYE" && msg.Call == 2 && msg.Status == 200
+	})
+	h.await(caller, "the release of call 3", func(msg platform.ReceivedMessage) bool { return msg.Method == "BYE" && msg.Call == 3 })
+	if established := h.offices[1].EstablishedCount(); established != 0 { // call 3 has ended, and call 2 was released long before
 		t.Errorf("%d calls are still established at the office", established)
 	}
 	h.checkRules()
@@ -763,9 +771,9 @@
 	unresponsive.Store(true)
 	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if unresponsive.Load() && call%2 == 0 { // calls to s-a
-			return platform.Mute
+			return platform.NeverReply
 		}
-		return platform.Stand
+		return platform.AnswerCall
 	})
 	caller := h.dial()
 	for id := uint64(1); id <= 20; id++ {
@@ -782,14 +790,14 @@
 	defer otherConn.Close()
 	_ = otherConn.SetDeadline(time.Now().Add(time.Second))
 	answer := make([]byte, len("SIP/2.0 482"))
-	if _, err = io.WriteString(otherConn, platform.Invitation(2, time.Second, "dest:2;width:1;via:-1")); err == nil {
+	if _, err = io.WriteString(otherConn, platform.InviteMessage(2, time.Second, "dest:2;width:1;via:-1")); err == nil {
 		_, err = io.ReadFull(otherConn, answer)
 	}
 	if err != nil || string(answer) != "SIP/2.0 482" {
 		t.Errorf("an id in use: %q, %v", answer, err)
 	}
 	for unanswered := 20; unanswered > 0; {
-		msg := h.await(caller, "the answers", func(msg platform.Heard) bool { return msg.Method == "INVITE" })
+		msg := h.await(caller, "the answers", func(msg platform.ReceivedMessage) bool { return msg.Method == "INVITE" })
 		unanswered--
 		if established := msg.Status == 200; established != (msg.Call%2 == 1) {
 			t.Errorf("call %d: %d", msg.Call, msg.Status)
@@ -822,10 +830,10 @@
 			h.offices[1].Member.Addr = h.relay(h.offices[1].Member.Addr, h.offices[2].Member.Addr, false)
 		}},
 		"rule 3": {before: func(h *harness) {
-			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at-2*time.Second, "s-a") })
+			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at-2*time.Second, "s-a") })
 		}},
 		"rule 4": {before: func(h *harness) {
-			h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) {
+			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
 				checker.TipAfter, checker.Cold = 3*time.Second, 3
 				checker.Started(at, "s-a")
 			})
@@ -839,11 +847,11 @@
 			h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 				switch {
 				case rule == "rule 2":
-					return platform.Mute
+					return platform.NeverReply
 				case rule == "rule 5" && attempt == 1:
-					return platform.Reset
+					return platform.SignallingFault
 				}
-				return platform.Stand
+				return platform.AnswerCall
 			}, func(h *harness) {
 				if testCase.change != nil {
 					testCase.change(h)
@@ -857,12 +865,12 @@
 				h.invite(caller, id, 1, time.Second)
 			}
 			for range 8 {
-				h.await(caller, "an answer", func(msg platform.Heard) bool { return msg.Method == "INVITE" })
+				h.await(caller, "an answer", func(msg platform.ReceivedMessage) bool { return msg.Method == "INVITE" })
 			}
 			limit := time.Now().Add(2 * time.Second)
 			for { // the second copy of a message arrives a little later
 				var violations []string
-				h.env.Judge(func(at time.Duration, checker *rulecheck.Platform) { violations = checker.Breaches(at) })
+				h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { violations = checker.Breaches(at) })
 				if slices.ContainsFunc(violations, func(violation string) bool { return strings.Contains(violation, rule) }) {
 					break
 				}
@@ -889,7 +897,7 @@
 // Unknown clients get a refusal, an error or the end of the connection within 3 s, and callers are not affected.
 func TestUnknownClients(t *testing.T) {
 	t.Parallel()
-	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.Stand })
+	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall })
 	startedAt := time.Now()
 	var unknownClients []net.Conn
 	header := "INVITE sip:1@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nX-Cos: status-check\r\nX-Timer-Ms: 900\r\n"
@@ -913,7 +921,7 @@
 		h.invite(caller, id, 1+int(id)%2, 2*time.Second)
 	}
 	for id := uint64(1); id <= 50; id++ {
-		if msg := h.await(caller, "an answer", func(msg platform.Heard) bool { return msg.Method == "INVITE" }); msg.Status != 200 {
+		if msg := h.await(caller, "an answer", func(msg platform.ReceivedMessage) bool { return msg.Method == "INVITE" }); msg.Status != 200 {
 			t.Errorf("call %d: %d", msg.Call, msg.Status)
 		}
 	}
