--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -253,7 +253,7 @@
 }
 
 // releaseAttempt ends an outstanding attempt. If its set-up was sent, the office is sent a release first, and the Controller is
-// told once that has been written, as the release time before another attempt counts from there (rule 5).
+// notified once that has been written, as the release time before another attempt counts from there (rule 5).
 func (s *Server) releaseAttempt(call *activeCall, status logic.Status) {
 	s.detachAttempt(call)
 	if !call.setUpSent {
--- a/cmd/finchlatch/simulate.go
+++ b/cmd/finchlatch/simulate.go
@@ -38,11 +38,11 @@
 		report.Fallen = append(report.Fallen, "an exchange")
 	}
 	report.Write(out)
-	if len(report.Verdict.Breaches) == 0 {
+	if len(report.Verdict.Violations) == 0 {
 		return nil
 	}
 	if trace {
-		for _, line := range rulecheck.Trace(records, report.Verdict.Breaches[0].Call) {
+		for _, line := range rulecheck.Trace(records, report.Verdict.Violations[0].Call) {
 			fmt.Fprintln(out, line)
 		}
 	}
--- a/cmd/finchlatch/try.go
+++ b/cmd/finchlatch/try.go
@@ -102,9 +102,9 @@
 	<-ended
 	report := fleet.Report()
 	report.Write(out)
-	if len(report.Verdict.Breaches) > 0 {
+	if len(report.Verdict.Violations) > 0 {
 		if trace {
-			for _, line := range rulecheck.Trace(fleet.Rec.Records(), report.Verdict.Breaches[0].Call) {
+			for _, line := range rulecheck.Trace(fleet.Rec.Records(), report.Verdict.Violations[0].Call) {
 				fmt.Fprintln(out, line)
 			}
 		}
--- a/internal/plant/plan.go
+++ b/internal/plant/plan.go
@@ -57,9 +57,9 @@
 }
 
 // Parameters returns the parameters of the five rules for callers of these classes.
-func (p Plan) Parameters() rulecheck.Figures {
-	parameters := rulecheck.Figures{Patience: map[byte]time.Duration{}, PointCodes: map[string]uint32{}, Grace: time.Second,
-		Release: 200 * time.Millisecond, TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 12 * time.Second}
+func (p Plan) Parameters() rulecheck.Parameters {
+	parameters := rulecheck.Parameters{Patience: map[byte]time.Duration{}, PointCodes: map[string]uint32{}, Grace: time.Second,
+		Release: 200 * time.Millisecond, OverloadWindow: 3 * time.Second, Overload: 2, InitialShare: 0.3, SlowStart: 12 * time.Second}
 	for _, c := range p.Classes {
 		parameters.Patience[c.Category] = c.Patience
 	}
--- a/internal/plant/processor.go
+++ b/internal/plant/processor.go
@@ -44,7 +44,7 @@
 	ServiceTimes    ServiceTimes
 	MaxWait         time.Duration // a set-up that has waited longer is refused; 0: none is
 	TimingTolerance time.Duration // how far from the due time the driver may call Serve; later services make up for it
-	Parameters      rulecheck.Figures
+	Parameters      rulecheck.Parameters
 	Capacity        float64 // set-ups per second when not cold
 
 	TotalWait time.Duration // sum of the queueing times of all messages handled
@@ -66,12 +66,12 @@
 	ageingSince               time.Duration
 	isCold                    bool
 	coldSince                 time.Duration
-	recentSetUps              []time.Duration // arrivals within TipAfter of other call servers' set-ups, while cold
+	recentSetUps              []time.Duration // arrivals within OverloadWindow of other call servers' set-ups, while cold
 }
 
 // NewProcessor creates an idle processor with full capacity.
 func NewProcessor[Source comparable](serviceTimes ServiceTimes, maxWait time.Duration, capacity float64,
-	parameters rulecheck.Figures) *Processor[Source] {
+	parameters rulecheck.Parameters) *Processor[Source] {
 	return &Processor[Source]{ServiceTimes: serviceTimes, MaxWait: maxWait, Capacity: capacity, Parameters: parameters, slowFactor: 1,
 		queuedByCircuit: map[circuitKey[Source]]int{}, queuedBySource: map[Source]int{}}
 }
@@ -165,15 +165,15 @@
 	if !p.isCold {
 		return
 	}
-	if now-p.coldSince > p.Parameters.ColdFor {
+	if now-p.coldSince > p.Parameters.SlowStart {
 		p.isCold, p.recentSetUps = false, nil
 		return
 	}
 	p.recentSetUps = append(p.recentSetUps, now)
-	for len(p.recentSetUps) > 0 && p.recentSetUps[0] < now-p.Parameters.TipAfter {
+	for len(p.recentSetUps) > 0 && p.recentSetUps[0] < now-p.Parameters.OverloadWindow {
 		p.recentSetUps = p.recentSetUps[1:]
 	}
-	if float64(len(p.recentSetUps)) > rulecheck.Budget(p.Parameters, p.Capacity, now-p.coldSince) {
+	if float64(len(p.recentSetUps)) > rulecheck.ColdBudget(p.Parameters, p.Capacity, now-p.coldSince) {
 		p.collapsed = true
 	}
 }
@@ -187,8 +187,8 @@
 	if p.ageingRate > 0 {
 		factor *= 1 + p.ageingRate*(now-p.ageingSince).Seconds()
 	}
-	if since := now - p.coldSince; p.isCold && since < p.Parameters.ColdFor {
-		factor /= p.Parameters.ColdFrom + (1-p.Parameters.ColdFrom)*float64(since)/float64(p.Parameters.ColdFor)
+	if since := now - p.coldSince; p.isCold && since < p.Parameters.SlowStart {
+		factor /= p.Parameters.InitialShare + (1-p.Parameters.InitialShare)*float64(since)/float64(p.Parameters.SlowStart)
 	}
 	return factor
 }
--- a/internal/plant/relation.go
+++ b/internal/plant/relation.go
@@ -29,7 +29,7 @@
 // ReadFrame decodes a whole M3UA message.
 func ReadFrame(raw []byte) Frame {
 	frame := Frame{Raw: raw}
-	if message, data, ok := rulecheck.ISUP(raw); ok {
+	if message, data, ok := rulecheck.DecodeISUP(raw); ok {
 		frame.ISUP, frame.Data = message, data
 	}
 	return frame
--- a/internal/plant/report.go
+++ b/internal/plant/report.go
@@ -97,22 +97,22 @@
 	}
 	verdict := r.Verdict
 	fmt.Fprintf(w, "service %.3f of the worth offered; %d calls taken, %d final answers, %d attempts, %d dual seizures, %d cold starts\n",
-		r.Service(), verdict.Calls, verdict.Answers, verdict.Attempts, verdict.Dual, verdict.Cold)
-	if verdict.LookUps > 0 {
-		fmt.Fprintf(w, "%d look-ups, %d of them granted a lease\n", verdict.LookUps, verdict.Leases)
+		r.Service(), verdict.Calls, verdict.Answers, verdict.Attempts, verdict.DualSeizures, verdict.ColdStarts)
+	if verdict.Queries > 0 {
+		fmt.Fprintf(w, "%d look-ups, %d of them granted a lease\n", verdict.Queries, verdict.Leases)
 	}
 	for _, exchange := range r.Fallen {
 		fmt.Fprintf(w, "processor of %s fell over\n", exchange)
 	}
-	if len(verdict.Breaches) == 0 {
+	if len(verdict.Violations) == 0 {
 		fmt.Fprintf(w, "rules 1 to 5 kept, judged from what passed on the wires\n")
 		return
 	}
 	const maxListed = 20
-	fmt.Fprintf(w, "RULES BROKEN: %d\n", len(verdict.Breaches))
-	for i, violation := range verdict.Breaches {
+	fmt.Fprintf(w, "RULES BROKEN: %d\n", len(verdict.Violations))
+	for i, violation := range verdict.Violations {
 		if i == maxListed {
-			fmt.Fprintf(w, "... and %d more\n", len(verdict.Breaches)-maxListed)
+			fmt.Fprintf(w, "... and %d more\n", len(verdict.Violations)-maxListed)
 			break
 		}
 		fmt.Fprintln(w, violation)
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -57,7 +57,7 @@
 			call, _ := strconv.ParseUint(msg.CallID, 16, 64)
 			received := ReceivedMessage{Call: call, Status: msg.Status, Method: msg.Method, Body: string(msg.Body)}
 			if msg.Method == "INVITE" && msg.Status >= 200 {
-				c.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Final(at, call, msg.Status) })
+				c.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.FinalAnswer(at, call, msg.Status) })
 			}
 			c.Received <- received
 		}
@@ -69,7 +69,7 @@
 
 // Invite sends an INVITE and reports to the rule checker that the call was taken.
 func (c *Caller) Invite(call uint64, dest int, patience time.Duration) error {
-	c.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, call, patience) })
+	c.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.CallTaken(at, call, patience) })
 	_, err := io.WriteString(c, InviteMessage(call, patience, fmt.Sprintf("dest:%d;width:1;via:-1", dest)))
 	return err
 }
@@ -89,16 +89,16 @@
 
 // Cancel withdraws a set-up and reports it to the rule checker.
 func (c *Caller) Cancel(call uint64) error {
-	c.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
+	c.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.Abandoned(at, call) })
 	_, err := fmt.Fprintf(c, "CANCEL sip:exchange@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n", call)
 	return err
 }
 
 // Abandon closes the connection, and reports to the rule checker that the callers of these calls no longer wait for an answer.
 func (c *Caller) Abandon(calls ...uint64) {
-	c.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
+	c.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
 		for _, call := range calls {
-			checker.GivenUp(at, call)
+			checker.Abandoned(at, call)
 		}
 	})
 	c.Close()
--- a/internal/platform/callertap.go
+++ b/internal/platform/callertap.go
@@ -21,7 +21,7 @@
 	fromCallServer sip.Framer
 	toCallServer   sip.Framer
 	corrupted      bool            // the caller sent bytes that cannot be parsed
-	callerKnown    bool            // the call server knows of a caller: it has answered, or was told of established calls
+	callerKnown    bool            // the call server knows of a caller: it has answered, or was notified of established calls
 	unanswered     map[uint64]bool // calls without a final answer
 }
 
@@ -68,21 +68,21 @@
 	switch msg.Method {
 	case "INVITE":
 		if strings.Contains(msg.Get("X-Legs"), "at:") {
-			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Adopted(at, call) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.Adopted(at, call) })
 			t.reportCallerKnown(conn)
 			return
 		}
 		patienceMs, _ := strconv.Atoi(msg.Get("X-Timer-Ms"))
 		conn.unanswered[call] = true
-		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
-			checker.Taken(at, call, time.Duration(patienceMs)*time.Millisecond)
+		t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+			checker.CallTaken(at, call, time.Duration(patienceMs)*time.Millisecond)
 			checker.TakenBy(call, t.node)
 		})
 	case "CANCEL":
 		delete(conn.unanswered, call)
-		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
+		t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.Abandoned(at, call) })
 	case "BYE":
-		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Settled(at, call) })
+		t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.HangUpReceived(at, call) })
 	}
 }
 
@@ -101,9 +101,9 @@
 		case idErr != nil:
 		case msg.Method == "INVITE" && msg.Status >= 200:
 			delete(conn.unanswered, call)
-			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Final(at, call, msg.Status) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.FinalAnswer(at, call, msg.Status) })
 		case msg.Method == "BYE" && msg.Status == 0:
-			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.ToldOver(at, call) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.CallerNotified(at, call) })
 		}
 	}
 }
@@ -114,11 +114,11 @@
 	t.untrack(connID, func(conn *tappedCaller) {
 		t.reportIfNoCaller()
 		for call := range conn.unanswered {
-			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
+			t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
 				if byCallServer {
 					checker.ConnectionEnded(at, call)
 				} else {
-					checker.GivenUp(at, call)
+					checker.Abandoned(at, call)
 				}
 			})
 		}
@@ -129,7 +129,7 @@
 func (t *CallerTap) reportCallerKnown(conn *tappedCaller) {
 	if !conn.callerKnown {
 		conn.callerKnown = true
-		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.CallersBack(at, t.node) })
+		t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.CallersConnected(at, t.node) })
 	}
 }
 
@@ -140,5 +140,5 @@
 			return
 		}
 	}
-	t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.CallersAway(at, t.node) })
+	t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.NoCallersConnected(at, t.node) })
 }
--- a/internal/platform/callertap_test.go
+++ b/internal/platform/callertap_test.go
@@ -43,27 +43,27 @@
 			tap.ToCallServer(2, fmt.Appendf(nil, inviteFormat, 9, "dest:1;at:o"))
 		}, true},
 	} {
-		checker := rulecheck.NewPlatform(0, 0, 0)
+		checker := rulecheck.NewPlatformChecker(0, 0, 0)
 		env := NewEnvironment(checker)
 		tap := env.NewCallerTap("n")
 		tap.Opened(1)
 		tap.ToCallServer(1, fmt.Appendf(nil, inviteFormat, 7, "dest:1"))
-		env.Report(func(at time.Duration, checker *rulecheck.Platform) {
+		env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
 			checker.SetUp(at, "o", 7)
-			checker.End(at, "o", 7, false)
+			checker.AttemptEnded(at, "o", 7, false)
 			checker.Answered("o", 7)
 		})
 		tap.FromCallServer(1, fmt.Appendf(nil, answerFormat, 7))
 		tt.steps(tap)
-		env.Report(func(at time.Duration, checker *rulecheck.Platform) {
-			checker.Over(at, "o", 7, rulecheck.ToldAfterRelease)
+		env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+			checker.CallEnded(at, "o", 7, rulecheck.NoticeAfterRelease)
 		})
 		violated := false
-		for _, violation := range checker.Breaches(time.Hour) {
+		for _, violation := range checker.Violations(time.Hour) {
 			violated = violated || len(violation) > 0
 		}
 		if violated != tt.wantViolation {
-			t.Errorf("%s: %q", name, checker.Breaches(time.Hour))
+			t.Errorf("%s: %q", name, checker.Violations(time.Hour))
 		}
 		env.Close()
 	}
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -22,7 +22,7 @@
 // Environment is shared by the stand-ins around a call server: it holds the clock, the rule checker and the addresses in use.
 type Environment struct {
 	mu         sync.Mutex
-	checker    *rulecheck.Platform
+	checker    *rulecheck.PlatformChecker
 	startedAt  time.Time
 	wg         sync.WaitGroup
 	closers    []func() // called by Close
@@ -33,7 +33,7 @@
 }
 
 // NewEnvironment returns an Environment that reports to checker.
-func NewEnvironment(checker *rulecheck.Platform) *Environment {
+func NewEnvironment(checker *rulecheck.PlatformChecker) *Environment {
 	return &Environment{checker: checker, startedAt: time.Now(), host: loopbackHost(), done: make(chan struct{})}
 }
 
@@ -73,7 +73,7 @@
 }
 
 // Report calls report with the current time and the rule checker, one call at a time.
-func (e *Environment) Report(report func(at time.Duration, checker *rulecheck.Platform)) {
+func (e *Environment) Report(report func(at time.Duration, checker *rulecheck.PlatformChecker)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	report(time.Since(e.startedAt), e.checker)
--- a/internal/platform/office.go
+++ b/internal/platform/office.go
@@ -238,7 +238,7 @@
 }
 
 // report calls the rule checker, unless a tap does so.
-func (o *Office) report(report func(at time.Duration, checker *rulecheck.Platform)) {
+func (o *Office) report(report func(at time.Duration, checker *rulecheck.PlatformChecker)) {
 	if !o.Tapped {
 		o.env.Report(report)
 	}
--- a/internal/platform/officeconn.go
+++ b/internal/platform/officeconn.go
@@ -144,8 +144,8 @@
 func (c *officeConn) reportEnd(call uint64, signallingFault bool) {
 	if c.outstanding[call] {
 		delete(c.outstanding, call)
-		c.office.report(func(at time.Duration, checker *rulecheck.Platform) {
-			checker.End(at, c.office.Member.ID, call, signallingFault)
+		c.office.report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+			checker.AttemptEnded(at, c.office.Member.ID, call, signallingFault)
 		})
 	}
 }
@@ -154,7 +154,9 @@
 func (c *officeConn) reportWithdrawn(call uint64) {
 	if c.outstanding[call] {
 		delete(c.outstanding, call)
-		c.office.report(func(at time.Duration, checker *rulecheck.Platform) { checker.Withdrawn(at, c.office.Member.ID, call) })
+		c.office.report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+			checker.CancelRead(at, c.office.Member.ID, call)
+		})
 	}
 }
 
@@ -198,7 +200,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.office
-	o.report(func(at time.Duration, checker *rulecheck.Platform) { checker.SetUp(at, o.Member.ID, call) })
+	o.report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.SetUp(at, o.Member.ID, call) })
 	c.outstanding[call] = true
 	o.mu.Lock()
 	o.setUps[call]++
--- a/internal/platform/officetap.go
+++ b/internal/platform/officetap.go
@@ -62,11 +62,13 @@
 				continue
 			}
 			conn.outstanding[msg.Call] = true
-			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.SetUp(at, conn.office, msg.Call) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.SetUp(at, conn.office, msg.Call) })
 		case office.Release:
 			if conn.outstanding[msg.Call] {
 				delete(conn.outstanding, msg.Call)
-				t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Withdrawn(at, conn.office, msg.Call) })
+				t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+					checker.CancelRead(at, conn.office, msg.Call)
+				})
 			}
 		}
 	}
@@ -113,8 +115,8 @@
 	delete(conn.outstanding, msg.Call)
 	answered := msg.Type == office.Answer && office.ValidDescription(msg.Description)
 	signallingFault := msg.Type == office.Answer && !answered || msg.Type == office.Release && msg.Cause == office.CauseTemporary
-	t.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
-		checker.End(at, conn.office, msg.Call, signallingFault)
+	t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+		checker.AttemptEnded(at, conn.office, msg.Call, signallingFault)
 		if answered {
 			checker.Answered(conn.office, msg.Call)
 		}
@@ -124,7 +126,9 @@
 // failAll reports that the outstanding attempts on a connection ended with a signalling fault; t.mu is held.
 func (t *OfficeTap) failAll(conn *tappedOffice) {
 	for call := range conn.outstanding {
-		t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.End(at, conn.office, call, true) })
+		t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+			checker.AttemptEnded(at, conn.office, call, true)
+		})
 	}
 	clear(conn.outstanding)
 }
@@ -137,7 +141,7 @@
 			return
 		}
 		for call := range conn.outstanding {
-			t.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Withdrawn(at, conn.office, call) })
+			t.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.CancelRead(at, conn.office, call) })
 		}
 	})
 }
--- a/internal/platform/proxy_test.go
+++ b/internal/platform/proxy_test.go
@@ -15,7 +15,7 @@
 // startEcho starts a Proxy to a server that echoes what it receives.
 func startEcho(t *testing.T) (*Environment, *Proxy) {
 	t.Helper()
-	env := NewEnvironment(rulecheck.NewPlatform(0, 0, 0))
+	env := NewEnvironment(rulecheck.NewPlatformChecker(0, 0, 0))
 	t.Cleanup(env.Close)
 	addr, err := env.serve(func(conn net.Conn) { _, _ = io.Copy(conn, conn) })
 	if err != nil {
--- a/internal/rulecheck/exchanges.go
+++ b/internal/rulecheck/exchanges.go
@@ -5,13 +5,13 @@
 // checkDraining checks rule 3 on an outgoing IAM: none once the grace time after the announcement is over.
 func (c *checker) checkDraining(server *callServer, record Record) {
 	state, ok := server.exchangeStates[record.Peer]
-	if ok && state.state != Ready && record.At > state.since+c.parameters.Grace+c.parameters.Skew {
+	if ok && state.state != Ready && record.At > state.since+c.parameters.Grace+c.parameters.TapSkew {
 		c.violation(3, record.At, server, nil, "a set-up toward %s, %v after it was announced as draining or gone",
 			record.Peer, record.At-state.since)
 	}
 }
 
-// coldStart is the start of a processor, with the set-ups sent to it in the last window of TipAfter.
+// coldStart is the start of a processor, with the set-ups sent to it in the last OverloadWindow.
 type coldStart struct {
 	startedAt  time.Duration
 	capacity   float64 // set-ups per second after slow start
@@ -28,17 +28,17 @@
 // setupSlack is the number of set-ups tolerated above the budget, since set-ups are whole numbers and arrive at random.
 const setupSlack = 3
 
-// checkColdStart checks rule 4 on an outgoing IAM: in any window of TipAfter, all call servers together send a cold exchange
+// checkColdStart checks rule 4 on an outgoing IAM: in any OverloadWindow, all call servers together send a cold exchange
 // at most Overload times its capacity. It is violated only if at least two thirds of the set-ups came from call servers to
 // which the start had been announced.
 func (c *checker) checkColdStart(server *callServer, record Record) {
 	start := c.coldStarts[record.Peer]
-	if start == nil || start.overloaded || record.At-start.startedAt > c.parameters.ColdFor {
+	if start == nil || start.overloaded || record.At-start.startedAt > c.parameters.SlowStart {
 		return
 	}
 	state := server.exchangeStates[record.Peer]
 	start.setups = append(start.setups, sentSetup{record.At, state.startKnownAt > 0 && state.startKnownAt >= start.startedAt})
-	for len(start.setups) > 0 && start.setups[0].at < record.At-c.parameters.TipAfter {
+	for len(start.setups) > 0 && start.setups[0].at < record.At-c.parameters.OverloadWindow {
 		start.setups = start.setups[1:]
 	}
 	knowing := 0
@@ -47,20 +47,20 @@
 			knowing++
 		}
 	}
-	if limit := Budget(c.parameters, start.capacity, record.At-start.startedAt); float64(len(start.setups)) > limit &&
+	if limit := ColdBudget(c.parameters, start.capacity, record.At-start.startedAt); float64(len(start.setups)) > limit &&
 		3*knowing >= 2*len(start.setups) {
 		start.overloaded = true
 		c.violation(4, record.At, server, nil, "%d set-ups toward the cold %s within %v, its limit is %.0f", len(start.setups), record.Peer,
-			c.parameters.TipAfter, limit)
+			c.parameters.OverloadWindow, limit)
 	}
 }
 
-// Budget returns the number of set-ups within TipAfter above which a processor that started some time ago is overloaded and
-// fails. Its capacity grows linearly from the share ColdFrom at its start to all of it after ColdFor.
-func Budget(parameters Figures, capacity float64, since time.Duration) float64 {
+// ColdBudget returns the number of set-ups within OverloadWindow above which a processor that started some time ago is
+// overloaded and fails. Its capacity grows linearly from InitialShare at its start to all of it after SlowStart.
+func ColdBudget(parameters Parameters, capacity float64, since time.Duration) float64 {
 	share := 1.0
-	if since < parameters.ColdFor && parameters.ColdFor > 0 {
-		share = parameters.ColdFrom + (1-parameters.ColdFrom)*float64(since)/float64(parameters.ColdFor)
+	if since < parameters.SlowStart && parameters.SlowStart > 0 {
+		share = parameters.InitialShare + (1-parameters.InitialShare)*float64(since)/float64(parameters.SlowStart)
 	}
-	return parameters.Overload*share*capacity*parameters.TipAfter.Seconds() + setupSlack
+	return parameters.Overload*share*capacity*parameters.OverloadWindow.Seconds() + setupSlack
 }
--- a/internal/rulecheck/messages.go
+++ b/internal/rulecheck/messages.go
@@ -12,7 +12,7 @@
 func (c *checker) handleMessage(server *callServer, record Record) {
 	frame, err := m3ua.Decode(record.Data)
 	if err != nil {
-		c.verdict.Unread++
+		c.verdict.Undecoded++
 		return
 	}
 	if frame.Kind == m3ua.ASPACACK {
@@ -23,12 +23,12 @@
 	}
 	data, err := m3ua.ReadProtocolData(frame)
 	if err != nil || data.SI != m3ua.ServiceISUP {
-		c.verdict.Unread++
+		c.verdict.Undecoded++
 		return
 	}
 	message, err := isup.Decode(data.Data)
 	if err != nil {
-		c.verdict.Unread++
+		c.verdict.Undecoded++
 		return
 	}
 	group := server.trunkGroup(record.Peer)
@@ -130,7 +130,7 @@
 func (c *checker) handleIAM(server *callServer, group *trunkGroup, record Record, message *isup.Message) {
 	setup, err := message.Setup()
 	if err != nil {
-		c.verdict.Unread++
+		c.verdict.Undecoded++
 		return
 	}
 	cics := setup.Circuits(message.CIC)
@@ -197,14 +197,14 @@
 				continue
 			}
 			if leg.progressed || c.controls(server.name, record.Peer, leg.cics, cics) {
-				c.verdict.Dual++
+				c.verdict.DualSeizures++
 				return false
 			}
 			lost = append(lost, leg)
 		}
 	}
 	for _, leg := range lost {
-		c.verdict.Dual++
+		c.verdict.DualSeizures++
 		c.dropLeg(server, group, leg, record.At, false)
 	}
 	return true
@@ -228,13 +228,13 @@
 	if call == nil {
 		return // the call was taken before the call server was killed
 	}
-	if call.answers > 0 && record.At > call.answeredAt+c.parameters.Skew {
+	if call.answers > 0 && record.At > call.answeredAt+c.parameters.TapSkew {
 		c.violation(1, record.At, server, call, "a set-up toward %s, %v after the final answer", record.Peer, record.At-call.answeredAt)
 	}
 	if call.outstanding != nil {
 		c.violation(2, record.At, server, call, "a set-up toward %s while one toward %s is outstanding", record.Peer, call.outstanding.peer)
 	}
-	if call.retryBarred && record.At+c.parameters.Skew < call.retryFrom {
+	if call.retryBarred && record.At+c.parameters.TapSkew < call.retryFrom {
 		c.violation(5, record.At, server, call, "a set-up toward %s, %v before the release time is over", record.Peer, call.retryFrom-record.At)
 	}
 	for first, held := range group.releasing { // the RLC was lost at the tap; the call server seizes, so it has its release
@@ -254,7 +254,7 @@
 		if incoming.progressed || !slices.ContainsFunc(incoming.cics, func(x uint16) bool { return slices.Contains(leg.cics, x) }) {
 			continue
 		}
-		c.verdict.Dual++
+		c.verdict.DualSeizures++
 		if c.controls(server.name, record.Peer, leg.cics, incoming.cics) {
 			c.verdict.Calls--
 			c.dropLeg(server, group, incoming, record.At, false)
--- a/internal/rulecheck/platform.go
+++ b/internal/rulecheck/platform.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Platform checks the five rules for call servers on the platform, from the traffic of their sockets alone: the messages of
-// callers and offices, and the announcements of service discovery. Times may come from any clock, but all from the same one.
-// Methods report events to it, and Breaches returns the verdict. It is not safe for concurrent use.
-type Platform struct {
+// PlatformChecker checks the five rules for call servers on the platform, from the traffic of their sockets alone: the
+// messages of callers and offices, and the announcements of service discovery. Times may come from any clock, but all from
+// the same one. Methods report events to it, and Violations returns the verdict. It is not safe for concurrent use.
+type PlatformChecker struct {
 	Release        time.Duration              // rule 5: wait after a failed attempt
 	Grace          time.Duration              // rule 3: time after an announcement in which set-ups may still be sent
 	Slack          time.Duration              // added to every time limit
 	TapSkew        time.Duration              // maximum time between the observations of consecutive writes on two connections
-	TipAfter       time.Duration              // rule 4: window in which set-ups are counted; 0: rule 4 is not checked
-	Cold           float64                    // rule 4: set-ups in the window above which a cold office is overloaded
+	OverloadWindow time.Duration              // rule 4: window in which set-ups are counted; 0: rule 4 is not checked
+	ColdBudget     float64                    // rule 4: set-ups in the window above which a cold office is overloaded
 	CallServers    int                        // call servers checked together; more than one allow for coinciding set-ups
 	calls          map[uint64]*platformCall   // by call ID
 	announcedAt    map[string]time.Duration   // by office: when it was announced as draining or gone
@@ -47,25 +47,26 @@
 	killed          bool   // the process that took it was killed
 }
 
-// NewPlatform returns a checker with the parameters of rules 5, 3 and 1. Rule 4 is checked once TipAfter and Cold are set.
-func NewPlatform(release, grace, slack time.Duration) *Platform {
-	return &Platform{Release: release, Grace: grace, Slack: slack, calls: map[uint64]*platformCall{},
+// NewPlatformChecker returns a checker with the parameters of rules 5, 3 and 1. Rule 4 is checked once OverloadWindow and
+// ColdBudget are set.
+func NewPlatformChecker(release, grace, slack time.Duration) *PlatformChecker {
+	return &PlatformChecker{Release: release, Grace: grace, Slack: slack, calls: map[uint64]*platformCall{},
 		announcedAt: map[string]time.Duration{}, startedAt: map[string]time.Duration{}, setUpTimes: map[string][]time.Duration{},
 		linkFaults: map[string][]linkFault{}, noCallersSince: map[string]time.Duration{}, stalls: map[string][]processStall{}}
 }
 
 // violation records a violation of a rule by a call.
-func (p *Platform) violation(at time.Duration, rule int, callID uint64, format string, args ...any) {
+func (p *PlatformChecker) violation(at time.Duration, rule int, callID uint64, format string, args ...any) {
 	p.violations = append(p.violations, fmt.Sprintf("%v: rule %d: call %016x: %s", at, rule, callID, fmt.Sprintf(format, args...)))
 }
 
-// Taken reports that the complete set-up of a call has reached a call server.
-func (p *Platform) Taken(at time.Duration, callID uint64, patience time.Duration) {
+// CallTaken reports that the complete set-up of a call has reached a call server.
+func (p *PlatformChecker) CallTaken(at time.Duration, callID uint64, patience time.Duration) {
 	p.calls[callID] = &platformCall{takenAt: at, answerDue: at + patience}
 }
 
-// GivenUp reports that a caller has given up: no answer is required, and no new attempt may start from then on.
-func (p *Platform) GivenUp(at time.Duration, callID uint64) {
+// Abandoned reports that a caller has given up: no answer is required, and no new attempt may start from then on.
+func (p *PlatformChecker) Abandoned(at time.Duration, callID uint64) {
 	call := p.calls[callID]
 	if call == nil {
 		return
@@ -79,8 +80,8 @@
 // abandonWindow is how long after its caller has given up an attempt may still start.
 const abandonWindow = 100 * time.Millisecond
 
-// Final reports a final answer to a caller, with its SIP status.
-func (p *Platform) Final(at time.Duration, callID uint64, status int) {
+// FinalAnswer reports a final answer to a caller, with its SIP status.
+func (p *PlatformChecker) FinalAnswer(at time.Duration, callID uint64, status int) {
 	call := p.calls[callID]
 	switch {
 	case call == nil:
@@ -103,7 +104,7 @@
 }
 
 // SetUp reports that a set-up has reached an office, and checks the rules on it.
-func (p *Platform) SetUp(at time.Duration, office string, callID uint64) {
+func (p *PlatformChecker) SetUp(at time.Duration, office string, callID uint64) {
 	call := p.calls[callID]
 	if call == nil {
 		p.violation(at, 1, callID, "a set-up for a call that was never taken")
@@ -125,27 +126,28 @@
 		p.violation(at, 5, callID, "a set-up %v after a failed attempt", at-call.failedAt)
 	}
 	call.attemptOffice, call.awaitingRelease = office, false
-	if p.TipAfter > 0 {
+	if p.OverloadWindow > 0 {
 		p.checkColdLoad(at, office, callID)
 	}
 }
 
 // checkColdLoad checks rule 4 on the window that ends now. Call servers that each keep within their part of the budget may
 // exceed it together when their set-ups coincide: for more than one, twice the square root of the budget and two are added.
-func (p *Platform) checkColdLoad(at time.Duration, office string, callID uint64) {
-	p.setUpTimes[office] = slices.DeleteFunc(append(p.setUpTimes[office], at), func(t time.Duration) bool { return t <= at-p.TipAfter })
-	limit := p.Cold
+func (p *PlatformChecker) checkColdLoad(at time.Duration, office string, callID uint64) {
+	p.setUpTimes[office] = slices.DeleteFunc(append(p.setUpTimes[office], at), func(t time.Duration) bool { return t <= at-p.OverloadWindow })
+	limit := p.ColdBudget
 	if p.CallServers > 1 {
-		limit += 2*math.Sqrt(p.Cold) + 2
+		limit += 2*math.Sqrt(p.ColdBudget) + 2
 	}
-	if startedAt, ok := p.startedAt[office]; ok && at < startedAt+p.TipAfter && float64(len(p.setUpTimes[office])) > limit {
+	if startedAt, ok := p.startedAt[office]; ok && at < startedAt+p.OverloadWindow && float64(len(p.setUpTimes[office])) > limit {
 		p.violation(at, 4, callID, "%d set-ups at %s within %v of its start, its limit is %.1f",
 			len(p.setUpTimes[office]), office, at-startedAt, limit)
 	}
 }
 
-// End reports the end of an attempt by an answer or a refusal, or by a failure if it timed out, was reset or was cancelled.
-func (p *Platform) End(at time.Duration, office string, callID uint64, failed bool) {
+// AttemptEnded reports the end of an attempt by an answer or a refusal, or by a failure if it timed out, was reset or was
+// cancelled.
+func (p *PlatformChecker) AttemptEnded(at time.Duration, office string, callID uint64, failed bool) {
 	if call := p.calls[callID]; call != nil && call.attemptOffice == office {
 		call.attemptOffice = ""
 		if failed {
@@ -154,26 +156,26 @@
 	}
 }
 
-// Withdrawn reports that an office has read the cancel of an attempt. The call server wrote it at most the slack before.
-func (p *Platform) Withdrawn(at time.Duration, office string, callID uint64) {
-	p.End(at, office, callID, true)
+// CancelRead reports that an office has read the cancel of an attempt. The call server wrote it at most the slack before.
+func (p *PlatformChecker) CancelRead(at time.Duration, office string, callID uint64) {
+	p.AttemptEnded(at, office, callID, true)
 	if call := p.calls[callID]; call != nil && call.awaitingRelease && call.failedAt == at {
 		call.failedAt -= p.Slack
 	}
 }
 
-// Told reports that service discovery has announced an office as draining or gone.
-func (p *Platform) Told(at time.Duration, office string) {
+// OfficeAnnounced reports that service discovery has announced an office as draining or gone.
+func (p *PlatformChecker) OfficeAnnounced(at time.Duration, office string) {
 	if _, ok := p.announcedAt[office]; !ok {
 		p.announcedAt[office] = at
 	}
 }
 
 // Started reports the cold start of an office.
-func (p *Platform) Started(at time.Duration, office string) { p.startedAt[office] = at }
+func (p *PlatformChecker) Started(at time.Duration, office string) { p.startedAt[office] = at }
 
-// Breaches reports calls that are overdue at the end of the run, and returns all violations.
-func (p *Platform) Breaches(at time.Duration) []string {
+// Violations reports calls that are overdue at the end of the run, and returns all violations.
+func (p *PlatformChecker) Violations(at time.Duration) []string {
 	var unanswered []uint64
 	for callID, call := range p.calls {
 		if !call.finished && at > call.answerDue+p.Slack {
--- a/internal/rulecheck/queries.go
+++ b/internal/rulecheck/queries.go
@@ -35,14 +35,14 @@
 func (c *checker) checkQuery(server *callServer, record Record) {
 	message := new(dns.Msg)
 	if message.Unpack(record.Data) != nil || len(message.Question) != 1 {
-		c.verdict.Unread++
+		c.verdict.Undecoded++
 		return
 	}
 	id := fmt.Sprintf("%s %s %d", record.Exchange, record.Peer, message.Id)
 	pending := c.queries[id]
-	if record.Kind == Asked {
+	if record.Kind == QueryReceived {
 		if pending == nil {
-			c.verdict.LookUps++
+			c.verdict.Queries++
 			c.queries[id] = &query{exchange: record.Exchange, number: message.Question[0].Name, askedAt: record.At}
 		}
 		return
@@ -58,7 +58,7 @@
 		}
 	}
 	called := &callState{number: pending.number}
-	switch late := record.At - pending.askedAt - c.parameters.AskWithin; {
+	switch late := record.At - pending.askedAt - c.parameters.QueryTimeout; {
 	case pending.answered && pending.routing != routing:
 		c.violation(1, record.At, server, called, "a repeated query was answered with %s, the first one with %s", routing, pending.routing)
 	case pending.answered:
@@ -72,11 +72,11 @@
 	pending.answered, pending.routing = true, routing
 }
 
-// checkLease checks rule 2 on a lease: within AskWithin a routing number is leased for one called number only.
+// checkLease checks rule 2 on a lease: within QueryTimeout a routing number is leased for one called number only.
 func (c *checker) checkLease(server *callServer, record Record, granted *query, routing string) {
 	id := record.Exchange + " " + routing
 	if earlier := c.leases[id]; earlier != nil && earlier.number != granted.number &&
-		record.At-earlier.askedAt < c.parameters.AskWithin {
+		record.At-earlier.askedAt < c.parameters.QueryTimeout {
 		c.violation(2, record.At, server, &callState{number: granted.number}, "routing number %s is also leased for a call to %s",
 			routing, earlier.number)
 	}
@@ -96,10 +96,10 @@
 	for _, id := range ids {
 		pending := c.queries[id]
 		if killed, ok := c.killedAt[pending.exchange]; ok && pending.askedAt < killed+killWindow &&
-			pending.askedAt > killed-c.parameters.AskWithin {
+			pending.askedAt > killed-c.parameters.QueryTimeout {
 			continue
 		}
-		if !pending.answered && end > pending.askedAt+c.parameters.AskWithin+c.parameters.Slack {
+		if !pending.answered && end > pending.askedAt+c.parameters.QueryTimeout+c.parameters.Slack {
 			c.violation(1, pending.askedAt, c.callServer(pending.exchange), &callState{number: pending.number}, "a query has no answer")
 		}
 	}
--- a/internal/rulecheck/rulecheck.go
+++ b/internal/rulecheck/rulecheck.go
@@ -1,7 +1,7 @@
 // Package rulecheck checks the five rules from outside the call servers, on the traffic of their sockets; it uses nothing
 // that a call server reports about itself. Check reads the records of taps: the messages that each call server received and
 // sent, the states of exchanges that service discovery announced to it, and the starts of processors. Simulated runs produce
-// the same records. Platform checks the rules while call servers run on the platform.
+// the same records. PlatformChecker checks the rules while call servers run on the platform.
 package rulecheck
 
 import (
@@ -15,15 +15,15 @@
 // Kind is the kind of a Record.
 type Kind byte
 
-// Kinds of record.
+// Kinds of records.
 const (
-	Message Kind = iota // Data passed on the connection between Exchange and Peer; Exchange sent it if Out is set
-	Told                // service discovery announced to Exchange that Peer is in State
-	Started             // the processor of Exchange started cold; after slow start its Capacity is in set-ups per second
-	Killed              // the call server of Exchange ended without draining
-	Lost                // the connection between Exchange and Peer was lost
-	Asked               // the ENUM client Peer sent a query to Exchange; Data is a DNS message
-	Replied             // Exchange sent the response in Data to the ENUM client Peer
+	Message        Kind = iota // Data passed on the connection between Exchange and Peer; Exchange sent it if Out is set
+	Announced                  // service discovery announced to Exchange that Peer is in State
+	Started                    // the processor of Exchange started cold; after slow start its Capacity is in set-ups per second
+	Killed                     // the call server of Exchange ended without draining
+	ConnectionLost             // the connection between Exchange and Peer was lost
+	QueryReceived              // the ENUM client Peer sent a query to Exchange; Data is a DNS message
+	QueryAnswered              // Exchange sent the response in Data to the ENUM client Peer
 )
 
 // State is the state of an exchange as announced by service discovery.
@@ -43,30 +43,30 @@
 	Exchange string
 	Peer     string
 	Out      bool
-	Data     []byte // a complete M3UA message; for Asked and Replied, a DNS message
+	Data     []byte // a complete M3UA message; for QueryReceived and QueryAnswered, a DNS message
 	State    State
-	Cold     bool    // for Told: the exchange was announced as just started
+	Cold     bool    // for Announced: the exchange was announced as just started
 	Capacity float64 // for Started: set-ups per second
 }
 
-// Figures holds the parameters of the rules and facts about the fleet.
-type Figures struct {
-	Patience   map[byte]time.Duration // by calling party's category
-	PointCodes map[string]uint32
-	Clients    map[string]bool // peers that are clients
-	Grace      time.Duration   // rule 3: time after an announcement in which set-ups may still be sent
-	Release    time.Duration   // rule 5: wait after a failed attempt
-	TipAfter   time.Duration   // rule 4: window in which set-ups are counted
-	Overload   float64         // rule 4: multiple of its capacity that a cold exchange withstands
-	ColdFrom   float64         // rule 4: share of its capacity that an exchange has when it starts
-	ColdFor    time.Duration   // rule 4: time from its start to its full capacity
-	Slack      time.Duration   // rule 1: tolerated lateness of an answer at the tap
-	AskWithin  time.Duration   // rule 1: time limit for the response to a query
-	Skew       time.Duration   // maximum time by which records of two sockets are in the wrong order
+// Parameters holds the parameters of the rules and facts about the fleet.
+type Parameters struct {
+	Patience       map[byte]time.Duration // by calling party's category
+	PointCodes     map[string]uint32
+	Clients        map[string]bool // peers that are clients
+	Grace          time.Duration   // rule 3: time after an announcement in which set-ups may still be sent
+	Release        time.Duration   // rule 5: wait after a failed attempt
+	OverloadWindow time.Duration   // rule 4: window in which set-ups are counted
+	Overload       float64         // rule 4: multiple of its capacity that a cold exchange withstands
+	InitialShare   float64         // rule 4: share of its capacity that an exchange has when it starts
+	SlowStart      time.Duration   // rule 4: time from its start to its full capacity
+	Slack          time.Duration   // rule 1: tolerated lateness of an answer at the tap
+	QueryTimeout   time.Duration   // rule 1: time limit for the response to a query
+	TapSkew        time.Duration   // maximum time by which records of two sockets are in the wrong order
 }
 
-// Breach is one violation of a rule.
-type Breach struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	Rule     int
 	At       time.Duration
 	Exchange string
@@ -75,21 +75,21 @@
 }
 
 // String formats a violation as one line.
-func (b Breach) String() string {
-	return fmt.Sprintf("rule %d at %v: %s: call %x: %s", b.Rule, b.At.Round(time.Millisecond), b.Exchange, b.Call, b.Text)
+func (v Violation) String() string {
+	return fmt.Sprintf("rule %d at %v: %s: call %x: %s", v.Rule, v.At.Round(time.Millisecond), v.Exchange, v.Call, v.Text)
 }
 
 // Verdict is the checker's report on a run: the violations and counts of what was checked.
 type Verdict struct {
-	Breaches []Breach
-	Calls    int // calls taken; a call over a tandem counts at each call server
-	Answers  int // final answers
-	Attempts int
-	Dual     int // dual seizures
-	Unread   int // messages that could not be decoded
-	Cold     int // cold starts
-	LookUps  int // ENUM queries, without retransmissions
-	Leases   int // queries that were answered with a routing number
+	Violations   []Violation
+	Calls        int // calls taken; a call over a tandem counts at each call server
+	Answers      int // final answers
+	Attempts     int
+	DualSeizures int // dual seizures
+	Undecoded    int // messages that could not be decoded
+	ColdStarts   int // cold starts
+	Queries      int // ENUM queries, without retransmissions
+	Leases       int // queries that were answered with a routing number
 }
 
 // Recorder collects records of concurrent taps. It is safe for concurrent use.
@@ -116,20 +116,20 @@
 
 // Check checks the rules on records that are sorted by time. The run ended at end: calls whose patience and queries whose time
 // limit reach beyond it need no answer.
-func Check(parameters Figures, records []Record, end time.Duration) Verdict {
+func Check(parameters Parameters, records []Record, end time.Duration) Verdict {
 	c := &checker{parameters: parameters, servers: map[string]*callServer{}, coldStarts: map[string]*coldStart{},
 		queries: queryTable{}, leases: map[string]*query{}, killedAt: map[string]time.Duration{}}
 	for _, r := range records {
 		c.apply(r)
 	}
 	c.finish(end)
-	slices.SortStableFunc(c.verdict.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(c.verdict.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return c.verdict
 }
 
 // checker replays records and collects violations.
 type checker struct {
-	parameters Figures
+	parameters Parameters
 	verdict    Verdict
 	servers    map[string]*callServer   // by exchange
 	coldStarts map[string]*coldStart    // by exchange
@@ -195,7 +195,7 @@
 	if call != nil {
 		number = call.number
 	}
-	c.verdict.Breaches = append(c.verdict.Breaches, Breach{rule, at, server.name, number, fmt.Sprintf(format, args...)})
+	c.verdict.Violations = append(c.verdict.Violations, Violation{rule, at, server.name, number, fmt.Sprintf(format, args...)})
 }
 
 // callServer returns the state of a call server and creates it when first named.
@@ -226,7 +226,7 @@
 	switch record.Kind {
 	case Message:
 		c.handleMessage(server, record)
-	case Told:
+	case Announced:
 		state := server.exchangeStates[record.Peer]
 		if record.State != state.state {
 			state.state, state.since = record.State, record.At
@@ -236,16 +236,16 @@
 		}
 		server.exchangeStates[record.Peer] = state
 	case Started:
-		c.verdict.Cold++
+		c.verdict.ColdStarts++
 		c.coldStarts[record.Exchange] = &coldStart{startedAt: record.At, capacity: record.Capacity}
 	case Killed:
 		// Callers retry what was pending at the killed call server.
 		c.queries.removeExchange(record.Exchange)
 		c.killedAt[record.Exchange] = record.At
 		server.trunkGroups, server.calls, server.exchangeStates = map[string]*trunkGroup{}, map[string]*callState{}, map[string]exchangeState{}
-	case Lost:
+	case ConnectionLost:
 		c.connectionLost(server, record)
-	case Asked, Replied:
+	case QueryReceived, QueryAnswered:
 		c.checkQuery(server, record)
 	}
 }
--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -11,9 +11,9 @@
 	"finchlatch/m3ua"
 )
 
-var parameters = Figures{Patience: map[byte]time.Duration{10: 3 * time.Second}, PointCodes: map[string]uint32{"a": 101, "b": 102, "c": 103},
-	Grace: time.Second, Release: 200 * time.Millisecond, TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3,
-	ColdFor: 12 * time.Second, AskWithin: time.Second, Slack: 50 * time.Millisecond, Skew: 10 * time.Millisecond}
+var parameters = Parameters{Patience: map[byte]time.Duration{10: 3 * time.Second}, PointCodes: map[string]uint32{"a": 101, "b": 102, "c": 103},
+	Grace: time.Second, Release: 200 * time.Millisecond, OverloadWindow: 3 * time.Second, Overload: 2, InitialShare: 0.3,
+	SlowStart: 12 * time.Second, QueryTimeout: time.Second, Slack: 50 * time.Millisecond, TapSkew: 10 * time.Millisecond}
 
 // recording builds records as taps make them, with encoded M3UA and ISUP messages.
 type recording struct {
@@ -52,7 +52,7 @@
 // query adds an ENUM query for a number, or its response with a routing number.
 func (rec *recording) query(ms int, kind Kind, number string, id uint16, routing string) {
 	message := new(dns.Msg).SetQuestion(number+".e164.arpa.", dns.TypeNAPTR)
-	if message.Id = id; kind == Replied {
+	if message.Id = id; kind == QueryAnswered {
 		request := *message
 		message = new(dns.Msg).SetReply(&request)
 		message.Answer = []dns.RR{&dns.NAPTR{Hdr: dns.RR_Header{Name: number + ".e164.arpa.", Rrtype: dns.TypeNAPTR, Class: dns.ClassINET},
@@ -87,7 +87,7 @@
 }
 
 func violatedRules(verdict Verdict) (out []int) {
-	for _, b := range verdict.Breaches {
+	for _, b := range verdict.Violations {
 		out = append(out, b.Rule)
 	}
 	return out
@@ -135,13 +135,13 @@
 			successfulCall(rec)
 			release := rec.records[9:]
 			rec.records = append([]Record{}, rec.records[:9]...)
-			rec.records = append(rec.records, Record{At: 65 * time.Millisecond, Kind: Lost, Exchange: "a", Peer: "counters"})
+			rec.records = append(rec.records, Record{At: 65 * time.Millisecond, Kind: ConnectionLost, Exchange: "a", Peer: "counters"})
 			rec.simple(70, "a", "counters", true, isup.ANM, 1)
 			rec.records = append(rec.records, release...)
 		}},
 		{"the answer repeated twice after a lost connection", 1, func(rec *recording) {
 			successfulCall(rec)
-			rec.records = append(rec.records[:9], Record{At: 65 * time.Millisecond, Kind: Lost, Exchange: "a", Peer: "counters"})
+			rec.records = append(rec.records[:9], Record{At: 65 * time.Millisecond, Kind: ConnectionLost, Exchange: "a", Peer: "counters"})
 			rec.simple(70, "a", "counters", true, isup.ANM, 1)
 			rec.simple(75, "a", "counters", true, isup.ANM, 1)
 		}},
@@ -157,13 +157,13 @@
 			rec.rel(60, "a", "counters", true, 1, 34)
 		}},
 		{"a set-up long after the drain was announced", 3, func(rec *recording) {
-			rec.records = append(rec.records, Record{At: 1, Kind: Told, Exchange: "a", Peer: "b", State: Draining})
+			rec.records = append(rec.records, Record{At: 1, Kind: Announced, Exchange: "a", Peer: "b", State: Draining})
 			rec.iam(1200, "a", "counters", false, 1, 1, 1)
 			rec.iam(1201, "a", "b", true, 5, 1, 1)
 			rec.rel(1300, "a", "counters", true, 1, 34)
 		}},
 		{"a set-up within the grace time", 0, func(rec *recording) {
-			rec.records = append(rec.records, Record{At: 1, Kind: Told, Exchange: "a", Peer: "b", State: Draining})
+			rec.records = append(rec.records, Record{At: 1, Kind: Announced, Exchange: "a", Peer: "b", State: Draining})
 			rec.iam(500, "a", "counters", false, 1, 1, 1)
 			rec.iam(501, "a", "b", true, 5, 1, 1)
 			rec.rel(600, "a", "b", false, 5, 34)
@@ -189,7 +189,7 @@
 		{"a retry too soon after a lost association", 5, func(rec *recording) {
 			rec.iam(0, "a", "counters", false, 1, 1, 1)
 			rec.iam(1, "a", "b", true, 5, 1, 1)
-			rec.records = append(rec.records, Record{At: 50 * time.Millisecond, Kind: Lost, Exchange: "a", Peer: "b"})
+			rec.records = append(rec.records, Record{At: 50 * time.Millisecond, Kind: ConnectionLost, Exchange: "a", Peer: "b"})
 			rec.iam(60, "a", "c", true, 5, 1, 1)
 			rec.rel(700, "a", "counters", true, 1, 34)
 		}},
@@ -225,26 +225,26 @@
 			rec.rel(60, "a", "counters", true, 1, 34)
 		}},
 		{"a query and its retransmission, answered alike", 0, func(rec *recording) {
-			rec.query(0, Asked, "1.5", 1, "")
-			rec.query(10, Asked, "1.5", 1, "")
-			rec.query(20, Replied, "1.5", 1, "99001")
-			rec.query(21, Replied, "1.5", 1, "99001")
+			rec.query(0, QueryReceived, "1.5", 1, "")
+			rec.query(10, QueryReceived, "1.5", 1, "")
+			rec.query(20, QueryAnswered, "1.5", 1, "99001")
+			rec.query(21, QueryAnswered, "1.5", 1, "99001")
 		}},
-		{"a query without an answer", 1, func(rec *recording) { rec.query(0, Asked, "1.5", 1, "") }},
+		{"a query without an answer", 1, func(rec *recording) { rec.query(0, QueryReceived, "1.5", 1, "") }},
 		{"a query answered late", 1, func(rec *recording) {
-			rec.query(0, Asked, "1.5", 1, "")
-			rec.query(1500, Replied, "1.5", 1, "99001")
+			rec.query(0, QueryReceived, "1.5", 1, "")
+			rec.query(1500, QueryAnswered, "1.5", 1, "99001")
 		}},
 		{"a query answered in two ways", 1, func(rec *recording) {
-			rec.query(0, Asked, "1.5", 1, "")
-			rec.query(20, Replied, "1.5", 1, "99001")
-			rec.query(30, Replied, "1.5", 1, "99002")
+			rec.query(0, QueryReceived, "1.5", 1, "")
+			rec.query(20, QueryAnswered, "1.5", 1, "99001")
+			rec.query(30, QueryAnswered, "1.5", 1, "99002")
 		}},
 		{"one routing number for two calls", 2, func(rec *recording) {
-			rec.query(0, Asked, "1.5", 1, "")
-			rec.query(1, Asked, "2.5", 2, "")
-			rec.query(20, Replied, "1.5", 1, "99001")
-			rec.query(30, Replied, "2.5", 2, "99001")
+			rec.query(0, QueryReceived, "1.5", 1, "")
+			rec.query(1, QueryReceived, "2.5", 2, "")
+			rec.query(20, QueryAnswered, "1.5", 1, "99001")
+			rec.query(30, QueryAnswered, "2.5", 2, "99001")
 		}},
 		{"a call pending at a killed call server", 0, func(rec *recording) {
 			rec.iam(0, "a", "counters", false, 1, 1, 1)
@@ -256,11 +256,11 @@
 		verdict := Check(parameters, rec.records, 20*time.Second)
 		switch got := violatedRules(verdict); {
 		case testCase.rule == 0 && len(got) > 0:
-			t.Errorf("%s: %v", testCase.name, verdict.Breaches)
+			t.Errorf("%s: %v", testCase.name, verdict.Violations)
 		case testCase.rule > 0 && (len(got) != 1 || got[0] != testCase.rule):
-			t.Errorf("%s: rule %d expected, got %v", testCase.name, testCase.rule, verdict.Breaches)
+			t.Errorf("%s: rule %d expected, got %v", testCase.name, testCase.rule, verdict.Violations)
 		}
-		if verdict.Unread > 0 || testCase.rule == 0 && testCase.name == "a successful call" &&
+		if verdict.Undecoded > 0 || testCase.rule == 0 && testCase.name == "a successful call" &&
 			(verdict.Calls != 1 || verdict.Answers != 1 || verdict.Attempts != 2) {
 			t.Errorf("%s: %+v", testCase.name, verdict)
 		}
@@ -272,8 +272,8 @@
 func sendToColdExchange(rec *recording, perServer int, notified bool) {
 	rec.records = append(rec.records, Record{At: 1, Kind: Started, Exchange: "c", Capacity: 20})
 	if notified {
-		rec.records = append(rec.records, Record{At: 2, Kind: Told, Exchange: "a", Peer: "c", Cold: true},
-			Record{At: 2, Kind: Told, Exchange: "b", Peer: "c", Cold: true})
+		rec.records = append(rec.records, Record{At: 2, Kind: Announced, Exchange: "a", Peer: "c", Cold: true},
+			Record{At: 2, Kind: Announced, Exchange: "b", Peer: "c", Cold: true})
 	}
 	for i := range perServer {
 		for index, exchange := range []string{"a", "b"} {
--- a/internal/rulecheck/stalls.go
+++ b/internal/rulecheck/stalls.go
@@ -17,18 +17,18 @@
 }
 
 // AddStall records that the process of a call server waited to run for some time within a span, as the kernel counted it.
-func (p *Platform) AddStall(node string, from, until, waited time.Duration) {
+func (p *PlatformChecker) AddStall(node string, from, until, waited time.Duration) {
 	p.stalls[node] = append(p.stalls[node], processStall{from, until, waited})
 }
 
 // reportLate records a violation of rule 1 by lateness; due includes the slack.
-func (p *Platform) reportLate(due, at time.Duration, callID uint64, format string, args ...any) {
+func (p *PlatformChecker) reportLate(due, at time.Duration, callID uint64, format string, args ...any) {
 	p.lateEvents = append(p.lateEvents, lateEvent{node: p.calls[callID].node, due: due, at: at,
 		violation: fmt.Sprintf("%v: rule 1: call %016x: %s", at, callID, fmt.Sprintf(format, args...))})
 }
 
 // unexcusedLateness returns the violations by lateness that no stall excuses.
-func (p *Platform) unexcusedLateness() (violations []string) {
+func (p *PlatformChecker) unexcusedLateness() (violations []string) {
 	for _, event := range p.lateEvents {
 		if p.stalledFor(event.node, event.due, event.at) < event.at-event.due {
 			violations = append(violations, event.violation)
@@ -38,7 +38,7 @@
 }
 
 // stalledFor returns how long a process was kept from running in the spans that overlap the given one.
-func (p *Platform) stalledFor(node string, from, until time.Duration) (waited time.Duration) {
+func (p *PlatformChecker) stalledFor(node string, from, until time.Duration) (waited time.Duration) {
 	for _, stall := range p.stalls[node] {
 		if stall.from <= until && stall.until >= from {
 			waited += stall.waited
@@ -48,4 +48,4 @@
 }
 
 // Excused returns the number of late events that are excused by stalls.
-func (p *Platform) Excused() int { return len(p.lateEvents) - len(p.unexcusedLateness()) }
+func (p *PlatformChecker) Excused() int { return len(p.lateEvents) - len(p.unexcusedLateness()) }
--- a/internal/rulecheck/trace.go
+++ b/internal/rulecheck/trace.go
@@ -74,12 +74,12 @@
 	if record.Kind != Message {
 		return nil, false
 	}
-	message, _, ok := ISUP(record.Data)
+	message, _, ok := DecodeISUP(record.Data)
 	return message, ok
 }
 
-// ISUP decodes the ISUP message in a complete M3UA message, and returns it with its protocol data.
-func ISUP(frame []byte) (*isup.Message, m3ua.ProtocolData, bool) {
+// DecodeISUP decodes the ISUP message in a complete M3UA message, and returns it with its protocol data.
+func DecodeISUP(frame []byte) (*isup.Message, m3ua.ProtocolData, bool) {
 	message, err := m3ua.Decode(frame)
 	if err != nil || message.Kind != m3ua.DATA {
 		return nil, m3ua.ProtocolData{}, false
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -139,7 +139,7 @@
 	if !established {
 		return
 	}
-	c.node.fleet.env.Report(func(_ time.Duration, checker *rulecheck.Platform) { checker.HungUp(callID) })
+	c.node.fleet.env.Report(func(_ time.Duration, checker *rulecheck.PlatformChecker) { checker.HungUp(callID) })
 	c.node.fleet.counts.add("ended by their callers", 1)
 	c.write(fmt.Sprintf("BYE sip:x@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n",
 		callID))
@@ -416,7 +416,7 @@
 	}()
 	_, err = c.Read(make([]byte, 64))
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		n.fleet.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
+		n.fleet.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
 			checker.ProcessFault(at, n.name, "an unknown client got no response in %v", at-startedAt)
 		})
 	}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -74,8 +74,8 @@
 		view.service.Publish(d.newEvent(view, members, false))
 		for _, member := range members {
 			if member.Phase != feed.Serving {
-				d.env.Report(func(_ time.Duration, checker *rulecheck.Platform) {
-					checker.Told(view.latestNotice(now), view.name+"/"+member.ID)
+				d.env.Report(func(_ time.Duration, checker *rulecheck.PlatformChecker) {
+					checker.OfficeAnnounced(view.latestNotice(now), view.name+"/"+member.ID)
 				})
 			}
 		}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -44,7 +44,7 @@
 }
 
 // settleTime is how long a scenario continues after its last fault and call, until all notices of ends of calls are due.
-const settleTime = rulecheck.ToldAfterEnd + 2*time.Second
+const settleTime = rulecheck.NoticeAfterEnd + 2*time.Second
 
 // runScenario offers calls and imposes the faults, each at its time, and then waits for the settle time.
 func (f *fleet) runScenario() {
@@ -82,7 +82,7 @@
 
 // addLinkFault tells the checker that the links between call servers and an office have a fault for some time.
 func (f *fleet) addLinkFault(nodes []*node, office *platform.Office, duration time.Duration) {
-	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
+	f.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
 		for _, n := range nodes {
 			checker.AddLinkFault(n.name+"/"+office.Member.ID, at, at+duration)
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -67,7 +67,7 @@
 
 // newFleet sets up a fleet, without the processes of the call servers.
 func newFleet(scenario *Scenario, binary, dir string) (*fleet, error) {
-	checker := rulecheck.NewPlatform(releaseWait, drainGrace, slack)
+	checker := rulecheck.NewPlatformChecker(releaseWait, drainGrace, slack)
 	checker.TapSkew = tapSkew
 	f := &fleet{scenario: scenario, binary: binary, dir: dir, env: platform.NewEnvironment(checker), stop: make(chan struct{}),
 		counts: newCounts(), siteByOffice: map[string]*officeSite{}, officeByCall: map[uint64]*platform.Office{},
@@ -176,7 +176,7 @@
 	started.Events = platform.OfficeEvents{
 		Established: func(callID uint64, _ string) { f.callEstablished(callID, started) },
 		ReleaseSent: func(callID uint64, _ string) {
-			f.env.Report(func(_ time.Duration, checker *rulecheck.Platform) { checker.ReleaseWritten(callID) })
+			f.env.Report(func(_ time.Duration, checker *rulecheck.PlatformChecker) { checker.ReleaseWritten(callID) })
 		},
 		Ended: func(callID uint64, node string, releaseWritten bool) {
 			f.callEnded(callID, started, node, releaseWritten)
@@ -203,12 +203,12 @@
 // callEnded tells the checker of the end of a call. If the office wrote a release on an open connection of a link without a
 // fault, the caller must be notified at once.
 func (f *fleet) callEnded(callID uint64, office *platform.Office, node string, releaseWritten bool) {
-	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
-		within := rulecheck.ToldAfterEnd
+	f.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+		within := rulecheck.NoticeAfterEnd
 		if releaseWritten && !checker.HasLinkFault(node+"/"+office.Member.ID, at) {
-			within = rulecheck.ToldAfterRelease
+			within = rulecheck.NoticeAfterRelease
 		}
-		checker.Over(at, node+"/"+office.Member.ID, callID, within)
+		checker.CallEnded(at, node+"/"+office.Member.ID, callID, within)
 	})
 }
 
@@ -283,7 +283,9 @@
 
 // processFault reports a violation by a process to the checker.
 func (f *fleet) processFault(node, format string, args ...any) {
-	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.ProcessFault(at, node, format, args...) })
+	f.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+		checker.ProcessFault(at, node, format, args...)
+	})
 }
 
 // sampleInterval is the interval at which the resource usage of a process is read.
@@ -311,7 +313,7 @@
 		case <-sample.C:
 			current, now := process.schedWaits(), n.fleet.env.Now()
 			if stalled := current.longestSince(before); stalled >= minStall {
-				n.fleet.env.Report(func(_ time.Duration, checker *rulecheck.Platform) {
+				n.fleet.env.Report(func(_ time.Duration, checker *rulecheck.PlatformChecker) {
 					checker.AddStall(n.name, lastSample, now, stalled)
 				})
 			}
--- a/internal/soak/nodefaults.go
+++ b/internal/soak/nodefaults.go
@@ -63,7 +63,7 @@
 // reportKilled tells the checker that a call server is killed: callers retry the unanswered calls that it had taken by the time
 // until, and unanswered calls taken later are violations.
 func (f *fleet) reportKilled(node *node, until time.Duration) {
-	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Killed(at, node.name, until) })
+	f.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.Killed(at, node.name, until) })
 }
 
 // startAgain starts the process of a call server again after the duration of the fault, and names the established calls to it.
--- a/internal/soak/officefaults.go
+++ b/internal/soak/officefaults.go
@@ -36,7 +36,7 @@
 		site.setPartition(nodes, partition)
 		time.Sleep(duration)
 		site.setPartition(nodes, platform.Partition{})
-		if partition.Inbound && partition.Outbound && duration > rulecheck.ToldAfterEnd-time.Second {
+		if partition.Inbound && partition.Outbound && duration > rulecheck.NoticeAfterEnd-time.Second {
 			f.counts.add(map[bool]string{true: hardHealsBefore, false: hardHealsAfter}[duration < liveness.FailAfter], 1)
 		}
 	}
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -84,9 +84,9 @@
 // report gets the verdict of the checker and returns the Report.
 func (f *fleet) report() *Report {
 	report := &Report{Scenario: f.scenario, Met: map[string]int{}}
-	f.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
+	f.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
 		f.reportHeld(at, checker)
-		report.Breaches = checker.Breaches(at)
+		report.Breaches = checker.Violations(at)
 		f.counts.add(hardLastSetUp, checker.Crossings())
 		f.counts.add(excusedLateness, checker.Excused())
 	})
@@ -100,7 +100,7 @@
 }
 
 // reportHeld tells the checker which calls the reachable offices hold.
-func (f *fleet) reportHeld(at time.Duration, checker *rulecheck.Platform) {
+func (f *fleet) reportHeld(at time.Duration, checker *rulecheck.PlatformChecker) {
 	for _, site := range f.sites {
 		for callID, node := range site.office.Established() {
 			if name := node + "/" + site.office.Member.ID; !checker.HadLinkFault(name, at) {
--- a/internal/standin/enumquery.go
+++ b/internal/standin/enumquery.go
@@ -49,7 +49,7 @@
 		if c.EnumAddress() != address {
 			return "" // that call server has ended, and so have its leases
 		}
-		c.RecordLookUp(rulecheck.Asked, client, encoded)
+		c.RecordLookUp(rulecheck.QueryReceived, client, encoded)
 		if _, err := conn.Write(encoded); err != nil {
 			return ""
 		}
@@ -59,7 +59,7 @@
 		if err != nil {
 			continue
 		}
-		c.RecordLookUp(rulecheck.Replied, client, buf[:n])
+		c.RecordLookUp(rulecheck.QueryAnswered, client, buf[:n])
 		response := new(dns.Msg)
 		if response.Unpack(buf[:n]) != nil || response.Id != query.Id || len(response.Answer) == 0 {
 			return ""
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -81,7 +81,7 @@
 type Fleet struct {
 	Settings   FleetSettings
 	Nodes      []*Node
-	Parameters rulecheck.Figures
+	Parameters rulecheck.Parameters
 	Rec        *rulecheck.Recorder // messages and events at call servers, for the rule checker
 	Discovery  *Discovery
 	Group      int // circuits between two exchanges
@@ -145,7 +145,7 @@
 func (f *Fleet) applyPlan() {
 	f.plan = plant.Plan{Exchanges: f.Settings.Exchanges, Rate: f.Settings.Rate, Classes: f.Settings.Classes}
 	f.Group, f.Parameters = f.plan.GroupSize(), f.plan.Parameters()
-	f.Parameters.AskWithin, f.Parameters.Slack, f.Parameters.Skew = time.Second, 100*time.Millisecond, 30*time.Millisecond
+	f.Parameters.QueryTimeout, f.Parameters.Slack, f.Parameters.TapSkew = time.Second, 100*time.Millisecond, 30*time.Millisecond
 	for i := range f.Settings.Exchanges {
 		f.Parameters.PointCodes[nodeName(i)] = firstPointCode + uint32(i)
 	}
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -52,12 +52,12 @@
 	}
 	f.Play(script, nil)
 	r := f.Report()
-	if len(r.Verdict.Breaches) > 0 {
-		trace := rulecheck.Trace(f.Rec.Records(), r.Verdict.Breaches[0].Call)
-		t.Errorf("%d violations, the first:\n%v\n%s", len(r.Verdict.Breaches), r.Verdict.Breaches[0], strings.Join(trace, "\n"))
+	if len(r.Verdict.Violations) > 0 {
+		trace := rulecheck.Trace(f.Rec.Records(), r.Verdict.Violations[0].Call)
+		t.Errorf("%d violations, the first:\n%v\n%s", len(r.Verdict.Violations), r.Verdict.Violations[0], strings.Join(trace, "\n"))
 	}
-	if r.Verdict.Unread > 0 {
-		t.Errorf("%d messages at the taps cannot be decoded", r.Verdict.Unread)
+	if r.Verdict.Undecoded > 0 {
+		t.Errorf("%d messages at the taps cannot be decoded", r.Verdict.Undecoded)
 	}
 	return r
 }
@@ -140,9 +140,9 @@
 			})
 			r := playAndCheck(t, f, script)
 			if seed == 2 && r.Verdict.Leases < 100 {
-				t.Errorf("%d look-ups, %d leases", r.Verdict.LookUps, r.Verdict.Leases)
+				t.Errorf("%d look-ups, %d leases", r.Verdict.Queries, r.Verdict.Leases)
 			}
-			if r.Verdict.Cold < 3 || r.Verdict.Calls < 500 {
+			if r.Verdict.ColdStarts < 3 || r.Verdict.Calls < 500 {
 				t.Errorf("the faults were not played: %+v", r.Verdict)
 			}
 		})
@@ -171,7 +171,7 @@
 	f := startFleet(t, 9, func(s *FleetSettings) { s.Exchanges, s.Rate, s.Asks = 6, 90, 1 })
 	r := playAndCheck(t, f, newScript(5, plant.Step{At: span(0.5), Kind: "jump", Len: span(4), Size: 1.5},
 		plant.Step{At: span(1), Kind: "unit"}))
-	if r.Verdict.Leases < 100 || r.Verdict.Cold < 2 {
+	if r.Verdict.Leases < 100 || r.Verdict.ColdStarts < 2 {
 		t.Errorf("%+v", r.Verdict)
 	}
 }
@@ -184,10 +184,10 @@
 	f.Play(newScript(3, plant.Step{At: span(0.5), Kind: "mass_cut", Part: 1}, plant.Step{At: span(1), Kind: "flap", Part: 1},
 		plant.Step{At: span(1.5), Kind: "flap", Part: 1}, plant.Step{At: span(2), Kind: "flap", Part: 1}), nil)
 	v := f.Verdict()
-	if got := v.Breaches; len(got) == 0 {
+	if got := v.Violations; len(got) == 0 {
 		t.Fatalf("no violation found: %+v", v)
 	}
-	for _, b := range v.Breaches {
+	for _, b := range v.Violations {
 		if b.Rule != 5 {
 			t.Errorf("%v", b)
 		}
@@ -203,7 +203,7 @@
 	f.Discovery.Announce(f.Nodes[1].Name, rulecheck.Draining, false, false)
 	f.Nodes[1].Drain(4 * time.Second)
 	f.StopCallers(3 * time.Second)
-	if v := f.Verdict(); len(v.Breaches) > 0 || v.Calls < 50 {
+	if v := f.Verdict(); len(v.Violations) > 0 || v.Calls < 50 {
 		t.Errorf("%+v", v)
 	}
 	killed := map[string]int{}
@@ -253,7 +253,7 @@
 	if neverEstablished > established/10 {
 		t.Errorf("%d callers without an established call, %d with one", neverEstablished, established)
 	}
-	if len(r.Verdict.Breaches) > 0 || established < 40 || r.Service() < 0.8 || reported != 0 {
-		t.Errorf("service %.3f, %d established, %v", r.Service(), established, r.Verdict.Breaches)
+	if len(r.Verdict.Violations) > 0 || established < 40 || r.Service() < 0.8 || reported != 0 {
+		t.Errorf("service %.3f, %d established, %v", r.Service(), established, r.Verdict.Violations)
 	}
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -129,7 +129,7 @@
 	transfers.Wait()
 	for _, ends := range [][2]linkEnd{{l.client, l.server}, {l.server, l.client}} {
 		if ends[0].tapped {
-			l.recorder.Add(rulecheck.Record{At: l.clock(), Kind: rulecheck.Lost, Exchange: ends[0].name, Peer: ends[1].name})
+			l.recorder.Add(rulecheck.Record{At: l.clock(), Kind: rulecheck.ConnectionLost, Exchange: ends[0].name, Peer: ends[1].name})
 		}
 	}
 }
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -41,7 +41,7 @@
 					}
 					b.ReportMetric(r.Service(), "service")
 					b.ReportMetric(worst.Seconds(), "p99-s")
-					b.ReportMetric(float64(len(r.Verdict.Breaches)), "breaches")
+					b.ReportMetric(float64(len(r.Verdict.Violations)), "breaches")
 				}
 			})
 		}
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -243,7 +243,7 @@
     { kind: 'hang', at: '5s', len: '1s', part: 0.2 }, { kind: 'region_loss', at: '2s', len: '3s', part: 0.5 }] }`)
 		result, err := e.Run(e.Cells()[0])
 		if err != nil || result.Breaches > 0 || result.Callers < 200 {
-			t.Errorf("%s: %v, %d breaches, %s, %d callers", policy, err, result.Breaches, result.FirstError, result.Callers)
+			t.Errorf("%s: %v, %d violations, %s, %d callers", policy, err, result.Breaches, result.FirstError, result.Callers)
 		}
 		if result.Fluid != 0 {
 			t.Errorf("a fluid bound of %v although groups change", result.Fluid)
--- a/lab/run.go
+++ b/lab/run.go
@@ -79,8 +79,8 @@
 	result.Wall, result.Events = time.Since(startedAt), fleet.Events()-eventsBefore
 	if e.Rules {
 		verdict := rulecheck.Check(fleet.Figures, records, fleet.Now())
-		if result.Breaches = len(verdict.Breaches); result.Breaches > 0 {
-			result.FirstError = verdict.Breaches[0].String()
+		if result.Breaches = len(verdict.Violations); result.Breaches > 0 {
+			result.FirstError = verdict.Violations[0].String()
 		}
 	}
 	totals.fill(&result, sends)
--- a/model/edgecases_test.go
+++ b/model/edgecases_test.go
@@ -54,8 +54,8 @@
 	settings := newSettings(2, 60, 9)
 	settings.Group, settings.Free = 1, true
 	v, f, _ := playAndCheck(t, settings, plant.Script{Len: span(20)})
-	if len(v.Breaches) > 0 || v.Dual < 10 {
-		t.Errorf("%d dual seizures, violations %v", v.Dual, v.Breaches)
+	if len(v.Violations) > 0 || v.DualSeizures < 10 {
+		t.Errorf("%d dual seizures, violations %v", v.DualSeizures, v.Violations)
 	}
 	if err := f.CheckIdle(); err != nil {
 		t.Error(err)
@@ -88,8 +88,8 @@
 	settings.Classes[0].Hold = 5 * time.Second
 	script := plant.Script{Len: span(4), Steps: []plant.Step{{Kind: "restart", At: span(2), Len: span(0.5), Part: 1}}}
 	v, f, _ := playAndCheck(t, settings, script)
-	if len(v.Breaches) > 0 || v.Calls < 150 {
-		t.Errorf("%d calls, violations %v", v.Calls, v.Breaches)
+	if len(v.Violations) > 0 || v.Calls < 150 {
+		t.Errorf("%d calls, violations %v", v.Calls, v.Violations)
 	}
 	dropped := 0
 	for _, o := range f.Results() {
--- a/model/executors_test.go
+++ b/model/executors_test.go
@@ -27,8 +27,8 @@
 	defer s.Close()
 	s.Play(script, nil)
 	sockets := s.Report()
-	if len(simulated.Verdict.Breaches)+len(sockets.Verdict.Breaches) > 0 {
-		t.Errorf("violations: %v in simulated time, %v on sockets", simulated.Verdict.Breaches, sockets.Verdict.Breaches)
+	if len(simulated.Verdict.Violations)+len(sockets.Verdict.Violations) > 0 {
+		t.Errorf("violations: %v in simulated time, %v on sockets", simulated.Verdict.Violations, sockets.Verdict.Violations)
 	}
 	modelService, socketService := simulated.Service(), sockets.Service()
 	if math.Abs(modelService-socketService) > 0.25 || modelService < 0.5 || socketService < 0.5 {
--- a/model/fleet.go
+++ b/model/fleet.go
@@ -48,7 +48,7 @@
 type Fleet struct {
 	engine
 	settings       Settings
-	Figures        rulecheck.Figures // parameters of the rule checker
+	Figures        rulecheck.Parameters // parameters of the rule checker
 	nodes          []*node
 	names          []string // of the exchanges
 	group          int      // circuits between two exchanges
@@ -193,7 +193,7 @@
 	}
 	f.dropRelation(a, b)
 	for _, ends := range [][2]*node{{a, b}, {b, a}} {
-		ends[0].recordEvent(rulecheck.Lost, ends[1].name)
+		ends[0].recordEvent(rulecheck.ConnectionLost, ends[1].name)
 		ends[0].router.Disconnected(f.now, ends[0].linkOf(ends[1].index), -1)
 		ends[0].applyEffects()
 	}
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -72,13 +72,13 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			v, f, _ := playAndCheck(t, newSettings(5, 50, 3), newScript(kind))
-			if len(v.Breaches) > 0 {
-				t.Errorf("%d violations, the first: %v", len(v.Breaches), v.Breaches[0])
+			if len(v.Violations) > 0 {
+				t.Errorf("%d violations, the first: %v", len(v.Violations), v.Violations[0])
 			}
 			if err := f.CheckIdle(); err != nil {
 				t.Error(err)
 			}
-			if v.Calls < 200 || v.Unread > 0 {
+			if v.Calls < 200 || v.Undecoded > 0 {
 				t.Errorf("%+v", v)
 			}
 		})
--- a/model/node.go
+++ b/model/node.go
@@ -98,7 +98,7 @@
 func (n *node) routerConfig() router.Config {
 	f := n.fleet
 	config := router.Config{Name: n.name, Attempts: 5, Tick: time.Millisecond, Release: f.releaseTime, DrainGrace: f.Figures.Grace,
-		TipAfter: f.Figures.TipAfter, Overload: f.Figures.Overload, ColdFrom: f.Figures.ColdFrom, ColdFor: f.Figures.ColdFor,
+		TipAfter: f.Figures.OverloadWindow, Overload: f.Figures.Overload, ColdFrom: f.Figures.InitialShare, ColdFor: f.Figures.SlowStart,
 		Network: 2, Recovery: 2 * time.Second, LogLevel: 12, Baseline: f.settings.Baseline, Exchanges: f.exchanges, Numbering: f.numbering,
 		Timers: trunk.Timers{T1: t1, T5: 4 * t1, T12: t1, T13: 4 * t1}}
 	for _, class := range f.settings.Classes {
@@ -416,7 +416,7 @@
 // recordNotification records that a call server was notified of the state of an exchange.
 func (n *node) recordNotification(office logic.Office) {
 	if n.fleet.settings.Records != nil {
-		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Told, Exchange: n.name, Peer: office.ID,
+		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Announced, Exchange: n.name, Peer: office.ID,
 			State: rulecheck.State(office.State), Cold: office.Started > 0})
 	}
 }
@@ -443,7 +443,7 @@
 		}
 		n.fleet.dropRelation(peer, n)
 		if peer.router != nil {
-			peer.recordEvent(rulecheck.Lost, n.name)
+			peer.recordEvent(rulecheck.ConnectionLost, n.name)
 			peer.router.Disconnected(n.fleet.now, peer.linkOf(n.index), -1)
 			peer.applyEffects()
 		}
--- a/model/play.go
+++ b/model/play.go
@@ -81,7 +81,7 @@
 	"client_flap": {forEach(func(n *node, _ plant.Step) {
 		if n.router != nil {
 			n.access[0].loseConnection()
-			n.recordEvent(rulecheck.Lost, "counters")
+			n.recordEvent(rulecheck.ConnectionLost, "counters")
 			n.router.Disconnected(n.fleet.now, n.countersLink(), -1)
 			n.router.Connected(n.fleet.now, n.countersLink())
 			n.access[0].connect()
--- a/model/scenario.go
+++ b/model/scenario.go
@@ -93,13 +93,13 @@
 		return err
 	}
 	verdict := rulecheck.Check(f.Figures, records, f.Now())
-	if len(verdict.Breaches) > 0 {
-		violation := verdict.Breaches[0]
+	if len(verdict.Violations) > 0 {
+		violation := verdict.Violations[0]
 		return &Violation{fmt.Sprintf("rule %d", violation.Rule),
-			fmt.Sprintf("%d breaches, the first: %v", len(verdict.Breaches), violation)}
+			fmt.Sprintf("%d violations, the first: %v", len(verdict.Violations), violation)}
 	}
-	if verdict.Unread > 0 {
-		return &Violation{"unread", fmt.Sprintf("%d messages at the taps cannot be read", verdict.Unread)}
+	if verdict.Undecoded > 0 {
+		return &Violation{"unread", fmt.Sprintf("%d messages at the taps cannot be read", verdict.Undecoded)}
 	}
 	if accountingErr != nil {
 		return &Violation{"books", accountingErr.Error()}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -49,7 +49,7 @@
 // newHarness starts a node and its stand-ins. The changes are applied before the discovery service and the node start.
 func newHarness(t *testing.T, behavior func(call uint64, attempt int) platform.Behavior, changes ...func(*harness)) *harness {
 	t.Helper()
-	checker := rulecheck.NewPlatform(200*time.Millisecond, time.Second, 50*time.Millisecond)
+	checker := rulecheck.NewPlatformChecker(200*time.Millisecond, time.Second, 50*time.Millisecond)
 	h := &harness{t: t, env: platform.NewEnvironment(checker), ended: make(chan error, 1), configPath: filepath.Join(t.TempDir(), "config.json"),
 		settingsEdits: strings.NewReplacer(), logHandler: slog.NewTextHandler(io.Discard, nil)}
 	for cell, id := range []string{"s-own", "s-a", "s-b"} {
@@ -150,8 +150,8 @@
 // checkRules reports every violation of a rule up to now.
 func (h *harness) checkRules() {
 	h.t.Helper()
-	h.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
-		for _, violation := range checker.Breaches(at) {
+	h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+		for _, violation := range checker.Violations(at) {
 			h.t.Error(violation)
 		}
 	})
@@ -265,7 +265,7 @@
 	}
 	second.Withhold(false)
 	h.offices[1].Member.Phase = feed.Draining
-	h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at, "s-a") })
+	h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.OfficeAnnounced(at, "s-a") })
 	second.Publish(h.discoveryEvent(2, false, h.offices[1]))
 	caller := h.dial()
 	limit := time.After(5 * time.Second)
@@ -309,7 +309,7 @@
 		t.Errorf("call 3: %d", msg.Status)
 	}
 	h.await(caller, "the answer of call 1", isFinalAnswer(1)) // after 1.5 s
-	h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, 4, 9*time.Second) })
+	h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.CallTaken(at, 4, 9*time.Second) })
 	if _, err := io.WriteString(lateCaller, platform.InviteMessage(4, 9*time.Second, "dest:2;width:1;via:1;transit:1")); err != nil {
 		t.Fatal(err)
 	}
@@ -468,7 +468,7 @@
 			caller.Abandon(call)
 		},
 		func(caller *platform.Caller, call uint64) {
-			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.GivenUp(at, call) })
+			h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.Abandoned(at, call) })
 			if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil { // half-closed
 				t.Error(err)
 			}
@@ -610,7 +610,9 @@
 	const legs = "dest:1;width:1;via:-1"
 	recordCalls := func(calls ...uint64) {
 		for _, call := range calls {
-			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Taken(at, call, 2500*time.Millisecond) })
+			h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+				checker.CallTaken(at, call, 2500*time.Millisecond)
+			})
 		}
 	}
 	write := func(caller *platform.Caller, text string) {
@@ -830,11 +832,13 @@
 			h.offices[1].Member.Addr = h.relay(h.offices[1].Member.Addr, h.offices[2].Member.Addr, false)
 		}},
 		"rule 3": {before: func(h *harness) {
-			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { checker.Told(at-2*time.Second, "s-a") })
+			h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+				checker.OfficeAnnounced(at-2*time.Second, "s-a")
+			})
 		}},
 		"rule 4": {before: func(h *harness) {
-			h.env.Report(func(at time.Duration, checker *rulecheck.Platform) {
-				checker.TipAfter, checker.Cold = 3*time.Second, 3
+			h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+				checker.OverloadWindow, checker.ColdBudget = 3*time.Second, 3
 				checker.Started(at, "s-a")
 			})
 		}},
@@ -870,7 +874,7 @@
 			limit := time.Now().Add(2 * time.Second)
 			for { // the second copy of a message arrives a little later
 				var violations []string
-				h.env.Report(func(at time.Duration, checker *rulecheck.Platform) { violations = checker.Breaches(at) })
+				h.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) { violations = checker.Violations(at) })
 				if slices.ContainsFunc(violations, func(violation string) bool { return strings.Contains(violation, rule) }) {
 					break
 				}
