--- a/cmd/finchlatch/soak.go
+++ b/cmd/finchlatch/soak.go
@@ -70,10 +70,10 @@
 				return
 			}
 			fmt.Fprint(cmd.OutOrStdout(), report)
-			for name, n := range report.Met {
+			for name, n := range report.Counts {
 				counts[name] += n
 			}
-			if len(report.Breaches) > 0 {
+			if len(report.Violations) > 0 {
 				withViolations++
 			}
 		}()
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	report, err := soak.Run(scenario, binary, dir)
-	if err != nil || len(report.Breaches) == 0 {
+	if err != nil || len(report.Violations) == 0 {
 		if removeErr := os.RemoveAll(dir); err == nil {
 			err = removeErr
 		}
@@ -136,14 +136,14 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprint(cmd.OutOrStdout(), report, soak.Table(report.Met))
-	if len(report.Breaches) == 0 {
+	fmt.Fprint(cmd.OutOrStdout(), report, soak.Table(report.Counts))
+	if len(report.Violations) == 0 {
 		return nil
 	}
 	if options.shrink {
 		shrunk := soak.Shrink(scenario, func(candidate *soak.Scenario) bool {
 			shrunkReport, err := runSoak(candidate, binary, options.keepDir)
-			return err == nil && len(shrunkReport.Breaches) > 0
+			return err == nil && len(shrunkReport.Violations) > 0
 		})
 		fmt.Fprintf(cmd.OutOrStdout(), "shrunk to %d faults:\n%s", len(shrunk.Faults), shrunk.JSON())
 	}
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -47,11 +47,11 @@
 
 // Report is the result of a run.
 type Report struct {
-	Scenario *Scenario
-	Breaches []string       // violations
-	Met      map[string]int // counts of faults, calls and hard cases, by name
-	MemoryMB int            // largest resident memory of a process
-	Sockets  int            // largest number of descriptors of a process
+	Scenario   *Scenario
+	Violations []string       // violations of the rules
+	Counts     map[string]int // counts of faults, calls and hard cases, by name
+	MemoryMB   int            // largest resident memory of a process
+	Sockets    int            // largest number of descriptors of a process
 }
 
 // connsNotEstablished is the count of connections of callers that could not be established.
@@ -83,17 +83,17 @@
 
 // report gets the verdict of the checker and returns the Report.
 func (f *fleet) report() *Report {
-	report := &Report{Scenario: f.scenario, Met: map[string]int{}}
+	report := &Report{Scenario: f.scenario, Counts: map[string]int{}}
 	f.env.Report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
 		f.reportHeld(at, checker)
-		report.Breaches = checker.Violations(at)
+		report.Violations = checker.Violations(at)
 		f.counts.add(hardLastSetUp, checker.Crossings())
 		f.counts.add(excusedLateness, checker.Excused())
 	})
 	f.counts.mu.Lock()
 	defer f.counts.mu.Unlock()
 	for name, n := range f.counts.byName {
-		report.Met[name] = n
+		report.Counts[name] = n
 	}
 	report.MemoryMB, report.Sockets = f.counts.maxMemoryMB, f.counts.maxDescriptors
 	return report
@@ -114,11 +114,11 @@
 func (r *Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d nodes, %v, %d faults, %d set-ups, %d stood, %d refused, %d failed, %d MB, %d descriptors\n", r.Scenario.Seed,
-		r.Scenario.Nodes, time.Duration(r.Scenario.Length), len(r.Scenario.Faults), r.Met["set-ups"], r.Met["stood"], r.Met["refused"],
-		r.Met["failed"], r.MemoryMB, r.Sockets)
-	for i, violation := range r.Breaches {
+		r.Scenario.Nodes, time.Duration(r.Scenario.Length), len(r.Scenario.Faults), r.Counts["set-ups"], r.Counts["stood"], r.Counts["refused"],
+		r.Counts["failed"], r.MemoryMB, r.Sockets)
+	for i, violation := range r.Violations {
 		if i == maxViolationsShown {
-			fmt.Fprintf(&b, "  and %d more\n", len(r.Breaches)-i)
+			fmt.Fprintf(&b, "  and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintf(&b, "  BROKEN %s\n", violation)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(report.Breaches) > 0 {
+	if len(report.Violations) > 0 {
 		t.Error(report)
 	}
 	return report
@@ -76,8 +76,8 @@
 			report := playScenario(t, binary, scenarioWithFaults(4*time.Second,
 				Fault{Kind: discoveryFault, At: Span(2 * time.Second), For: Span(12 * time.Second), Node: -1},
 				Fault{Kind: MachineLost, At: Span(3 * time.Second), For: Span(9 * time.Second), Node: -1, Office: 1, LateNotice: true}))
-			if report.Met[hardUnannounced] < 10 {
-				t.Errorf("only %d calls were established at the lost office", report.Met[hardUnannounced])
+			if report.Counts[hardUnannounced] < 10 {
+				t.Errorf("only %d calls were established at the lost office", report.Counts[hardUnannounced])
 			}
 		})
 	}
@@ -189,10 +189,10 @@
 	for name, report := range playAll(t, os.Args[0], scenarios) {
 		want := violating[Kind(name)].violation
 		if name == "no fault" {
-			if len(report.Breaches) > 0 || report.Met["stood"] < 50 {
+			if len(report.Violations) > 0 || report.Counts["stood"] < 50 {
 				t.Errorf("%s: %s", name, report)
 			}
-		} else if !slices.ContainsFunc(report.Breaches, func(violation string) bool { return strings.Contains(violation, want) }) {
+		} else if !slices.ContainsFunc(report.Violations, func(violation string) bool { return strings.Contains(violation, want) }) {
 			t.Errorf("%s: no violation with %q\n%s", name, want, report)
 		}
 	}
@@ -209,7 +209,7 @@
 		scenarios[fmt.Sprint("seed ", seed)] = Draw(seed, 12*time.Second)
 	}
 	for name, report := range playAll(t, binary, scenarios) {
-		if len(report.Breaches) > 0 {
+		if len(report.Violations) > 0 {
 			t.Errorf("%s: %s", name, report)
 		}
 	}
