--- a/cmd/finchlatch/simulate.go
+++ b/cmd/finchlatch/simulate.go
@@ -17,7 +17,7 @@
 	if settings.Exchanges < 3 || settings.Rate <= 0 {
 		return fmt.Errorf("--exchanges must be at least 3, --rate more than 0")
 	}
-	if settings.Asks > 0 {
+	if settings.LookUpShare > 0 {
 		return fmt.Errorf("--asks: ENUM queries are not simulated")
 	}
 	var records []rulecheck.Record
--- a/cmd/finchlatch/try.go
+++ b/cmd/finchlatch/try.go
@@ -50,7 +50,7 @@
 	c.Flags().Uint64Var(&settings.Seed, "seed", 1, "seed of the random numbers of callers and faults")
 	c.Flags().Float64Var(&settings.Rate, "rate", 120, "set-ups per second of all callers together, without redials")
 	c.Flags().IntVar(&settings.Exchanges, "exchanges", 12, "number of exchanges, each with its own call server")
-	c.Flags().Float64Var(&settings.Asks, "asks", 0, "share of set-ups that are preceded by an ENUM query, 0 to 1")
+	c.Flags().Float64Var(&settings.LookUpShare, "asks", 0, "share of set-ups that are preceded by an ENUM query, 0 to 1")
 	c.Flags().IntVar(&settings.Regions, "regions", 2, "number of regions that the exchanges are spread over")
 	c.Flags().BoolVar(&simulated, "simulated", false, "run in simulated time, without sockets; the same seed gives the same run")
 	c.Flags().BoolVar(&trace, "trace", false, "after a violation, list the messages on the circuits of the first call concerned")
@@ -104,7 +104,7 @@
 	report.Write(out)
 	if len(report.Verdict.Violations) > 0 {
 		if trace {
-			for _, line := range rulecheck.Trace(fleet.Rec.Records(), report.Verdict.Violations[0].Call) {
+			for _, line := range rulecheck.Trace(fleet.Recorder.Records(), report.Verdict.Violations[0].Call) {
 				fmt.Fprintln(out, line)
 			}
 		}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -81,7 +81,7 @@
 		age = (d.fleet.Now() - entry.startedAt).Round(time.Millisecond).String()
 	}
 	if _, err := n.Console("list update %s %s %s", exchange, stateNames[entry.state], age); err == nil {
-		d.fleet.Rec.Add(rulecheck.Record{At: d.fleet.Now(), Kind: rulecheck.Announced, Exchange: n.Name, Peer: exchange,
+		d.fleet.Recorder.Add(rulecheck.Record{At: d.fleet.Now(), Kind: rulecheck.Announced, Exchange: n.Name, Peer: exchange,
 			State: entry.state, Cold: entry.startedAt >= 0})
 	}
 }
@@ -105,7 +105,7 @@
 			office.Started = max(1, server.Epoch-(now-entry.startedAt))
 		}
 		offices = append(offices, office)
-		d.fleet.Rec.Add(rulecheck.Record{At: now, Kind: rulecheck.Announced, Exchange: exchange, Peer: n.Name, State: entry.state,
+		d.fleet.Recorder.Add(rulecheck.Record{At: now, Kind: rulecheck.Announced, Exchange: exchange, Peer: n.Name, State: entry.state,
 			Cold: entry.startedAt >= 0})
 	}
 	return offices
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -24,15 +24,15 @@
 
 // FleetSettings are the size of a fleet, its traffic and the settings of its call servers.
 type FleetSettings struct {
-	Exchanges int
-	Regions   int
-	Rate      float64 // new callers per second in the whole fleet
-	Seed      uint64
-	Classes   []plant.Class
-	Habits    plant.Habits
-	Asks      float64       // share of the tries that start with an ENUM query
-	Release   time.Duration // release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule
-	Log       *slog.Logger  // of the call servers; nil: none
+	Exchanges   int
+	Regions     int
+	Rate        float64 // new callers per second in the whole fleet
+	Seed        uint64
+	Classes     []plant.Class
+	Habits      plant.Habits
+	LookUpShare float64       // share of the tries that start with an ENUM query
+	Release     time.Duration // release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule
+	Log         *slog.Logger  // of the call servers; nil: none
 
 	// Baseline creates a policy that replaces the decision module, for comparison; nil: the module decides.
 	Baseline func(s logic.Settings, seed int64) (router.Policy, error)
@@ -82,7 +82,7 @@
 	Settings   FleetSettings
 	Nodes      []*Node
 	Parameters rulecheck.Parameters
-	Rec        *rulecheck.Recorder // messages and events at call servers, for the rule checker
+	Recorder   *rulecheck.Recorder // messages and events at call servers, for the rule checker
 	Discovery  *Discovery
 	Group      int // circuits between two exchanges
 
@@ -105,7 +105,7 @@
 
 // NewFleet creates and starts a fleet. There are no calls before StartCallers.
 func NewFleet(settings FleetSettings) (*Fleet, error) {
-	f := &Fleet{Settings: settings, Rec: &rulecheck.Recorder{}, links: map[[2]int]*Link{}, createdAt: time.Now()}
+	f := &Fleet{Settings: settings, Recorder: &rulecheck.Recorder{}, links: map[[2]int]*Link{}, createdAt: time.Now()}
 	if settings.Regions < 1 {
 		f.Settings.Regions = 1
 	}
@@ -169,9 +169,9 @@
 	n.Callers.Classes, n.Callers.Habits, n.Callers.PickNumber = f.Settings.Classes, f.Settings.Habits, n.pickNumber
 	n.Callers.OnDone = f.addOutcome
 	n.Callers.EnumAddress = n.enumAddress
-	n.Callers.EnableLookUps(f.Settings.Asks)
+	n.Callers.EnableLookUps(f.Settings.LookUpShare)
 	n.Callers.RecordLookUp = func(kind rulecheck.Kind, client string, data []byte) {
-		f.Rec.Add(rulecheck.Record{At: f.Now(), Kind: kind, Exchange: n.Name, Peer: client, Data: data})
+		f.Recorder.Add(rulecheck.Record{At: f.Now(), Kind: kind, Exchange: n.Name, Peer: client, Data: data})
 	}
 	n.Lines = NewLines(firstLinesPointCode+uint32(i), firstPointCode+uint32(i), seed, f.Now)
 	f.Nodes = append(f.Nodes, n)
@@ -184,14 +184,14 @@
 	for i, a := range f.Nodes {
 		for j := i + 1; j < len(f.Nodes); j++ {
 			b := f.Nodes[j]
-			link, err := NewLink(serverEnd(a), serverEnd(b), b.address, plant.SignallingDelay(a.Region, b.Region), f.Rec, f.Now)
+			link, err := NewLink(serverEnd(a), serverEnd(b), b.address, plant.SignallingDelay(a.Region, b.Region), f.Recorder, f.Now)
 			if err != nil {
 				return err
 			}
 			f.links[[2]int{i, j}] = link
 		}
 		for _, name := range []string{"counters", "lines"} {
-			link, err := NewLink(linkEnd{name: name}, serverEnd(a), a.address, plant.AccessDelay, f.Rec, f.Now)
+			link, err := NewLink(linkEnd{name: name}, serverEnd(a), a.address, plant.AccessDelay, f.Recorder, f.Now)
 			if err != nil {
 				return err
 			}
@@ -318,7 +318,7 @@
 // Kill stops the call server as a crash would.
 func (n *Node) Kill() {
 	if s := n.markDown(); s != nil {
-		n.fleet.Rec.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
+		n.fleet.Recorder.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
 		s.Kill()
 	}
 }
@@ -330,7 +330,7 @@
 	n.mu.Unlock()
 	_ = s.Shutdown(within)
 	n.markDown()
-	n.fleet.Rec.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
+	n.fleet.Recorder.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
 }
 
 // markDown marks the call server as stopped and returns it; nil: it was down already.
@@ -353,7 +353,7 @@
 func (n *Node) RestartProcessor() {
 	n.Processor.WithCore(func(core *plant.Processor[queueKey], now time.Duration) {
 		core.Restart(now)
-		n.fleet.Rec.Add(rulecheck.Record{At: now, Kind: rulecheck.Started, Exchange: n.Name, Capacity: core.Capacity})
+		n.fleet.Recorder.Add(rulecheck.Record{At: now, Kind: rulecheck.Started, Exchange: n.Name, Capacity: core.Capacity})
 	})
 }
 
@@ -475,7 +475,7 @@
 
 // Verdict checks the five rules on all records so far.
 func (f *Fleet) Verdict() rulecheck.Verdict {
-	return rulecheck.Check(f.Parameters, f.Rec.Records(), f.Now())
+	return rulecheck.Check(f.Parameters, f.Recorder.Records(), f.Now())
 }
 
 // Close stops the fleet with all its call servers and connections.
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -53,7 +53,7 @@
 	f.Play(script, nil)
 	r := f.Report()
 	if len(r.Verdict.Violations) > 0 {
-		trace := rulecheck.Trace(f.Rec.Records(), r.Verdict.Violations[0].Call)
+		trace := rulecheck.Trace(f.Recorder.Records(), r.Verdict.Violations[0].Call)
 		t.Errorf("%d violations, the first:\n%v\n%s", len(r.Verdict.Violations), r.Verdict.Violations[0], strings.Join(trace, "\n"))
 	}
 	if r.Verdict.Undecoded > 0 {
@@ -135,7 +135,7 @@
 			t.Parallel()
 			f := startFleet(t, seed+1, func(s *FleetSettings) {
 				if s.Exchanges, s.Rate = 6, 60; seed == 2 {
-					s.Asks = 0.5 // half of the calls start with an ENUM query
+					s.LookUpShare = 0.5 // half of the calls start with an ENUM query
 				}
 			})
 			r := playAndCheck(t, f, script)
@@ -168,7 +168,7 @@
 // restarts cold.
 func TestLookUpsTowardColdExchanges(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, 9, func(s *FleetSettings) { s.Exchanges, s.Rate, s.Asks = 6, 90, 1 })
+	f := startFleet(t, 9, func(s *FleetSettings) { s.Exchanges, s.Rate, s.LookUpShare = 6, 90, 1 })
 	r := playAndCheck(t, f, newScript(5, plant.Step{At: span(0.5), Kind: "jump", Len: span(4), Size: 1.5},
 		plant.Step{At: span(1), Kind: "unit"}))
 	if r.Verdict.Leases < 100 || r.Verdict.ColdStarts < 2 {
@@ -207,7 +207,7 @@
 		t.Errorf("%+v", v)
 	}
 	killed := map[string]int{}
-	for _, r := range f.Rec.Records() {
+	for _, r := range f.Recorder.Records() {
 		if r.Kind == rulecheck.Killed {
 			killed[r.Exchange]++
 		}
