--- a/cmd/finchlatch/simulate.go
+++ b/cmd/finchlatch/simulate.go
@@ -23,18 +23,19 @@
 	var records []rulecheck.Record
 	startedAt := time.Now()
 	fleet, err := model.New(model.Settings{Exchanges: settings.Exchanges, Regions: settings.Regions, Rate: settings.Rate, Seed: settings.Seed,
-		Classes: settings.Classes, Habits: settings.Habits, MaxWait: plant.MaxWait, Records: func(record rulecheck.Record) { records = append(records, record) }})
+		Classes: settings.Classes, Habits: settings.Habits, MaxWait: plant.MaxWait,
+		OnRecord: func(record rulecheck.Record) { records = append(records, record) }})
 	if err != nil {
 		return err
 	}
-	if err := fleet.Play(script, model.Quiet); err != nil {
+	if err := fleet.Play(script, model.DrainTime); err != nil {
 		return err
 	}
 	out := cmd.OutOrStdout()
 	fmt.Fprintf(out, "%d exchanges in simulated time, %.0f calls a second, %v, seed %d; %d events in %v\n", settings.Exchanges, settings.Rate,
 		time.Duration(script.Len), settings.Seed, fleet.Events(), time.Since(startedAt).Round(time.Millisecond))
-	report := plant.NewReport(settings.Classes, fleet.Results(), rulecheck.Check(fleet.Figures, records, fleet.Now()))
-	for range fleet.Fallen() {
+	report := plant.NewReport(settings.Classes, fleet.Results(), rulecheck.Check(fleet.Parameters, records, fleet.Now()))
+	for range fleet.CollapsedCount() {
 		report.Fallen = append(report.Fallen, "an exchange")
 	}
 	report.Write(out)
--- a/cmd/finchlatch/swarm.go
+++ b/cmd/finchlatch/swarm.go
@@ -39,7 +39,7 @@
 				go func() {
 					defer workers.Done()
 					for seed := nextSeed.Add(1) - 1; seed < firstSeed+runs && cmd.Context().Err() == nil && !(stopAtFirst && failed.Load() > 0); seed = nextSeed.Add(1) - 1 {
-						scenario := model.Draw(seed)
+						scenario := model.DrawScenario(seed)
 						if err := scenario.Run(nil); err != nil {
 							failed.Add(1)
 							mu.Lock()
--- a/lab/run.go
+++ b/lab/run.go
@@ -50,9 +50,9 @@
 	totals := newAccumulator(e)
 	var records []rulecheck.Record
 	sends := 0
-	settings := model.Settings{Exchanges: cell.Exchanges, Regions: e.Regions, Planned: e.Rate * float64(cell.Exchanges), Group: e.Group,
+	settings := model.Settings{Exchanges: cell.Exchanges, Regions: e.Regions, PlannedRate: e.Rate * float64(cell.Exchanges), GroupSize: e.Group,
 		Rate: e.Rate * float64(cell.Exchanges) * cell.Load, Seed: cell.Seed, Classes: e.Classes, Habits: e.Habits, Traffic: e.Traffic,
-		MaxWait: e.MaxWait, Done: totals.add}
+		MaxWait: e.MaxWait, OnDone: totals.add}
 	makeBaseline, err := policyMaker(cell.Policy)
 	if err != nil {
 		return result, err
@@ -65,7 +65,7 @@
 		return logic.New(policySettings, seed)
 	}
 	if e.Rules {
-		settings.Records = func(record rulecheck.Record) { records = append(records, record) }
+		settings.OnRecord = func(record rulecheck.Record) { records = append(records, record) }
 	}
 	fleet, err := model.New(settings)
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	result.Wall, result.Events = time.Since(startedAt), fleet.Events()-eventsBefore
 	if e.Rules {
-		verdict := rulecheck.Check(fleet.Figures, records, fleet.Now())
+		verdict := rulecheck.Check(fleet.Parameters, records, fleet.Now())
 		if result.Breaches = len(verdict.Violations); result.Breaches > 0 {
 			result.FirstError = verdict.Violations[0].String()
 		}
@@ -230,7 +230,7 @@
 		network.Classes = append(network.Classes, bound.Class{Worth: class.Worth, Width: float64(class.Width), Hold: class.Hold.Seconds()})
 		var rates [][]float64
 		for from := range size {
-			rates = append(rates, row(func(to int) float64 { return e.Rate * cell.Load * class.Share * fleet.Part(from, to) }))
+			rates = append(rates, row(func(to int) float64 { return e.Rate * cell.Load * class.Share * fleet.TrafficShare(from, to) }))
 		}
 		network.Rate = append(network.Rate, rates)
 	}
--- a/model/edgecases_test.go
+++ b/model/edgecases_test.go
@@ -15,10 +15,10 @@
 		t.Skip("plays a day")
 	}
 	settings := newSettings(3, 0.25, 8)
-	settings.Planned = 30
+	settings.PlannedRate = 30
 	settings.Traffic = Traffic{Spread: 0.5, Shift: 10 * time.Minute, Profile: []float64{0.2, 0.1, 0.3, 1, 1.5, 1.2, 1, 0.5}}
 	byHour := make([]int, 25)
-	settings.Done = func(o plant.Outcome) { byHour[min(24, int((o.Began-startTime-startUpTime)/time.Hour))]++ }
+	settings.OnDone = func(o plant.Outcome) { byHour[min(24, int((o.Began-startTime-startUpTime)/time.Hour))]++ }
 	f, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 // no rule is violated, all circuits are free at the end, and dual seizures did happen.
 func TestBothEndsAtOnce(t *testing.T) {
 	settings := newSettings(2, 60, 9)
-	settings.Group, settings.Free = 1, true
+	settings.GroupSize, settings.NoServiceTimes = 1, true
 	v, f, _ := playAndCheck(t, settings, plant.Script{Len: span(20)})
 	if len(v.Violations) > 0 || v.DualSeizures < 10 {
 		t.Errorf("%d dual seizures, violations %v", v.DualSeizures, v.Violations)
--- a/model/fleet.go
+++ b/model/fleet.go
@@ -16,46 +16,46 @@
 
 // Settings are the size of a fleet, its traffic and the settings of its call servers.
 type Settings struct {
-	Exchanges int
-	Regions   int
-	Rate      float64 // new callers per second in the whole fleet
-	Planned   float64 // rate that groups and processors are dimensioned for; 0: Rate
-	Group     int     // circuits between two exchanges; 0: dimensioned for the planned traffic
-	Seed      uint64
-	Classes   []plant.Class
-	Habits    plant.Habits
-	Traffic   Traffic
-	Sources   int           // callers at each exchange, of whom only idle ones make calls; 0: an unlimited number
-	MaxWait   time.Duration // a set-up that has been queued at a processor for longer is refused; 0: none is
+	Exchanges   int
+	Regions     int
+	Rate        float64 // new callers per second in the whole fleet
+	PlannedRate float64 // rate that groups and processors are dimensioned for; 0: Rate
+	GroupSize   int     // circuits between two exchanges; 0: dimensioned for the planned traffic
+	Seed        uint64
+	Classes     []plant.Class
+	Habits      plant.Habits
+	Traffic     Traffic
+	Sources     int           // callers at each exchange, of whom only idle ones make calls; 0: an unlimited number
+	MaxWait     time.Duration // a set-up that has been queued at a processor for longer is refused; 0: none is
 
 	// Baseline creates a policy that replaces the decision module, for comparison; nil: the module decides.
 	Baseline func(s logic.Settings, seed int64) (router.Policy, error)
-	// Groups returns the number of circuits between two exchanges, counted from 0; nil: all groups have the size Group.
-	Groups func(a, b int) int
+	// GroupSizeOf returns the number of circuits between two exchanges, counted from 0; nil: all groups have the size GroupSize.
+	GroupSizeOf func(a, b int) int
 	// Measure lets the call servers measure their traffic; Measured returns the result.
 	Measure bool
-	// Free sets the service times of processors to 0.
-	Free bool
+	// NoServiceTimes sets the service times of processors to 0.
+	NoServiceTimes bool
 	// Release is the release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule.
 	Release time.Duration
-	// Records receives the records for the rule checker; nil: nothing is recorded.
-	Records func(r rulecheck.Record)
-	// Done receives the outcome of each caller; nil: the outcomes are stored for Results.
-	Done func(o plant.Outcome)
+	// OnRecord receives the records for the rule checker; nil: nothing is recorded.
+	OnRecord func(r rulecheck.Record)
+	// OnDone receives the outcome of each caller; nil: the outcomes are stored for Results.
+	OnDone func(o plant.Outcome)
 }
 
 // Fleet is a fleet in simulated time.
 type Fleet struct {
 	engine
 	settings       Settings
-	Figures        rulecheck.Parameters // parameters of the rule checker
+	Parameters     rulecheck.Parameters // parameters of the rule checker
 	nodes          []*node
 	names          []string // of the exchanges
 	group          int      // circuits between two exchanges
 	capacity       float64  // of a processor, in set-ups per second
 	serviceTimes   plant.ServiceTimes
 	releaseTime    time.Duration
-	groupCircuits  []uint16 // between two exchanges, unless Settings.Groups is set
+	groupCircuits  []uint16 // between two exchanges, unless Settings.GroupSizeOf is set
 	accessCircuits []uint16 // to the callers of an exchange, and the same to its lines
 	exchanges      []router.Exchange
 	numbering      []numbering.Entry
@@ -118,23 +118,23 @@
 
 // applyPlan dimensions circuits and processors for the planned traffic and sets the parameters of the rule checker.
 func (f *Fleet) applyPlan() {
-	plan := plant.Plan{Exchanges: f.settings.Exchanges, Rate: f.settings.Planned, Classes: f.settings.Classes}
+	plan := plant.Plan{Exchanges: f.settings.Exchanges, Rate: f.settings.PlannedRate, Classes: f.settings.Classes}
 	if plan.Rate == 0 {
 		plan.Rate = f.settings.Rate
 	}
-	f.Figures = plan.Parameters()
-	f.Figures.Slack = 20 * time.Millisecond
+	f.Parameters = plan.Parameters()
+	f.Parameters.Slack = 20 * time.Millisecond
 	for i := range f.settings.Exchanges {
-		f.Figures.PointCodes[exchangeName(i)] = uint32(firstPointCode + i)
+		f.Parameters.PointCodes[exchangeName(i)] = uint32(firstPointCode + i)
 	}
 	if f.releaseTime = f.settings.Release; f.releaseTime == 0 {
-		f.releaseTime = f.Figures.Release
+		f.releaseTime = f.Parameters.Release
 	}
-	if f.group = f.settings.Group; f.group == 0 {
+	if f.group = f.settings.GroupSize; f.group == 0 {
 		f.group = plan.GroupSize()
 	}
 	f.capacity = plan.ProcessorCapacity(f.group)
-	if !f.settings.Free {
+	if !f.settings.NoServiceTimes {
 		f.serviceTimes = plan.ServiceTimes(f.capacity)
 	}
 	f.groupCircuits = circuitCodes(f.group)
@@ -161,8 +161,8 @@
 
 // addOutcome passes the outcome of a caller on, or stores it.
 func (f *Fleet) addOutcome(outcome plant.Outcome) {
-	if f.settings.Done != nil {
-		f.settings.Done(outcome)
+	if f.settings.OnDone != nil {
+		f.settings.OnDone(outcome)
 		return
 	}
 	f.outcomes = append(f.outcomes, outcome)
@@ -208,7 +208,7 @@
 	})
 }
 
-// Results returns the outcomes of all callers that are done; none if Settings.Done is set.
+// Results returns the outcomes of all callers that are done; none if Settings.OnDone is set.
 func (f *Fleet) Results() []plant.Outcome { return slices.Clone(f.outcomes) }
 
 // WallClock returns the time of day in the fleet, which starts at midnight.
@@ -232,5 +232,5 @@
 // Group returns the number of circuits between two exchanges.
 func (f *Fleet) Group() int { return f.group }
 
-// Part returns the share of the calls from an exchange that go to another one at present.
-func (f *Fleet) Part(from, to int) float64 { return f.matrix.share(from, to, f.now) }
+// TrafficShare returns the share of the calls from an exchange that go to another one at present.
+func (f *Fleet) TrafficShare(from, to int) float64 { return f.matrix.share(from, to, f.now) }
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	var records []rulecheck.Record
 	digest := sha256.New()
-	settings.Records = func(r rulecheck.Record) {
+	settings.OnRecord = func(r rulecheck.Record) {
 		records = append(records, r)
 		fmt.Fprintf(digest, "%d %d %s %s %v %x\n", r.At, r.Kind, r.Exchange, r.Peer, r.Out, r.Data)
 	}
@@ -44,10 +44,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Play(script, Quiet); err != nil {
+	if err := f.Play(script, DrainTime); err != nil {
 		t.Fatal(err)
 	}
-	return rulecheck.Check(f.Figures, records, f.Now()), f, fmt.Sprintf("%x", digest.Sum(nil))
+	return rulecheck.Check(f.Parameters, records, f.Now()), f, fmt.Sprintf("%x", digest.Sum(nil))
 }
 
 // newScript returns a script of five seconds in which one fault of each given kind starts after a second.
--- a/model/node.go
+++ b/model/node.go
@@ -62,7 +62,7 @@
 // newNode creates an exchange without its Router.
 func (f *Fleet) newNode(i int) *node {
 	n := &node{fleet: f, index: i, name: exchangeName(i), region: plant.Region(i, f.settings.Exchanges, f.settings.Regions)}
-	n.processor = plant.NewProcessor[router.LinkID](f.serviceTimes, f.settings.MaxWait, f.capacity, f.Figures)
+	n.processor = plant.NewProcessor[router.LinkID](f.serviceTimes, f.settings.MaxWait, f.capacity, f.Parameters)
 	callers := n.newAccessEndpoint(uint32(firstCallersPointCode+i), n.countersLink(), "counters")
 	lines := n.newAccessEndpoint(uint32(firstLinesPointCode+i), n.linesLink(), "lines")
 	n.access = [2]*accessEndpoint{callers, lines}
@@ -90,15 +90,15 @@
 // reached the next call on its circuit, and no end can tell that it belongs to the previous one.
 const t1 = 15 * time.Second
 
-// Quiet is the time that a fleet needs until lost releases have been repeated and confirmed.
-const Quiet = 12 * t1
+// DrainTime is the time that a fleet needs until lost releases have been repeated and confirmed.
+const DrainTime = 12 * t1
 
 // routerConfig returns the configuration of a call server. Its peers are the other exchanges, the counters and the lines,
 // in this order.
 func (n *node) routerConfig() router.Config {
 	f := n.fleet
-	config := router.Config{Name: n.name, Attempts: 5, Tick: time.Millisecond, Release: f.releaseTime, DrainGrace: f.Figures.Grace,
-		TipAfter: f.Figures.OverloadWindow, Overload: f.Figures.Overload, ColdFrom: f.Figures.InitialShare, ColdFor: f.Figures.SlowStart,
+	config := router.Config{Name: n.name, Attempts: 5, Tick: time.Millisecond, Release: f.releaseTime, DrainGrace: f.Parameters.Grace,
+		TipAfter: f.Parameters.OverloadWindow, Overload: f.Parameters.Overload, ColdFrom: f.Parameters.InitialShare, ColdFor: f.Parameters.SlowStart,
 		Network: 2, Recovery: 2 * time.Second, LogLevel: 12, Baseline: f.settings.Baseline, Exchanges: f.exchanges, Numbering: f.numbering,
 		Timers: trunk.Timers{T1: t1, T5: 4 * t1, T12: t1, T13: 4 * t1}}
 	for _, class := range f.settings.Classes {
@@ -126,10 +126,10 @@
 
 // circuitsBetween returns the circuits of the trunk group between two exchanges.
 func (f *Fleet) circuitsBetween(a, b int) []uint16 {
-	if f.settings.Groups == nil {
+	if f.settings.GroupSizeOf == nil {
 		return f.groupCircuits
 	}
-	return circuitCodes(max(1, f.settings.Groups(min(a, b), max(a, b))))
+	return circuitCodes(max(1, f.settings.GroupSizeOf(min(a, b), max(a, b))))
 }
 
 // endMeasurement stores the measured traffic of a Router that ends.
@@ -407,24 +407,24 @@
 
 // recordMessage records a message that a call server sends or receives.
 func (n *node) recordMessage(peer string, out bool, raw []byte) {
-	if n.fleet.settings.Records != nil {
-		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Message, Exchange: n.name, Peer: peer, Out: out,
+	if n.fleet.settings.OnRecord != nil {
+		n.fleet.settings.OnRecord(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Message, Exchange: n.name, Peer: peer, Out: out,
 			Data: raw})
 	}
 }
 
 // recordNotification records that a call server was notified of the state of an exchange.
 func (n *node) recordNotification(office logic.Office) {
-	if n.fleet.settings.Records != nil {
-		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Announced, Exchange: n.name, Peer: office.ID,
+	if n.fleet.settings.OnRecord != nil {
+		n.fleet.settings.OnRecord(rulecheck.Record{At: n.fleet.now, Kind: rulecheck.Announced, Exchange: n.name, Peer: office.ID,
 			State: rulecheck.State(office.State), Cold: office.Started > 0})
 	}
 }
 
 // recordEvent records another event of a call server.
 func (n *node) recordEvent(kind rulecheck.Kind, peer string) {
-	if n.fleet.settings.Records != nil {
-		n.fleet.settings.Records(rulecheck.Record{At: n.fleet.now, Kind: kind, Exchange: n.name, Peer: peer,
+	if n.fleet.settings.OnRecord != nil {
+		n.fleet.settings.OnRecord(rulecheck.Record{At: n.fleet.now, Kind: kind, Exchange: n.name, Peer: peer,
 			Capacity: n.processor.Capacity})
 	}
 }
--- a/model/play.go
+++ b/model/play.go
@@ -255,7 +255,7 @@
 				return fmt.Errorf("model: %s: circuits are not free: %+v", n.name, group)
 			}
 		}
-		if held, _ := n.router.CallCounts(); held > 0 && f.Fallen() == 0 {
+		if held, _ := n.router.CallCounts(); held > 0 && f.CollapsedCount() == 0 {
 			return fmt.Errorf("model: %s holds %d calls: %+v", n.name, held, n.router.Calls(f.now, 3))
 		}
 	}
@@ -284,8 +284,8 @@
 	return nil
 }
 
-// Fallen returns the number of processors that have collapsed under load while cold.
-func (f *Fleet) Fallen() (count int) {
+// CollapsedCount returns the number of processors that have collapsed under load while cold.
+func (f *Fleet) CollapsedCount() (count int) {
 	for _, n := range f.nodes {
 		if n.processor.Collapsed() {
 			count++
--- a/model/scenario.go
+++ b/model/scenario.go
@@ -54,7 +54,7 @@
 
 // Settings returns the settings of the scenario's fleet.
 func (s Scenario) Settings() Settings {
-	return Settings{Exchanges: s.Exchanges, Regions: s.Regions, Rate: s.Rate, Planned: s.Planned, Seed: s.Seed, MaxWait: s.MaxWait,
+	return Settings{Exchanges: s.Exchanges, Regions: s.Regions, Rate: s.Rate, PlannedRate: s.Planned, Seed: s.Seed, MaxWait: s.MaxWait,
 		Classes: s.Classes, Habits: s.Habits, Traffic: s.Traffic}
 }
 
@@ -76,7 +76,7 @@
 func (s Scenario) Run(inject func(*Settings)) error {
 	settings := s.Settings()
 	var records []rulecheck.Record
-	settings.Records = func(r rulecheck.Record) { records = append(records, r) }
+	settings.OnRecord = func(r rulecheck.Record) { records = append(records, r) }
 	if inject != nil {
 		inject(&settings)
 	}
@@ -89,10 +89,10 @@
 		f.schedule(time.Duration(s.Script.Len)*time.Duration(i+1)/accountingChecks,
 			func() { accountingErr = errors.Join(accountingErr, f.CheckCircuitAccounting()) })
 	}
-	if err := f.Play(s.Script, Quiet); err != nil {
+	if err := f.Play(s.Script, DrainTime); err != nil {
 		return err
 	}
-	verdict := rulecheck.Check(f.Figures, records, f.Now())
+	verdict := rulecheck.Check(f.Parameters, records, f.Now())
 	if len(verdict.Violations) > 0 {
 		violation := verdict.Violations[0]
 		return &Violation{fmt.Sprintf("rule %d", violation.Rule),
@@ -113,8 +113,8 @@
 // scenarioStream is the stream of the random numbers that a scenario is drawn with.
 const scenarioStream = 99
 
-// Draw draws the scenario of a seed.
-func Draw(seed uint64) Scenario {
+// DrawScenario draws the scenario of a seed.
+func DrawScenario(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
 	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
 	duration := func(low, high float64) time.Duration {
--- a/model/swarm_test.go
+++ b/model/swarm_test.go
@@ -18,7 +18,7 @@
 		runs = 10
 	}
 	for seed := range uint64(runs) {
-		if err := Draw(seed).Run(nil); err != nil {
+		if err := DrawScenario(seed).Run(nil); err != nil {
 			t.Errorf("finchlatch swarm --from %d --runs 1: %v", seed, err)
 		}
 	}
@@ -45,7 +45,7 @@
 // error that names the file.
 func TestScenarioFile(t *testing.T) {
 	for seed := range uint64(200) {
-		s := Draw(seed)
+		s := DrawScenario(seed)
 		if err := s.Script.Check("drawn"); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -69,7 +69,7 @@
 func TestSwarmFindsAndShrinks(t *testing.T) {
 	inject := func(s *Settings) { s.Release = time.Millisecond }
 	for seed := range uint64(100) {
-		s := Draw(seed)
+		s := DrawScenario(seed)
 		err := s.Run(inject)
 		if err == nil {
 			continue
--- a/model/theory_test.go
+++ b/model/theory_test.go
@@ -20,7 +20,7 @@
 
 // oneGroup returns the settings of two exchanges with one trunk group between them; rate is that of both together.
 func oneGroup(seed uint64, circuits int, rate float64, classes []plant.Class) Settings {
-	return Settings{Exchanges: 2, Rate: rate, Group: circuits, Free: true, Baseline: baseline.DirectOnly, Seed: seed, Classes: classes}
+	return Settings{Exchanges: 2, Rate: rate, GroupSize: circuits, NoServiceTimes: true, Baseline: baseline.DirectOnly, Seed: seed, Classes: classes}
 }
 
 // newClass returns a class with a mean hold time of a second.
@@ -56,7 +56,7 @@
 	t.Helper()
 	offered, lost := make([]float64, len(settings.Classes)), make([]float64, len(settings.Classes))
 	countFrom := startTime + startUpTime + 20*time.Second // the group is empty at first; it has reached its steady state by then
-	settings.Done = func(outcome plant.Outcome) {
+	settings.OnDone = func(outcome plant.Outcome) {
 		if outcome.Began < countFrom {
 			return
 		}
--- a/planning/sizing_test.go
+++ b/planning/sizing_test.go
@@ -57,8 +57,9 @@
 		class := &classes[i]
 		class.Aim, class.Patience, class.Deadline, class.Hold = 1200*time.Millisecond, 3*time.Second, 9*time.Second, 6*time.Second
 	}
-	settings := model.Settings{Exchanges: trial.exchanges, Regions: 2, Rate: trial.rate * float64(trial.exchanges), Seed: seed, Classes: classes, Free: true, Measure: true,
-		Traffic: trial.traffic, Done: func(plant.Outcome) {}}
+	settings := model.Settings{Exchanges: trial.exchanges, Regions: 2, Rate: trial.rate * float64(trial.exchanges), Seed: seed, Classes: classes,
+		NoServiceTimes: true, Measure: true,
+		Traffic: trial.traffic, OnDone: func(plant.Outcome) {}}
 	if !trial.controller {
 		settings.Baseline = baseline.DirectOnly
 	}
@@ -148,7 +149,7 @@
 		var intervals []measure.Interval
 		for run := range uint64(max(1, trial.sizedRuns)) {
 			settings := trial.settings(trial.seed + 1000*(run+1))
-			settings.Groups = func(a, b int) int { return sizes[[2]int{a, b}] }
+			settings.GroupSizeOf = func(a, b int) int { return sizes[[2]int{a, b}] }
 			intervals = append(intervals, trial.play(t, settings)...)
 		}
 		return refusalRates(out.rules, intervals)
