--- a/cmd/finchlatch/simulate.go
+++ b/cmd/finchlatch/simulate.go
@@ -36,7 +36,7 @@
 		time.Duration(script.Len), settings.Seed, fleet.Events(), time.Since(startedAt).Round(time.Millisecond))
 	report := plant.NewReport(settings.Classes, fleet.Results(), rulecheck.Check(fleet.Parameters, records, fleet.Now()))
 	for range fleet.CollapsedCount() {
-		report.Fallen = append(report.Fallen, "an exchange")
+		report.Collapsed = append(report.Collapsed, "an exchange")
 	}
 	report.Write(out)
 	if len(report.Verdict.Violations) == 0 {
--- a/cmd/finchlatch/try.go
+++ b/cmd/finchlatch/try.go
@@ -23,7 +23,7 @@
 			"rule was violated. Kinds of faults and load changes:\n",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script, err := plant.BadDay()
+			script, err := plant.DefaultScript()
 			if scriptPath != "" {
 				var text []byte
 				if text, err = os.ReadFile(scriptPath); err == nil {
@@ -43,7 +43,7 @@
 			}
 			return tryOnLoopback(cmd, settings, script, trace)
 		}}
-	for _, kind := range plant.KindNames() {
+	for _, kind := range plant.FaultKindDescriptions() {
 		c.Long += "  " + kind + "\n"
 	}
 	c.Flags().StringVar(&scriptPath, "script", "", "file with the fault schedule (Jsonnet); empty: an embedded one of a minute")
@@ -85,7 +85,7 @@
 				done, established := 0, 0
 				for _, outcome := range fleet.Results() {
 					done++
-					if outcome.Stood && !outcome.Cut {
+					if outcome.Established && !outcome.Dropped {
 						established++
 					}
 				}
--- a/internal/plant/callers.go
+++ b/internal/plant/callers.go
@@ -170,7 +170,7 @@
 	}
 	caller.number, caller.Hot = c.PickNumber(c.demandRand)
 	caller.holdTime = c.Classes[caller.Class].drawHoldTime(c.demandRand)
-	caller.Began = c.association.Now()
+	caller.StartedAt = c.association.Now()
 	c.unfinished++
 	c.dial(caller)
 }
@@ -299,9 +299,9 @@
 // handleAnswer marks the call as established, and hangs up after the hold time.
 func (c *Callers) handleAnswer(try *setUpTry) {
 	caller := try.caller
-	try.established, caller.Stood, caller.Cut = true, true, false
+	try.established, caller.Established, caller.Dropped = true, true, false
 	if caller.SetUp == 0 {
-		caller.SetUp = c.association.Now() - caller.Began
+		caller.SetUp = c.association.Now() - caller.StartedAt
 	}
 	c.association.After(caller.holdTime, func() {
 		if c.tries[try.circuits[0]] == try && !try.releasing {
@@ -323,7 +323,7 @@
 	switch {
 	case try.releasing:
 	case try.established:
-		caller.Cut = true
+		caller.Dropped = true
 		c.redialOrGiveUp(caller, true)
 	case cause == isup.CauseNoCircuit || cause == isup.CauseCongestion:
 		caller.Refused++
@@ -346,7 +346,7 @@
 	if dropped {
 		wait = time.Duration(c.behaviourRand.Float64() * float64(habits.CutReturn))
 	}
-	if caller.Tries > habits.Redials || !dropped && c.association.Now()-caller.Began+wait > c.Classes[caller.Class].Deadline {
+	if caller.Tries > habits.Redials || !dropped && c.association.Now()-caller.StartedAt+wait > c.Classes[caller.Class].Deadline {
 		c.finish(caller)
 		return
 	}
--- a/internal/plant/classes.go
+++ b/internal/plant/classes.go
@@ -87,16 +87,16 @@
 
 // Outcome is the result of one caller's tries.
 type Outcome struct {
-	Class     int           // index of the class
-	Began     time.Duration // time of the first try
-	Stood     bool          // a call was established
-	SetUp     time.Duration // from the first try until the first answer
-	Cut       bool          // the established call was dropped, and no redial established another one
-	Refused   int           // tries refused: no free circuit, no association, congestion, or no route from the look-up
-	Failed    int           // tries that failed for another cause
-	Abandoned int           // tries in which the caller hung up before the answer
-	Hot       bool          // the caller called the hot number
-	Tries     int           // tries in total
+	Class       int           // index of the class
+	StartedAt   time.Duration // time of the first try
+	Established bool          // a call was established
+	SetUp       time.Duration // from the first try until the first answer
+	Dropped     bool          // the established call was dropped, and no redial established another one
+	Refused     int           // tries refused: no free circuit, no association, congestion, or no route from the look-up
+	Failed      int           // tries that failed for another cause
+	Abandoned   int           // tries in which the caller hung up before the answer
+	Hot         bool          // the caller called the hot number
+	Tries       int           // tries in total
 }
 
 // Worth returns the worth that the outcome earned, and the worth that its caller offered.
@@ -106,7 +106,7 @@
 		offered /= 10 // calls to a hot number are worth a tenth
 	}
 	switch {
-	case !o.Stood || o.Cut:
+	case !o.Established || o.Dropped:
 	case o.SetUp <= class.Aim:
 		earned = offered
 	default:
@@ -117,6 +117,6 @@
 
 // String formats an outcome in one line.
 func (o Outcome) String() string {
-	return fmt.Sprintf("class %d stood %v in %v cut %v refused %d failed %d hung %d", o.Class, o.Stood, o.SetUp, o.Cut, o.Refused,
+	return fmt.Sprintf("class %d stood %v in %v cut %v refused %d failed %d hung %d", o.Class, o.Established, o.SetUp, o.Dropped, o.Refused,
 		o.Failed, o.Abandoned)
 }
--- a/internal/plant/jsonnet.go
+++ b/internal/plant/jsonnet.go
@@ -12,10 +12,10 @@
 	"github.com/google/go-jsonnet"
 )
 
-// Read evaluates Jsonnet and decodes the result into a value. Imports are resolved relative to the directory of name, which
-// also stands for the file in errors. Fields match regardless of case and underscores, and an unknown field is an error.
-// Durations are strings such as "1.5s" or numbers of nanoseconds.
-func Read(name, snippet string, into any) error {
+// DecodeJsonnet evaluates Jsonnet and decodes the result into a value. Imports are resolved relative to the directory of
+// name, which also stands for the file in errors. Fields match regardless of case and underscores, and an unknown field is an
+// error. Durations are strings such as "1.5s" or numbers of nanoseconds.
+func DecodeJsonnet(name, snippet string, into any) error {
 	vm := jsonnet.MakeVM()
 	vm.Importer(&jsonnet.FileImporter{JPaths: []string{filepath.Dir(name)}})
 	document, err := vm.EvaluateAnonymousSnippet(name, snippet)
--- a/internal/plant/report.go
+++ b/internal/plant/report.go
@@ -29,9 +29,9 @@
 
 // Report is the result of a run: the outcomes of its callers and the verdict of the rule checker.
 type Report struct {
-	Classes []ClassReport
-	Verdict rulecheck.Verdict
-	Fallen  []string // exchanges whose processor collapsed
+	Classes   []ClassReport
+	Verdict   rulecheck.Verdict
+	Collapsed []string // exchanges whose processor collapsed
 }
 
 // NewReport sums up the outcomes of a run on sockets or in simulated time.
@@ -54,16 +54,16 @@
 	earned, offered := outcome.Worth(class)
 	c.Earned, c.Offered = c.Earned+earned, c.Offered+offered
 	switch {
-	case !outcome.Stood:
+	case !outcome.Established:
 		c.NeverEstablished++
-	case outcome.Cut:
+	case outcome.Dropped:
 		c.Dropped++
 	case outcome.SetUp <= class.Aim:
 		c.InTime++
 	default:
 		c.Late++
 	}
-	if outcome.Stood {
+	if outcome.Established {
 		_ = c.SetUp.RecordValue(outcome.SetUp.Microseconds())
 	}
 }
@@ -101,7 +101,7 @@
 	if verdict.Queries > 0 {
 		fmt.Fprintf(w, "%d look-ups, %d of them granted a lease\n", verdict.Queries, verdict.Leases)
 	}
-	for _, exchange := range r.Fallen {
+	for _, exchange := range r.Collapsed {
 		fmt.Fprintf(w, "processor of %s fell over\n", exchange)
 	}
 	if len(verdict.Violations) == 0 {
--- a/internal/plant/script.go
+++ b/internal/plant/script.go
@@ -12,7 +12,7 @@
 	"finchlatch/config"
 )
 
-// Step is one fault of a script. The meaning of its values depends on the kind: KindNames describes it.
+// Step is one fault of a script. The meaning of its values depends on the kind: FaultKindDescriptions describes it.
 type Step struct {
 	At       config.Duration `json:"at"`
 	Kind     string          `json:"kind"`
@@ -68,8 +68,8 @@
 	return names
 }
 
-// KindNames returns the kinds of fault in alphabetical order, each with a description of its values.
-func KindNames() (descriptions []string) {
+// FaultKindDescriptions returns the kinds of fault in alphabetical order, each with a description of its values.
+func FaultKindDescriptions() (descriptions []string) {
 	for _, name := range FaultKinds() {
 		descriptions = append(descriptions, name+": "+faultKinds[name].description)
 	}
@@ -96,17 +96,17 @@
 // ParseScript reads and checks a script in Jsonnet; name stands for its file in errors.
 func ParseScript(name, text string) (Script, error) {
 	var s Script
-	if err := Read(name, text, &s); err != nil {
+	if err := DecodeJsonnet(name, text, &s); err != nil {
 		return s, err
 	}
 	return s, s.Check(name)
 }
 
 //go:embed badday.jsonnet
-var defaultScript string
+var defaultScriptText string
 
-// BadDay returns the embedded script, which is played by default.
-func BadDay() (Script, error) { return ParseScript("badday.jsonnet", defaultScript) }
+// DefaultScript returns the embedded script, which is played by default.
+func DefaultScript() (Script, error) { return ParseScript("badday.jsonnet", defaultScriptText) }
 
 // Check returns an error that names the first invalid step.
 func (s Script) Check(name string) error {
@@ -117,7 +117,7 @@
 		kind, ok := faultKinds[step.Kind]
 		switch {
 		case !ok:
-			return fmt.Errorf("%s: steps[%d].kind: %q is none of %s", name, i, step.Kind, strings.Join(KindNames(), "; "))
+			return fmt.Errorf("%s: steps[%d].kind: %q is none of %s", name, i, step.Kind, strings.Join(FaultKindDescriptions(), "; "))
 		case !(step.Part >= 0 && step.Part <= 1):
 			return fmt.Errorf("%s: steps[%d].part: %v is not 0 to 1", name, i, step.Part)
 		case kind.maxSize > 0 && !(step.Size >= kind.minSize && step.Size <= kind.maxSize):
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -467,7 +467,7 @@
 	r := plant.NewReport(f.Settings.Classes, f.Results(), f.Verdict())
 	for _, n := range f.Nodes {
 		if n.Processor.Collapsed() {
-			r.Fallen = append(r.Fallen, n.Name)
+			r.Collapsed = append(r.Collapsed, n.Name)
 		}
 	}
 	return r
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -233,7 +233,7 @@
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := plant.BadDay(); err != nil {
+	if _, err := plant.DefaultScript(); err != nil {
 		t.Error(err)
 	}
 }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -54,7 +54,7 @@
 		name, text = "overload.jsonnet", defaultExperiment
 	}
 	experiment := Experiment{Habits: plant.DefaultHabits(), Classes: nil, First: 1, Regions: 2}
-	if err := plant.Read(name, text, &experiment); err != nil {
+	if err := plant.DecodeJsonnet(name, text, &experiment); err != nil {
 		return experiment, err
 	}
 	if len(experiment.Classes) == 0 {
--- a/lab/run.go
+++ b/lab/run.go
@@ -124,7 +124,7 @@
 	a.allTries += outcome.Tries
 	class := a.experiment.Classes[outcome.Class]
 	earned, offered := outcome.Worth(class)
-	sinceStart := outcome.Began - a.startedAt
+	sinceStart := outcome.StartedAt - a.startedAt
 	if window := int(sinceStart / time.Second); window >= 0 && window < len(a.windows) {
 		a.windows[window][0] += earned
 		a.windows[window][1] += offered
@@ -136,13 +136,13 @@
 	a.offered[outcome.Class] += offered
 	a.callers++
 	a.tries += outcome.Tries
-	if outcome.Stood && !outcome.Cut {
+	if outcome.Established && !outcome.Dropped {
 		a.established++
 		if outcome.SetUp > class.Aim {
 			a.late++
 		}
 	}
-	if outcome.Stood {
+	if outcome.Established {
 		_ = a.setUpTimes.RecordValue(outcome.SetUp.Microseconds()) // never out of range: callers give up long before the histogram's hour
 	}
 }
--- a/model/edgecases_test.go
+++ b/model/edgecases_test.go
@@ -18,7 +18,7 @@
 	settings.PlannedRate = 30
 	settings.Traffic = Traffic{Spread: 0.5, Shift: 10 * time.Minute, Profile: []float64{0.2, 0.1, 0.3, 1, 1.5, 1.2, 1, 0.5}}
 	byHour := make([]int, 25)
-	settings.OnDone = func(o plant.Outcome) { byHour[min(24, int((o.Began-startTime-startUpTime)/time.Hour))]++ }
+	settings.OnDone = func(o plant.Outcome) { byHour[min(24, int((o.StartedAt-startTime-startUpTime)/time.Hour))]++ }
 	f, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	}
 	dropped := 0
 	for _, o := range f.Results() {
-		if o.Cut {
+		if o.Dropped {
 			dropped++
 		}
 	}
--- a/model/scenario.go
+++ b/model/scenario.go
@@ -31,7 +31,7 @@
 // ReadScenario reads a scenario in Jsonnet or JSON; name stands for its file in errors.
 func ReadScenario(name, text string) (Scenario, error) {
 	var s Scenario
-	if err := plant.Read(name, text, &s); err != nil {
+	if err := plant.DecodeJsonnet(name, text, &s); err != nil {
 		return s, err
 	}
 	if len(s.Classes) == 0 {
--- a/model/theory_test.go
+++ b/model/theory_test.go
@@ -57,10 +57,10 @@
 	offered, lost := make([]float64, len(settings.Classes)), make([]float64, len(settings.Classes))
 	countFrom := startTime + startUpTime + 20*time.Second // the group is empty at first; it has reached its steady state by then
 	settings.OnDone = func(outcome plant.Outcome) {
-		if outcome.Began < countFrom {
+		if outcome.StartedAt < countFrom {
 			return
 		}
-		if offered[outcome.Class]++; !outcome.Stood {
+		if offered[outcome.Class]++; !outcome.Established {
 			lost[outcome.Class]++
 		}
 	}
--- a/planning/rules.go
+++ b/planning/rules.go
@@ -76,7 +76,7 @@
 // ReadRules reads rules from Jsonnet; file names the source in errors.
 func ReadRules(file, text string) (Rules, error) {
 	r := Rules{Same: 1, Other: 1}
-	if err := plant.Read(file, text, &r); err != nil {
+	if err := plant.DecodeJsonnet(file, text, &r); err != nil {
 		return r, err
 	}
 	invalid := func(format string, args ...any) error {
