--- a/cmd/finchlatch/simulate.go
+++ b/cmd/finchlatch/simulate.go
@@ -6,14 +6,14 @@
 
 	"github.com/spf13/cobra"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/internal/standin"
 	"finchlatch/model"
 )
 
 // simulate runs a fault schedule on a fleet in simulated time, and reports as tryOnLoopback does.
-func simulate(cmd *cobra.Command, settings standin.FleetSettings, script plant.Script, trace bool) error {
+func simulate(cmd *cobra.Command, settings standin.FleetSettings, script simenv.Script, trace bool) error {
 	if settings.Exchanges < 3 || settings.Rate <= 0 {
 		return fmt.Errorf("--exchanges must be at least 3, --rate more than 0")
 	}
@@ -23,7 +23,7 @@
 	var records []rulecheck.Record
 	startedAt := time.Now()
 	fleet, err := model.New(model.Settings{Exchanges: settings.Exchanges, Regions: settings.Regions, Rate: settings.Rate, Seed: settings.Seed,
-		Classes: settings.Classes, Habits: settings.Habits, MaxWait: plant.MaxWait,
+		Classes: settings.Classes, Habits: settings.Habits, MaxWait: simenv.MaxWait,
 		OnRecord: func(record rulecheck.Record) { records = append(records, record) }})
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 	out := cmd.OutOrStdout()
 	fmt.Fprintf(out, "%d exchanges in simulated time, %.0f calls a second, %v, seed %d; %d events in %v\n", settings.Exchanges, settings.Rate,
 		time.Duration(script.Len), settings.Seed, fleet.Events(), time.Since(startedAt).Round(time.Millisecond))
-	report := plant.NewReport(settings.Classes, fleet.Results(), rulecheck.Check(fleet.Parameters, records, fleet.Now()))
+	report := simenv.NewReport(settings.Classes, fleet.Results(), rulecheck.Check(fleet.Parameters, records, fleet.Now()))
 	for range fleet.CollapsedCount() {
 		report.Collapsed = append(report.Collapsed, "an exchange")
 	}
--- a/cmd/finchlatch/try.go
+++ b/cmd/finchlatch/try.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/internal/standin"
 )
 
@@ -23,11 +23,11 @@
 			"rule was violated. Kinds of faults and load changes:\n",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script, err := plant.DefaultScript()
+			script, err := simenv.DefaultScript()
 			if scriptPath != "" {
 				var text []byte
 				if text, err = os.ReadFile(scriptPath); err == nil {
-					script, err = plant.ParseScript(scriptPath, string(text))
+					script, err = simenv.ParseScript(scriptPath, string(text))
 				}
 			}
 			if err != nil {
@@ -37,13 +37,13 @@
 			if err != nil {
 				return err
 			}
-			settings.Classes, settings.Habits, settings.Log = plant.DefaultClasses(), plant.DefaultHabits(), log
+			settings.Classes, settings.Habits, settings.Log = simenv.DefaultClasses(), simenv.DefaultHabits(), log
 			if simulated {
 				return simulate(cmd, settings, script, trace)
 			}
 			return tryOnLoopback(cmd, settings, script, trace)
 		}}
-	for _, kind := range plant.FaultKindDescriptions() {
+	for _, kind := range simenv.FaultKindDescriptions() {
 		c.Long += "  " + kind + "\n"
 	}
 	c.Flags().StringVar(&scriptPath, "script", "", "file with the fault schedule (Jsonnet); empty: an embedded one of a minute")
@@ -59,7 +59,7 @@
 }
 
 // tryOnLoopback runs a fault schedule on a fleet whose call servers are connected over loopback sockets.
-func tryOnLoopback(cmd *cobra.Command, settings standin.FleetSettings, script plant.Script, trace bool) error {
+func tryOnLoopback(cmd *cobra.Command, settings standin.FleetSettings, script simenv.Script, trace bool) error {
 	out := cmd.OutOrStdout()
 	if settings.Exchanges < 3 || settings.Exchanges > 99 || settings.Rate <= 0 || settings.Rate > 5000 {
 		return fmt.Errorf("--exchanges must be 3 to 99, --rate more than 0 and at most 5000")
--- a/internal/plant/classes.go
+++ b/internal/simenv/classes.go
@@ -1,8 +1,8 @@
-// Package plant simulates the environment of a call server: callers, subscriber lines, the processor of an exchange and
+// Package simenv simulates the environment of a call server: callers, subscriber lines, the processor of an exchange and
 // the state of signalling relations, with fault schedules, the plan that a fleet is dimensioned for, and the report of
 // call outcomes. It has no clock, socket or goroutine of its own: package standin drives it on sockets, and package model
 // in simulated time.
-package plant
+package simenv
 
 import (
 	"fmt"
--- a/internal/plant/plan.go
+++ b/internal/simenv/plan.go
@@ -1,4 +1,4 @@
-package plant
+package simenv
 
 import (
 	"math"
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/isup"
 	"finchlatch/m3ua"
 )
@@ -15,7 +15,7 @@
 	linesStream   = 7
 )
 
-// socketAssociation implements plant.Association on an endpoint.
+// socketAssociation implements simenv.Association on an endpoint.
 type socketAssociation struct {
 	*Endpoint
 	clock func() time.Duration
@@ -35,10 +35,10 @@
 	})
 }
 
-// Callers are the counters at one exchange on a socket. Methods of plant.Callers must be called inside Do.
+// Callers are the counters at one exchange on a socket. Methods of simenv.Callers must be called inside Do.
 type Callers struct {
 	*Endpoint
-	*plant.Callers
+	*simenv.Callers
 	EnumAddress  func() string                                      // address of the ENUM server; empty: the server is down
 	RecordLookUp func(kind rulecheck.Kind, who string, data []byte) // taps the queries and responses of an ENUM client
 }
@@ -46,7 +46,7 @@
 // NewCallers creates the counters of an exchange, with circuits of their own.
 func NewCallers(ownCode, exchangeCode uint32, id uint32, circuits []uint16, seed uint64, clock func() time.Duration) *Callers {
 	c := &Callers{Endpoint: &Endpoint{OwnPointCode: ownCode, PeerPointCode: exchangeCode, Role: m3ua.RoleASP}}
-	c.Callers = plant.NewCallers(socketAssociation{c.Endpoint, clock}, id, circuits, seed, callersStream)
+	c.Callers = simenv.NewCallers(socketAssociation{c.Endpoint, clock}, id, circuits, seed, callersStream)
 	c.OnMessage = func(_ *Endpoint, message *isup.Message) { c.Receive(message) }
 	return c
 }
@@ -63,16 +63,16 @@
 	}
 }
 
-// Lines are the subscriber lines of an exchange on a socket. Methods of plant.Lines must be called inside Do.
+// Lines are the subscriber lines of an exchange on a socket. Methods of simenv.Lines must be called inside Do.
 type Lines struct {
 	*Endpoint
-	*plant.Lines
+	*simenv.Lines
 }
 
 // NewLines creates the lines of an exchange.
 func NewLines(ownCode, exchangeCode uint32, seed uint64, clock func() time.Duration) *Lines {
 	l := &Lines{Endpoint: &Endpoint{OwnPointCode: ownCode, PeerPointCode: exchangeCode, Role: m3ua.RoleASP}}
-	l.Lines = plant.NewLines(socketAssociation{l.Endpoint, clock}, seed, linesStream)
+	l.Lines = simenv.NewLines(socketAssociation{l.Endpoint, clock}, seed, linesStream)
 	l.OnMessage = func(_ *Endpoint, message *isup.Message) { l.Receive(message) }
 	return l
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/server"
 )
@@ -58,7 +58,7 @@
 	}
 	d.exchanges[exchange] = entry
 	for _, n := range d.fleet.Nodes {
-		delay := d.extraDelay + plant.DiscoveryDelay(d.rng.Float64(), unreported)
+		delay := d.extraDelay + simenv.DiscoveryDelay(d.rng.Float64(), unreported)
 		d.pending.Add(1)
 		go func() {
 			defer d.pending.Done()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -7,38 +7,38 @@
 	"strings"
 	"time"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 )
 
 // fault injects a kind of fault into a fleet, and ends it; end is nil if the fault ends by itself.
 type fault struct {
-	begin, end func(p *player, step plant.Step, affected []*Node)
+	begin, end func(p *player, step simenv.Step, affected []*Node)
 }
 
 // faults are the kinds of fault by their names in scripts.
 var faults = map[string]fault{
-	"jump": {func(p *player, step plant.Step, _ []*Node) { p.scaleAllRates(step.Size) },
-		func(p *player, step plant.Step, _ []*Node) { p.scaleAllRates(1) }},
-	"flood": {func(p *player, step plant.Step, affected []*Node) { p.scaleRates(affected, step.Size) },
-		func(p *player, step plant.Step, affected []*Node) { p.scaleRates(affected, 1) }},
-	"hot_number": {(*player).startHotNumber, func(p *player, step plant.Step, _ []*Node) { p.endHotNumber() }},
-	"region_loss": {func(p *player, step plant.Step, _ []*Node) { p.changeBlocking(step, "block") },
-		func(p *player, step plant.Step, _ []*Node) { p.changeBlocking(step, "unblock") }},
+	"jump": {func(p *player, step simenv.Step, _ []*Node) { p.scaleAllRates(step.Size) },
+		func(p *player, step simenv.Step, _ []*Node) { p.scaleAllRates(1) }},
+	"flood": {func(p *player, step simenv.Step, affected []*Node) { p.scaleRates(affected, step.Size) },
+		func(p *player, step simenv.Step, affected []*Node) { p.scaleRates(affected, 1) }},
+	"hot_number": {(*player).startHotNumber, func(p *player, step simenv.Step, _ []*Node) { p.endHotNumber() }},
+	"region_loss": {func(p *player, step simenv.Step, _ []*Node) { p.changeBlocking(step, "block") },
+		func(p *player, step simenv.Step, _ []*Node) { p.changeBlocking(step, "unblock") }},
 	"mass_cut": {(*player).dropCalls, nil},
 	"silence":  {(*player).stopProcessors, (*player).restartProcessors},
 	"hang":     {(*player).ignoreSetUps, (*player).acceptSetUps},
 	"late_answer": {(*player).delayAnswers,
-		func(p *player, step plant.Step, affected []*Node) { p.delayAnswers(plant.Step{}, affected) }},
+		func(p *player, step simenv.Step, affected []*Node) { p.delayAnswers(simenv.Step{}, affected) }},
 	"replace":     {(*player).replaceProcessors, nil},
 	"unit":        {(*player).crashUnit, nil},
 	"restart":     {(*player).restartServers, nil},
 	"stall":       {(*player).stallProcessors, nil},
 	"slow":        {(*player).slowProcessors, nil},
 	"ageing":      {(*player).ageProcessors, (*player).restartProcessors},
-	"late_list":   {(*player).delayDiscovery, func(p *player, step plant.Step, _ []*Node) { p.fleet.Discovery.SetExtraDelay(0) }},
+	"late_list":   {(*player).delayDiscovery, func(p *player, step simenv.Step, _ []*Node) { p.fleet.Discovery.SetExtraDelay(0) }},
 	"flap":        {(*player).breakAssociations, nil},
-	"give_up":     {(*player).shortenPatience, func(p *player, step plant.Step, _ []*Node) { p.setPatience(1) }},
+	"give_up":     {(*player).shortenPatience, func(p *player, step simenv.Step, _ []*Node) { p.setPatience(1) }},
 	"client_flap": {(*player).breakClientAssociations, nil},
 }
 
@@ -55,7 +55,7 @@
 
 // Play plays a script on a fleet: it starts the callers, injects each fault at its time, stops the callers, and waits
 // until the last calls have ended. report receives a line for each fault; it may be nil.
-func (f *Fleet) Play(script plant.Script, report func(string)) {
+func (f *Fleet) Play(script simenv.Script, report func(string)) {
 	p := &player{fleet: f, rng: rand.New(rand.NewPCG(f.Settings.Seed, playerStream)), report: report,
 		endsAt: time.Now().Add(time.Duration(script.Len))}
 	type event struct {
@@ -91,7 +91,7 @@
 }
 
 // reportStep reports a fault with its values and the exchanges that it affects.
-func (p *player) reportStep(step plant.Step, affected []*Node) {
+func (p *player) reportStep(step simenv.Step, affected []*Node) {
 	if p.report == nil {
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 // selectNodes returns the exchanges that a step affects.
-func (p *player) selectNodes(step plant.Step) (nodes []*Node) {
+func (p *player) selectNodes(step simenv.Step) (nodes []*Node) {
 	var names []string
 	for _, n := range p.fleet.Nodes {
 		names = append(names, n.Name)
@@ -125,7 +125,7 @@
 }
 
 // startHotNumber makes a random exchange own a number that a share of all callers calls and that has few lines.
-func (p *player) startHotNumber(step plant.Step, _ []*Node) {
+func (p *player) startHotNumber(step simenv.Step, _ []*Node) {
 	owner := p.rng.IntN(len(p.fleet.Nodes))
 	number := fmt.Sprintf("55%02d99999", owner+1)
 	lines := p.fleet.Nodes[owner].Lines
@@ -142,7 +142,7 @@
 }
 
 // changeBlocking blocks or unblocks part of the circuits between a region and the others, from the region's side.
-func (p *player) changeBlocking(step plant.Step, command string) {
+func (p *player) changeBlocking(step simenv.Step, command string) {
 	for _, n := range p.fleet.Nodes {
 		for _, peer := range p.fleet.Nodes {
 			if n.Region == step.Region && peer.Region != step.Region {
@@ -153,7 +153,7 @@
 }
 
 // dropCalls resets part of the circuits of established calls in each trunk group.
-func (p *player) dropCalls(step plant.Step, _ []*Node) {
+func (p *player) dropCalls(step simenv.Step, _ []*Node) {
 	for i, n := range p.fleet.Nodes {
 		for _, peer := range p.fleet.Nodes[i+1:] {
 			_, _ = n.Console("reset %s %.0f%%", peer.Name, 100*step.Part)
@@ -162,30 +162,30 @@
 }
 
 // stopProcessors makes processors unresponsive. Service discovery has to detect it.
-func (p *player) stopProcessors(step plant.Step, affected []*Node) {
+func (p *player) stopProcessors(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
-		n.Processor.WithCore(func(processor *plant.Processor[queueKey], now time.Duration) { processor.StopResponding() })
+		n.Processor.WithCore(func(processor *simenv.Processor[queueKey], now time.Duration) { processor.StopResponding() })
 		p.fleet.Discovery.Announce(n.Name, rulecheck.Gone, false, true)
 	}
 }
 
 // restartProcessors restarts processors, which are cold then.
-func (p *player) restartProcessors(step plant.Step, affected []*Node) {
+func (p *player) restartProcessors(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
 		n.RestartProcessor()
 		p.fleet.Discovery.Announce(n.Name, rulecheck.Ready, true, false)
 	}
 }
 
-func (p *player) ignoreSetUps(step plant.Step, affected []*Node) {
+func (p *player) ignoreSetUps(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
-		n.Processor.WithCore(func(processor *plant.Processor[queueKey], now time.Duration) { processor.IgnoreSetUps(true) })
+		n.Processor.WithCore(func(processor *simenv.Processor[queueKey], now time.Duration) { processor.IgnoreSetUps(true) })
 	}
 }
 
-func (p *player) acceptSetUps(step plant.Step, affected []*Node) {
+func (p *player) acceptSetUps(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
-		n.Processor.WithCore(func(processor *plant.Processor[queueKey], now time.Duration) { processor.IgnoreSetUps(false) })
+		n.Processor.WithCore(func(processor *simenv.Processor[queueKey], now time.Duration) { processor.IgnoreSetUps(false) })
 	}
 }
 
@@ -198,7 +198,7 @@
 	}()
 }
 
-func (p *player) delayAnswers(step plant.Step, affected []*Node) {
+func (p *player) delayAnswers(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
 		n.Lines.Do(func() { n.Lines.ExtraDelay = time.Duration(step.Size * float64(time.Second)) })
 	}
@@ -209,7 +209,7 @@
 
 // replaceProcessors moves exchanges to new processors, one after the other: service discovery announces that an exchange
 // is draining, its call server drains and stops, and then restarts on a cold processor.
-func (p *player) replaceProcessors(step plant.Step, affected []*Node) {
+func (p *player) replaceProcessors(step simenv.Step, affected []*Node) {
 	interval := time.Duration(step.Len) / time.Duration(len(affected))
 	for i, n := range affected {
 		p.runInBackground(func() {
@@ -234,7 +234,7 @@
 }
 
 // crashUnit crashes all exchanges of a unit at once and restarts them on cold processors.
-func (p *player) crashUnit(step plant.Step, affected []*Node) {
+func (p *player) crashUnit(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
 		p.runInBackground(func() {
 			n.Kill()
@@ -245,7 +245,7 @@
 }
 
 // restartServers crashes call servers one after the other and restarts them on the same processor.
-func (p *player) restartServers(step plant.Step, affected []*Node) {
+func (p *player) restartServers(step simenv.Step, affected []*Node) {
 	for i, n := range affected {
 		p.runInBackground(func() {
 			time.Sleep(time.Duration(step.Len) * time.Duration(i) / time.Duration(len(affected)))
@@ -257,12 +257,12 @@
 }
 
 // stallProcessors pauses processors repeatedly, each with a random interval of its own.
-func (p *player) stallProcessors(step plant.Step, affected []*Node) {
+func (p *player) stallProcessors(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
 		pause := time.Duration((2 + p.rng.Float64()*2) * float64(time.Second))
 		p.runInBackground(func() {
 			for end := time.Now().Add(time.Duration(step.Len)); time.Now().Before(end); time.Sleep(pause) {
-				n.Processor.WithCore(func(processor *plant.Processor[queueKey], now time.Duration) {
+				n.Processor.WithCore(func(processor *simenv.Processor[queueKey], now time.Duration) {
 					processor.Stall(now + time.Duration(step.Size*float64(time.Second)))
 				})
 			}
@@ -270,29 +270,29 @@
 	}
 }
 
-func (p *player) slowProcessors(step plant.Step, _ []*Node) {
+func (p *player) slowProcessors(step simenv.Step, _ []*Node) {
 	for _, n := range p.fleet.Nodes {
-		n.Processor.WithCore(func(processor *plant.Processor[queueKey], now time.Duration) {
+		n.Processor.WithCore(func(processor *simenv.Processor[queueKey], now time.Duration) {
 			processor.SlowDown(step.Size, now+time.Duration(step.Len))
 		})
 	}
 }
 
 // ageProcessors makes processors slower until step.Size times the usual service times at the end of the step.
-func (p *player) ageProcessors(step plant.Step, affected []*Node) {
+func (p *player) ageProcessors(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
-		n.Processor.WithCore(func(processor *plant.Processor[queueKey], now time.Duration) {
+		n.Processor.WithCore(func(processor *simenv.Processor[queueKey], now time.Duration) {
 			processor.Age(now, (step.Size-1)/time.Duration(step.Len).Seconds())
 		})
 	}
 }
 
-func (p *player) delayDiscovery(step plant.Step, _ []*Node) {
+func (p *player) delayDiscovery(step simenv.Step, _ []*Node) {
 	p.fleet.Discovery.SetExtraDelay(time.Duration(step.Size * float64(time.Second)))
 }
 
 // breakAssociations breaks the connections of part of the links between exchanges.
-func (p *player) breakAssociations(step plant.Step, _ []*Node) {
+func (p *player) breakAssociations(step simenv.Step, _ []*Node) {
 	for i := range p.fleet.Nodes {
 		for j := i + 1; j < len(p.fleet.Nodes); j++ {
 			if p.rng.Float64() < step.Part {
@@ -302,13 +302,13 @@
 	}
 }
 
-func (p *player) breakClientAssociations(step plant.Step, affected []*Node) {
+func (p *player) breakClientAssociations(step simenv.Step, affected []*Node) {
 	for _, n := range affected {
 		n.Callers.Break()
 	}
 }
 
-func (p *player) shortenPatience(step plant.Step, _ []*Node) { p.setPatience(step.Size) }
+func (p *player) shortenPatience(step simenv.Step, _ []*Node) { p.setPatience(step.Size) }
 
 func (p *player) setPatience(share float64) {
 	for _, n := range p.fleet.Nodes {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"finchlatch/config"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/m3ua"
 	"finchlatch/router"
@@ -28,8 +28,8 @@
 	Regions     int
 	Rate        float64 // new callers per second in the whole fleet
 	Seed        uint64
-	Classes     []plant.Class
-	Habits      plant.Habits
+	Classes     []simenv.Class
+	Habits      simenv.Habits
 	LookUpShare float64       // share of the tries that start with an ENUM query
 	Release     time.Duration // release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule
 	Log         *slog.Logger  // of the call servers; nil: none
@@ -90,8 +90,8 @@
 	accessLinks []*Link          // for each exchange, to its callers and to its lines
 	createdAt   time.Time        // origin of the fleet's clock
 	mu          sync.Mutex
-	outcomes    []plant.Outcome
-	plan        plant.Plan
+	outcomes    []simenv.Outcome
+	plan        simenv.Plan
 	hotNumber   hotNumber
 	background  sync.WaitGroup // faults that are still being carried out
 }
@@ -143,7 +143,7 @@
 
 // applyPlan dimensions the trunk groups for the planned traffic and sets the parameters of the rule checker.
 func (f *Fleet) applyPlan() {
-	f.plan = plant.Plan{Exchanges: f.Settings.Exchanges, Rate: f.Settings.Rate, Classes: f.Settings.Classes}
+	f.plan = simenv.Plan{Exchanges: f.Settings.Exchanges, Rate: f.Settings.Rate, Classes: f.Settings.Classes}
 	f.Group, f.Parameters = f.plan.GroupSize(), f.plan.Parameters()
 	f.Parameters.QueryTimeout, f.Parameters.Slack, f.Parameters.TapSkew = time.Second, 100*time.Millisecond, 30*time.Millisecond
 	for i := range f.Settings.Exchanges {
@@ -160,8 +160,8 @@
 // addNode creates an exchange without its call server.
 func (f *Fleet) addNode(i int) error {
 	capacity := f.plan.ProcessorCapacity(f.Group)
-	n := &Node{Name: nodeName(i), Region: plant.Region(i, f.Settings.Exchanges, f.Settings.Regions), fleet: f, index: i,
-		Processor: NewProcessor(plant.NewProcessor[queueKey](f.plan.ServiceTimes(capacity), plant.MaxWait, capacity, f.Parameters), f.Now),
+	n := &Node{Name: nodeName(i), Region: simenv.Region(i, f.Settings.Exchanges, f.Settings.Regions), fleet: f, index: i,
+		Processor: NewProcessor(simenv.NewProcessor[queueKey](f.plan.ServiceTimes(capacity), simenv.MaxWait, capacity, f.Parameters), f.Now),
 		Rate:      f.Settings.Rate / float64(f.Settings.Exchanges)}
 	seed := f.Settings.Seed*1000 + uint64(i)
 	circuits := config.Circuits{First: 1, Count: accessCircuits}.Codes()
@@ -184,14 +184,14 @@
 	for i, a := range f.Nodes {
 		for j := i + 1; j < len(f.Nodes); j++ {
 			b := f.Nodes[j]
-			link, err := NewLink(serverEnd(a), serverEnd(b), b.address, plant.SignallingDelay(a.Region, b.Region), f.Recorder, f.Now)
+			link, err := NewLink(serverEnd(a), serverEnd(b), b.address, simenv.SignallingDelay(a.Region, b.Region), f.Recorder, f.Now)
 			if err != nil {
 				return err
 			}
 			f.links[[2]int{i, j}] = link
 		}
 		for _, name := range []string{"counters", "lines"} {
-			link, err := NewLink(linkEnd{name: name}, serverEnd(a), a.address, plant.AccessDelay, f.Recorder, f.Now)
+			link, err := NewLink(linkEnd{name: name}, serverEnd(a), a.address, simenv.AccessDelay, f.Recorder, f.Now)
 			if err != nil {
 				return err
 			}
@@ -351,7 +351,7 @@
 
 // RestartProcessor restarts the processor of a node, which is cold then.
 func (n *Node) RestartProcessor() {
-	n.Processor.WithCore(func(core *plant.Processor[queueKey], now time.Duration) {
+	n.Processor.WithCore(func(core *simenv.Processor[queueKey], now time.Duration) {
 		core.Restart(now)
 		n.fleet.Recorder.Add(rulecheck.Record{At: now, Kind: rulecheck.Started, Exchange: n.Name, Capacity: core.Capacity})
 	})
@@ -449,22 +449,22 @@
 }
 
 // addOutcome stores the outcome of a caller.
-func (f *Fleet) addOutcome(outcome plant.Outcome) {
+func (f *Fleet) addOutcome(outcome simenv.Outcome) {
 	f.mu.Lock()
 	f.outcomes = append(f.outcomes, outcome)
 	f.mu.Unlock()
 }
 
 // Results returns the outcomes of all callers that are done.
-func (f *Fleet) Results() []plant.Outcome {
+func (f *Fleet) Results() []simenv.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]plant.Outcome(nil), f.outcomes...)
+	return append([]simenv.Outcome(nil), f.outcomes...)
 }
 
 // Report sums up the run.
-func (f *Fleet) Report() plant.Report {
-	r := plant.NewReport(f.Settings.Classes, f.Results(), f.Verdict())
+func (f *Fleet) Report() simenv.Report {
+	r := simenv.NewReport(f.Settings.Classes, f.Results(), f.Verdict())
 	for _, n := range f.Nodes {
 		if n.Processor.Collapsed() {
 			r.Collapsed = append(r.Collapsed, n.Name)
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -10,15 +10,15 @@
 	"go.uber.org/goleak"
 
 	"finchlatch/config"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // shortClasses returns the default classes with times short enough for tests.
-func shortClasses() []plant.Class {
-	classes := plant.DefaultClasses()
+func shortClasses() []simenv.Class {
+	classes := simenv.DefaultClasses()
 	for i := range classes {
 		c := &classes[i]
 		c.Aim, c.Patience, c.Deadline, c.Hold = 600*time.Millisecond, 1500*time.Millisecond, 3*time.Second, time.Second
@@ -30,7 +30,7 @@
 func startFleet(t *testing.T, seed uint64, change func(*FleetSettings)) *Fleet {
 	t.Helper()
 	settings := FleetSettings{Exchanges: 4, Regions: 2, Rate: 40, Seed: seed, Classes: shortClasses(),
-		Habits: plant.Habits{Redials: 2, Pause: 300 * time.Millisecond, HotPause: 100 * time.Millisecond,
+		Habits: simenv.Habits{Redials: 2, Pause: 300 * time.Millisecond, HotPause: 100 * time.Millisecond,
 			CutReturn: 500 * time.Millisecond, Overstay: 400 * time.Millisecond}}
 	if change != nil {
 		change(&settings)
@@ -45,7 +45,7 @@
 
 // playAndCheck plays a script and fails the test if a rule was violated, with a trace of the circuits of the first call
 // concerned.
-func playAndCheck(t *testing.T, f *Fleet, script plant.Script) plant.Report {
+func playAndCheck(t *testing.T, f *Fleet, script simenv.Script) simenv.Report {
 	t.Helper()
 	if err := script.Check(t.Name()); err != nil {
 		t.Fatal(err)
@@ -66,8 +66,8 @@
 func span(seconds float64) config.Duration { return config.Duration(seconds * float64(time.Second)) }
 
 // newScript returns a script of the given length in seconds.
-func newScript(length float64, steps ...plant.Step) plant.Script {
-	return plant.Script{Len: span(length), Steps: steps}
+func newScript(length float64, steps ...simenv.Step) simenv.Script {
+	return simenv.Script{Len: span(length), Steps: steps}
 }
 
 // TestEveryFaultAlone plays each kind of fault by itself, and three combinations, on sockets.
@@ -75,24 +75,24 @@
 	if testing.Short() {
 		t.Skip("plays for half a minute")
 	}
-	steps := map[string]plant.Step{
+	steps := map[string]simenv.Step{
 		"jump": {Size: 1.6}, "flood": {Part: 0.25, Size: 4}, "hot_number": {Part: 0.4, Size: 2}, "region_loss": {Part: 0.5},
 		"mass_cut": {Part: 0.5}, "silence": {Part: 0.25}, "hang": {Part: 0.25}, "replace": {Part: 0.25}, "unit": {},
 		"restart": {Part: 0.5}, "stall": {Part: 0.5, Size: 0.4}, "slow": {Size: 2.5}, "ageing": {Part: 0.25, Size: 8},
 		"late_list": {Size: 1}, "flap": {Part: 0.5}, "give_up": {Size: 0.3}, "client_flap": {Part: 0.5},
 		"late_answer": {Part: 0.5, Size: 1.49},
 	}
-	scripts := map[string][]plant.Step{}
+	scripts := map[string][]simenv.Step{}
 	for kind := range faults {
 		step, ok := steps[kind]
 		if !ok {
 			t.Errorf("kind %s is not played", kind)
 		}
 		step.Kind, step.At, step.Len = kind, span(1), span(1.5)
-		scripts[kind] = []plant.Step{step}
+		scripts[kind] = []simenv.Step{step}
 	}
 	join := func(names ...string) {
-		var all []plant.Step
+		var all []simenv.Step
 		for _, n := range names {
 			all = append(all, scripts[n]...)
 		}
@@ -120,16 +120,16 @@
 	if testing.Short() {
 		t.Skip("plays for a quarter of a minute")
 	}
-	script := newScript(9, plant.Step{At: span(1), Kind: "jump", Len: span(1), Size: 1.5},
-		plant.Step{At: span(1.5), Kind: "hot_number", Len: span(2), Part: 0.3, Size: 2},
-		plant.Step{At: span(2.5), Kind: "region_loss", Len: span(1.5), Part: 0.45},
-		plant.Step{At: span(3), Kind: "late_list", Len: span(4), Size: 0.5},
-		plant.Step{At: span(3.5), Kind: "mass_cut", Part: 0.4},
-		plant.Step{At: span(4), Kind: "silence", Len: span(2), Part: 0.17},
-		plant.Step{At: span(5), Kind: "unit"},
-		plant.Step{At: span(6), Kind: "stall", Len: span(1.5), Part: 0.34, Size: 0.3},
-		plant.Step{At: span(6.5), Kind: "flap", Part: 0.2},
-		plant.Step{At: span(7), Kind: "replace", Len: span(1.5), Part: 0.17})
+	script := newScript(9, simenv.Step{At: span(1), Kind: "jump", Len: span(1), Size: 1.5},
+		simenv.Step{At: span(1.5), Kind: "hot_number", Len: span(2), Part: 0.3, Size: 2},
+		simenv.Step{At: span(2.5), Kind: "region_loss", Len: span(1.5), Part: 0.45},
+		simenv.Step{At: span(3), Kind: "late_list", Len: span(4), Size: 0.5},
+		simenv.Step{At: span(3.5), Kind: "mass_cut", Part: 0.4},
+		simenv.Step{At: span(4), Kind: "silence", Len: span(2), Part: 0.17},
+		simenv.Step{At: span(5), Kind: "unit"},
+		simenv.Step{At: span(6), Kind: "stall", Len: span(1.5), Part: 0.34, Size: 0.3},
+		simenv.Step{At: span(6.5), Kind: "flap", Part: 0.2},
+		simenv.Step{At: span(7), Kind: "replace", Len: span(1.5), Part: 0.17})
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed+1), func(t *testing.T) {
 			t.Parallel()
@@ -154,11 +154,11 @@
 func TestClientsInAnOverload(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 8, func(s *FleetSettings) { s.Exchanges, s.Rate = 10, 100 })
-	r := playAndCheck(t, f, newScript(6, plant.Step{At: span(0.5), Kind: "jump", Len: span(5), Size: 1.15},
-		plant.Step{At: span(1), Kind: "client_flap", Part: 0.5},
-		plant.Step{At: span(1.5), Kind: "late_answer", Len: span(3), Part: 0.3, Size: 1.48},
-		plant.Step{At: span(2), Kind: "flap", Part: 0.2}, plant.Step{At: span(3), Kind: "client_flap", Part: 0.5},
-		plant.Step{At: span(3.5), Kind: "flap", Part: 0.2}, plant.Step{At: span(4), Kind: "hang", Len: span(1), Part: 0.2}))
+	r := playAndCheck(t, f, newScript(6, simenv.Step{At: span(0.5), Kind: "jump", Len: span(5), Size: 1.15},
+		simenv.Step{At: span(1), Kind: "client_flap", Part: 0.5},
+		simenv.Step{At: span(1.5), Kind: "late_answer", Len: span(3), Part: 0.3, Size: 1.48},
+		simenv.Step{At: span(2), Kind: "flap", Part: 0.2}, simenv.Step{At: span(3), Kind: "client_flap", Part: 0.5},
+		simenv.Step{At: span(3.5), Kind: "flap", Part: 0.2}, simenv.Step{At: span(4), Kind: "hang", Len: span(1), Part: 0.2}))
 	if r.Verdict.Calls < 800 || r.Verdict.Answers > r.Verdict.Calls || r.Verdict.Answers < r.Verdict.Calls*8/10 {
 		t.Errorf("%d calls taken, %d answers", r.Verdict.Calls, r.Verdict.Answers)
 	}
@@ -169,8 +169,8 @@
 func TestLookUpsTowardColdExchanges(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 9, func(s *FleetSettings) { s.Exchanges, s.Rate, s.LookUpShare = 6, 90, 1 })
-	r := playAndCheck(t, f, newScript(5, plant.Step{At: span(0.5), Kind: "jump", Len: span(4), Size: 1.5},
-		plant.Step{At: span(1), Kind: "unit"}))
+	r := playAndCheck(t, f, newScript(5, simenv.Step{At: span(0.5), Kind: "jump", Len: span(4), Size: 1.5},
+		simenv.Step{At: span(1), Kind: "unit"}))
 	if r.Verdict.Leases < 100 || r.Verdict.ColdStarts < 2 {
 		t.Errorf("%+v", r.Verdict)
 	}
@@ -181,8 +181,8 @@
 func TestFaultyCallServerOnSockets(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 5, func(s *FleetSettings) { s.Release = time.Millisecond })
-	f.Play(newScript(3, plant.Step{At: span(0.5), Kind: "mass_cut", Part: 1}, plant.Step{At: span(1), Kind: "flap", Part: 1},
-		plant.Step{At: span(1.5), Kind: "flap", Part: 1}, plant.Step{At: span(2), Kind: "flap", Part: 1}), nil)
+	f.Play(newScript(3, simenv.Step{At: span(0.5), Kind: "mass_cut", Part: 1}, simenv.Step{At: span(1), Kind: "flap", Part: 1},
+		simenv.Step{At: span(1.5), Kind: "flap", Part: 1}, simenv.Step{At: span(2), Kind: "flap", Part: 1}), nil)
 	v := f.Verdict()
 	if got := v.Violations; len(got) == 0 {
 		t.Fatalf("no violation found: %+v", v)
@@ -229,11 +229,11 @@
 		`{len:`:                                             "day.jsonnet",
 		`{len:'9s',steps:[{at:'x',kind:'flap'}]}`:           "not a duration",
 	} {
-		if _, err := plant.ParseScript("day.jsonnet", text); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := simenv.ParseScript("day.jsonnet", text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := plant.DefaultScript(); err != nil {
+	if _, err := simenv.DefaultScript(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/m3ua"
 )
 
@@ -107,14 +107,14 @@
 // relay carries messages between a pair of connections until one of them ends.
 func (l *Link) relay(client, server net.Conn) {
 	defer l.wg.Done()
-	s := &session{link: l, relation: plant.NewRelation()}
+	s := &session{link: l, relation: simenv.NewRelation()}
 	s.writers = [2]*frameWriter{newFrameWriter(server), newFrameWriter(client)}
 	var transfers sync.WaitGroup
 	for direction, conn := range []net.Conn{client, server} {
 		transfers.Add(2)
 		go func() {
 			defer transfers.Done()
-			s.read(plant.Direction(direction), conn)
+			s.read(simenv.Direction(direction), conn)
 			client.Close()
 			server.Close()
 			s.writers[direction].close()
@@ -139,11 +139,11 @@
 	link     *Link
 	writers  [2]*frameWriter // by direction
 	mu       sync.Mutex
-	relation *plant.Relation
+	relation *simenv.Relation
 }
 
 // ends returns the sending and the receiving end of a direction.
-func (s *session) ends(direction plant.Direction) (from, to linkEnd) {
+func (s *session) ends(direction simenv.Direction) (from, to linkEnd) {
 	if direction == 0 {
 		return s.link.client, s.link.server
 	}
@@ -151,7 +151,7 @@
 }
 
 // read reads frames from one end, records them and passes them on after the signalling delay.
-func (s *session) read(direction plant.Direction, conn net.Conn) {
+func (s *session) read(direction simenv.Direction, conn net.Conn) {
 	from, to := s.ends(direction)
 	framer := m3ua.Framer{}
 	delayed := newDelayLine(s.link.delay, s.link.clock)
@@ -168,9 +168,9 @@
 			if raw == nil {
 				break
 			}
-			frame := plant.ReadFrame(raw)
+			frame := simenv.ReadFrame(raw)
 			s.tap(from, to, true, raw)
-			s.withRelation(func(relation *plant.Relation) { relation.RecordSent(direction, frame) })
+			s.withRelation(func(relation *simenv.Relation) { relation.RecordSent(direction, frame) })
 			delayed.add(func() { s.arrive(direction, frame) })
 		}
 		if err != nil {
@@ -180,7 +180,7 @@
 }
 
 // withRelation calls a function with the state of the signalling relation while no other goroutine uses it.
-func (s *session) withRelation(use func(relation *plant.Relation)) {
+func (s *session) withRelation(use func(relation *simenv.Relation)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	use(s.relation)
@@ -195,24 +195,24 @@
 }
 
 // deliver writes a frame to the connection of the receiving end.
-func (s *session) deliver(direction plant.Direction, frame plant.Frame) {
+func (s *session) deliver(direction simenv.Direction, frame simenv.Frame) {
 	from, to := s.ends(direction)
 	s.writers[direction].write(frame.Raw, func() {
 		s.tap(to, from, false, frame.Raw)
-		s.withRelation(func(relation *plant.Relation) { relation.RecordDelivered(direction, frame) })
+		s.withRelation(func(relation *simenv.Relation) { relation.RecordDelivered(direction, frame) })
 	})
 }
 
 // arrive handles a frame that has reached the receiving end: it is queued at the processor, which serves or refuses it.
-func (s *session) arrive(direction plant.Direction, frame plant.Frame) {
+func (s *session) arrive(direction simenv.Direction, frame simenv.Frame) {
 	var intercepted bool
 	var reply []byte
-	var resumed []plant.Frame
-	s.withRelation(func(relation *plant.Relation) {
+	var resumed []simenv.Frame
+	s.withRelation(func(relation *simenv.Relation) {
 		intercepted, reply, resumed = relation.InterceptRefused(direction, frame)
 	})
 	if reply != nil {
-		s.deliver(1-direction, plant.ReadFrame(reply))
+		s.deliver(1-direction, simenv.ReadFrame(reply))
 	}
 	for _, waiting := range resumed {
 		s.arrive(1-direction, waiting)
@@ -223,18 +223,18 @@
 	case to.processor == nil:
 		s.deliver(direction, frame)
 	default: // M3UA management messages queue too: an unresponsive processor must not answer them
-		message := plant.QueuedMessage[queueKey]{From: queueKey{s, direction}, FromCallServer: from.tapped}
-		s.withRelation(func(relation *plant.Relation) { frame = plant.Classify(relation, direction, frame, &message) })
+		message := simenv.QueuedMessage[queueKey]{From: queueKey{s, direction}, FromCallServer: from.tapped}
+		s.withRelation(func(relation *simenv.Relation) { frame = simenv.Classify(relation, direction, frame, &message) })
 		message.Deliver, message.Refuse = func() { s.deliverServed(direction, frame) }, func() { s.refuseSetUp(direction, frame) }
 		to.processor.Submit(message)
 	}
 }
 
 // deliverServed delivers a frame that the processor has served, unless it belongs to a refused set-up.
-func (s *session) deliverServed(direction plant.Direction, frame plant.Frame) {
+func (s *session) deliverServed(direction simenv.Direction, frame simenv.Frame) {
 	intercepted, reply := frame.InterceptStale()
 	if reply != nil {
-		s.deliver(1-direction, plant.ReadFrame(reply))
+		s.deliver(1-direction, simenv.ReadFrame(reply))
 	}
 	if !intercepted {
 		s.deliver(direction, frame)
@@ -242,15 +242,15 @@
 }
 
 // refuseSetUp refuses an IAM in place of the call server, which never receives it.
-func (s *session) refuseSetUp(direction plant.Direction, frame plant.Frame) {
+func (s *session) refuseSetUp(direction simenv.Direction, frame simenv.Frame) {
 	var reply []byte
 	var mustDeliver bool
-	s.withRelation(func(relation *plant.Relation) { reply, mustDeliver = relation.Refuse(direction, frame) })
+	s.withRelation(func(relation *simenv.Relation) { reply, mustDeliver = relation.Refuse(direction, frame) })
 	if mustDeliver {
 		s.deliver(direction, frame)
 	}
 	if reply != nil {
-		s.deliver(1-direction, plant.ReadFrame(reply))
+		s.deliver(1-direction, simenv.ReadFrame(reply))
 		s.repeatRelease(direction, frame)
 	}
 }
@@ -259,12 +259,12 @@
 const releaseT1 = 15 * time.Second
 
 // repeatRelease repeats the REL of a refusal every T1 until the refusal is cleared or the connection has ended.
-func (s *session) repeatRelease(direction plant.Direction, frame plant.Frame) {
+func (s *session) repeatRelease(direction simenv.Direction, frame simenv.Frame) {
 	time.AfterFunc(releaseT1, func() {
 		var reply []byte
-		s.withRelation(func(relation *plant.Relation) { reply = relation.RepeatRelease(frame) })
+		s.withRelation(func(relation *simenv.Relation) { reply = relation.RepeatRelease(frame) })
 		if reply != nil && !s.writers[1-direction].isClosed() {
-			s.deliver(1-direction, plant.ReadFrame(reply))
+			s.deliver(1-direction, simenv.ReadFrame(reply))
 			s.repeatRelease(direction, frame)
 		}
 	})
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"finchlatch/internal/baseline"
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/router"
 )
@@ -23,14 +23,14 @@
 			b.Run(fmt.Sprintf("%s/%.0f%%", p.name, 100*load), func(b *testing.B) {
 				b.ReportMetric(0, "ns/op")
 				for b.Loop() {
-					f, err := NewFleet(FleetSettings{Exchanges: 8, Regions: 2, Rate: 80, Seed: 3, Classes: plant.DefaultClasses(),
-						Habits: plant.DefaultHabits(), Baseline: p.make})
+					f, err := NewFleet(FleetSettings{Exchanges: 8, Regions: 2, Rate: 80, Seed: 3, Classes: simenv.DefaultClasses(),
+						Habits: simenv.DefaultHabits(), Baseline: p.make})
 					if err != nil {
 						b.Fatal(err)
 					}
 					script := newScript(12)
 					if load != 1 {
-						script = newScript(12, plant.Step{Kind: "jump", Len: span(12), Size: max(load, 0.05)})
+						script = newScript(12, simenv.Step{Kind: "jump", Len: span(12), Size: max(load, 0.05)})
 					}
 					f.Play(script, nil)
 					r := f.Report()
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 )
 
 // Processor runs the simulated processor of an exchange in real time. All messages to the exchange queue at it. It is safe
@@ -13,7 +13,7 @@
 	mu     sync.Mutex
 	wake   *sync.Cond
 	clock  func() time.Duration
-	core   *plant.Processor[queueKey]
+	core   *simenv.Processor[queueKey]
 	closed bool
 	done   chan struct{}
 }
@@ -21,7 +21,7 @@
 // queueKey identifies one direction of a session.
 type queueKey struct {
 	session   *session
-	direction plant.Direction
+	direction simenv.Direction
 }
 
 // minSleep is the shortest wait for which the processor sleeps. A message that is due sooner is served at once, and later
@@ -29,7 +29,7 @@
 const minSleep = 300 * time.Microsecond
 
 // NewProcessor starts a processor.
-func NewProcessor(core *plant.Processor[queueKey], clock func() time.Duration) *Processor {
+func NewProcessor(core *simenv.Processor[queueKey], clock func() time.Duration) *Processor {
 	core.TimingTolerance = minSleep
 	p := &Processor{clock: clock, core: core, done: make(chan struct{})}
 	p.wake = sync.NewCond(&p.mu)
@@ -38,13 +38,13 @@
 }
 
 // Submit queues a message for the processor.
-func (p *Processor) Submit(message plant.QueuedMessage[queueKey]) {
-	p.WithCore(func(core *plant.Processor[queueKey], now time.Duration) { core.Submit(now, message) })
+func (p *Processor) Submit(message simenv.QueuedMessage[queueKey]) {
+	p.WithCore(func(core *simenv.Processor[queueKey], now time.Duration) { core.Submit(now, message) })
 }
 
 // WithCore calls a function with the simulated processor and the present time, while the processor does nothing else. It
 // does nothing once the processor is closed.
-func (p *Processor) WithCore(change func(core *plant.Processor[queueKey], now time.Duration)) {
+func (p *Processor) WithCore(change func(core *simenv.Processor[queueKey], now time.Duration)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.closed {
@@ -87,6 +87,6 @@
 
 // Collapsed reports whether the processor has collapsed under load while cold.
 func (p *Processor) Collapsed() (collapsed bool) {
-	p.WithCore(func(core *plant.Processor[queueKey], _ time.Duration) { collapsed = core.Collapsed() })
+	p.WithCore(func(core *simenv.Processor[queueKey], _ time.Duration) { collapsed = core.Collapsed() })
 	return collapsed
 }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -17,7 +17,7 @@
 
 	"finchlatch/config"
 	"finchlatch/internal/baseline"
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/model"
 )
 
@@ -34,13 +34,13 @@
 	Policies  []string  // names as in the function Policies
 	Rate      float64   // planned set-ups per second of one exchange, without redials
 	Regions   int
-	Group     int           // circuits between two exchanges; 0: sized for Rate
-	MaxWait   time.Duration // a set-up that waits longer for a processor is refused; 0: none is
-	Classes   []plant.Class // empty: the default classes
-	Habits    plant.Habits
+	Group     int            // circuits between two exchanges; 0: sized for Rate
+	MaxWait   time.Duration  // a set-up that waits longer for a processor is refused; 0: none is
+	Classes   []simenv.Class // empty: the default classes
+	Habits    simenv.Habits
 	Traffic   model.Traffic
-	Steps     []plant.Step // fault schedule
-	Rules     bool         // also check the five rules; this keeps every message in memory
+	Steps     []simenv.Step // fault schedule
+	Rules     bool          // also check the five rules; this keeps every message in memory
 }
 
 // defaultExperiment is run where no file is named.
@@ -53,12 +53,12 @@
 	if name == "" {
 		name, text = "overload.jsonnet", defaultExperiment
 	}
-	experiment := Experiment{Habits: plant.DefaultHabits(), Classes: nil, First: 1, Regions: 2}
-	if err := plant.DecodeJsonnet(name, text, &experiment); err != nil {
+	experiment := Experiment{Habits: simenv.DefaultHabits(), Classes: nil, First: 1, Regions: 2}
+	if err := simenv.DecodeJsonnet(name, text, &experiment); err != nil {
 		return experiment, err
 	}
 	if len(experiment.Classes) == 0 {
-		experiment.Classes = plant.DefaultClasses()
+		experiment.Classes = simenv.DefaultClasses()
 	}
 	return experiment, experiment.validate(name)
 }
@@ -115,8 +115,8 @@
 }
 
 // script returns the fault schedule of a run.
-func (e Experiment) script() plant.Script {
-	return plant.Script{Len: config.Duration(e.Length), Steps: e.Steps}
+func (e Experiment) script() simenv.Script {
+	return simenv.Script{Len: config.Duration(e.Length), Steps: e.Steps}
 }
 
 // Module is the policy name of the product's decision module, package logic.
--- a/lab/run.go
+++ b/lab/run.go
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"finchlatch/bound"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/model"
 	"finchlatch/router"
@@ -120,7 +120,7 @@
 }
 
 // add takes the outcome of one caller.
-func (a *accumulator) add(outcome plant.Outcome) {
+func (a *accumulator) add(outcome simenv.Outcome) {
 	a.allTries += outcome.Tries
 	class := a.experiment.Classes[outcome.Class]
 	earned, offered := outcome.Worth(class)
--- a/model/accessendpoint.go
+++ b/model/accessendpoint.go
@@ -3,20 +3,20 @@
 import (
 	"time"
 
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/isup"
 	"finchlatch/m3ua"
 	"finchlatch/router"
 )
 
-// accessEndpoint is the callers' or lines' end of their association with a call server. It implements plant.Association.
+// accessEndpoint is the callers' or lines' end of their association with a call server. It implements simenv.Association.
 type accessEndpoint struct {
 	node      *node // of the call server
 	assoc     *m3ua.Assoc
 	pointCode uint32
 	link      router.LinkID // of the call server to this end
 	name      string        // in records
-	relation  *plant.Relation
+	relation  *simenv.Relation
 	onMessage func(m *isup.Message)
 }
 
@@ -25,7 +25,7 @@
 
 // newAccessEndpoint creates an endpoint that is not connected.
 func (n *node) newAccessEndpoint(pointCode uint32, link router.LinkID, name string) *accessEndpoint {
-	return &accessEndpoint{node: n, pointCode: pointCode, link: link, name: name, relation: plant.NewRelation(),
+	return &accessEndpoint{node: n, pointCode: pointCode, link: link, name: name, relation: simenv.NewRelation(),
 		assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, HeartbeatInterval: -1})}
 }
 
@@ -69,7 +69,7 @@
 
 // loseConnection ends the connection. Messages in transit are lost with it.
 func (e *accessEndpoint) loseConnection() {
-	e.relation = plant.NewRelation()
+	e.relation = simenv.NewRelation()
 	e.assoc.Lost()
 	e.assoc.Indications()
 }
@@ -90,9 +90,9 @@
 // flush transmits the association's output to the call server.
 func (e *accessEndpoint) flush() {
 	for _, raw := range splitMessages(e.assoc.Output()) {
-		frame, relation := plant.ReadFrame(raw), e.relation
+		frame, relation := simenv.ReadFrame(raw), e.relation
 		relation.RecordSent(0, frame)
-		e.node.fleet.schedule(plant.AccessDelay, func() {
+		e.node.fleet.schedule(simenv.AccessDelay, func() {
 			if e.relation == relation && e.node.router != nil {
 				e.node.arrive(messageSource{relation: relation, direction: 0, link: e.link, name: e.name,
 					reply: e.replyFunc(relation)}, frame)
@@ -103,9 +103,9 @@
 
 // receiveFromServer transmits a message of the call server to this end.
 func (e *accessEndpoint) receiveFromServer(raw []byte) {
-	frame, relation := plant.ReadFrame(raw), e.relation
+	frame, relation := simenv.ReadFrame(raw), e.relation
 	relation.RecordSent(1, frame)
-	e.node.fleet.schedule(plant.AccessDelay, func() {
+	e.node.fleet.schedule(simenv.AccessDelay, func() {
 		if e.relation != relation {
 			return
 		}
@@ -117,17 +117,17 @@
 }
 
 // deliver delivers a message to this end.
-func (e *accessEndpoint) deliver(frame plant.Frame) {
+func (e *accessEndpoint) deliver(frame simenv.Frame) {
 	e.relation.RecordDelivered(1, frame)
 	e.receive(frame.Raw)
 }
 
 // replyFunc returns a function that transmits the processor's reply in place of the call server's.
-func (e *accessEndpoint) replyFunc(relation *plant.Relation) func(raw []byte) {
+func (e *accessEndpoint) replyFunc(relation *simenv.Relation) func(raw []byte) {
 	return func(raw []byte) {
-		e.node.fleet.schedule(plant.AccessDelay, func() {
+		e.node.fleet.schedule(simenv.AccessDelay, func() {
 			if e.relation == relation {
-				e.deliver(plant.ReadFrame(raw))
+				e.deliver(simenv.ReadFrame(raw))
 			}
 		})
 	}
--- a/model/edgecases_test.go
+++ b/model/edgecases_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 )
 
 // A simulated day of three exchanges uses no more memory at its end than after two hours, with a traffic profile over the
@@ -18,7 +18,7 @@
 	settings.PlannedRate = 30
 	settings.Traffic = Traffic{Spread: 0.5, Shift: 10 * time.Minute, Profile: []float64{0.2, 0.1, 0.3, 1, 1.5, 1.2, 1, 0.5}}
 	byHour := make([]int, 25)
-	settings.OnDone = func(o plant.Outcome) { byHour[min(24, int((o.StartedAt-startTime-startUpTime)/time.Hour))]++ }
+	settings.OnDone = func(o simenv.Outcome) { byHour[min(24, int((o.StartedAt-startTime-startUpTime)/time.Hour))]++ }
 	f, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 func TestBothEndsAtOnce(t *testing.T) {
 	settings := newSettings(2, 60, 9)
 	settings.GroupSize, settings.NoServiceTimes = 1, true
-	v, f, _ := playAndCheck(t, settings, plant.Script{Len: span(20)})
+	v, f, _ := playAndCheck(t, settings, simenv.Script{Len: span(20)})
 	if len(v.Violations) > 0 || v.DualSeizures < 10 {
 		t.Errorf("%d dual seizures, violations %v", v.DualSeizures, v.Violations)
 	}
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Play(plant.Script{Len: span(11)}, time.Second); err != nil { // two periods of the decision module
+		if err := f.Play(simenv.Script{Len: span(11)}, time.Second); err != nil { // two periods of the decision module
 			t.Fatal(err)
 		}
 		return f.Events(), len(f.Results())
@@ -86,7 +86,7 @@
 func TestRestartWithCalls(t *testing.T) {
 	settings := newSettings(4, 60, 12)
 	settings.Classes[0].Hold = 5 * time.Second
-	script := plant.Script{Len: span(4), Steps: []plant.Step{{Kind: "restart", At: span(2), Len: span(0.5), Part: 1}}}
+	script := simenv.Script{Len: span(4), Steps: []simenv.Step{{Kind: "restart", At: span(2), Len: span(0.5), Part: 1}}}
 	v, f, _ := playAndCheck(t, settings, script)
 	if len(v.Violations) > 0 || v.Calls < 150 {
 		t.Errorf("%d calls, violations %v", v.Calls, v.Violations)
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Play(plant.Script{Len: span(1), Steps: []plant.Step{{Kind: "fire"}}}, 0); err == nil {
+	if err := f.Play(simenv.Script{Len: span(1), Steps: []simenv.Step{{Kind: "fire"}}}, 0); err == nil {
 		t.Error("an unknown kind of fault was played")
 	}
 }
--- a/model/engine.go
+++ b/model/engine.go
@@ -1,5 +1,5 @@
 // Package model runs fleets of call servers in simulated time: the product's Routers in the simulated environment of
-// package plant, with links and service discovery, as discrete events on one goroutine. Two runs with the same settings,
+// package simenv, with links and service discovery, as discrete events on one goroutine. Two runs with the same settings,
 // seed and script are identical to the byte. The package takes no decisions about calls.
 package model
 
--- a/model/executors_test.go
+++ b/model/executors_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/internal/standin"
 )
 
@@ -16,9 +16,9 @@
 	}
 	script := newScript("flap")
 	settings := newSettings(5, 45, 11)
-	settings.MaxWait = plant.MaxWait
+	settings.MaxWait = simenv.MaxWait
 	v, f, _ := playAndCheck(t, settings, script)
-	simulated := plant.NewReport(settings.Classes, f.Results(), v)
+	simulated := simenv.NewReport(settings.Classes, f.Results(), v)
 	s, err := standin.NewFleet(standin.FleetSettings{Exchanges: settings.Exchanges, Regions: settings.Regions, Rate: settings.Rate,
 		Seed: settings.Seed, Classes: settings.Classes, Habits: settings.Habits})
 	if err != nil {
--- a/model/fleet.go
+++ b/model/fleet.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/measure"
 	"finchlatch/numbering"
@@ -22,8 +22,8 @@
 	PlannedRate float64 // rate that groups and processors are dimensioned for; 0: Rate
 	GroupSize   int     // circuits between two exchanges; 0: dimensioned for the planned traffic
 	Seed        uint64
-	Classes     []plant.Class
-	Habits      plant.Habits
+	Classes     []simenv.Class
+	Habits      simenv.Habits
 	Traffic     Traffic
 	Sources     int           // callers at each exchange, of whom only idle ones make calls; 0: an unlimited number
 	MaxWait     time.Duration // a set-up that has been queued at a processor for longer is refused; 0: none is
@@ -41,7 +41,7 @@
 	// OnRecord receives the records for the rule checker; nil: nothing is recorded.
 	OnRecord func(r rulecheck.Record)
 	// OnDone receives the outcome of each caller; nil: the outcomes are stored for Results.
-	OnDone func(o plant.Outcome)
+	OnDone func(o simenv.Outcome)
 }
 
 // Fleet is a fleet in simulated time.
@@ -53,7 +53,7 @@
 	names          []string // of the exchanges
 	group          int      // circuits between two exchanges
 	capacity       float64  // of a processor, in set-ups per second
-	serviceTimes   plant.ServiceTimes
+	serviceTimes   simenv.ServiceTimes
 	releaseTime    time.Duration
 	groupCircuits  []uint16 // between two exchanges, unless Settings.GroupSizeOf is set
 	accessCircuits []uint16 // to the callers of an exchange, and the same to its lines
@@ -66,7 +66,7 @@
 	hotNumber      string
 	hotShare       float64 // of the callers of other exchanges, who call hotNumber
 	hotOwner       int     // index of the exchange that hotNumber belongs to
-	outcomes       []plant.Outcome
+	outcomes       []simenv.Outcome
 	measured       []measure.Interval // of Routers that have ended
 }
 
@@ -118,7 +118,7 @@
 
 // applyPlan dimensions circuits and processors for the planned traffic and sets the parameters of the rule checker.
 func (f *Fleet) applyPlan() {
-	plan := plant.Plan{Exchanges: f.settings.Exchanges, Rate: f.settings.PlannedRate, Classes: f.settings.Classes}
+	plan := simenv.Plan{Exchanges: f.settings.Exchanges, Rate: f.settings.PlannedRate, Classes: f.settings.Classes}
 	if plan.Rate == 0 {
 		plan.Rate = f.settings.Rate
 	}
@@ -160,7 +160,7 @@
 }
 
 // addOutcome passes the outcome of a caller on, or stores it.
-func (f *Fleet) addOutcome(outcome plant.Outcome) {
+func (f *Fleet) addOutcome(outcome simenv.Outcome) {
 	if f.settings.OnDone != nil {
 		f.settings.OnDone(outcome)
 		return
@@ -175,7 +175,7 @@
 		office.Started = f.now
 	}
 	for _, n := range f.nodes {
-		f.schedule(f.discoveryDelay+plant.DiscoveryDelay(f.rng.Float64(), unreported), func() {
+		f.schedule(f.discoveryDelay+simenv.DiscoveryDelay(f.rng.Float64(), unreported), func() {
 			if n.router != nil {
 				office := f.offices[changed.index]
 				n.recordNotification(office)
@@ -209,7 +209,7 @@
 }
 
 // Results returns the outcomes of all callers that are done; none if Settings.OnDone is set.
-func (f *Fleet) Results() []plant.Outcome { return slices.Clone(f.outcomes) }
+func (f *Fleet) Results() []simenv.Outcome { return slices.Clone(f.outcomes) }
 
 // WallClock returns the time of day in the fleet, which starts at midnight.
 func (f *Fleet) WallClock() time.Time { return time.Unix(0, 0).UTC().Add(f.now - startTime) }
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"finchlatch/config"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 )
 
 // shortClasses returns the default classes with times short enough for tests.
-func shortClasses() []plant.Class {
-	classes := plant.DefaultClasses()
+func shortClasses() []simenv.Class {
+	classes := simenv.DefaultClasses()
 	for i := range classes {
 		c := &classes[i]
 		c.Aim, c.Patience, c.Deadline, c.Hold = 600*time.Millisecond, 1500*time.Millisecond, 3*time.Second, time.Second
@@ -24,7 +24,7 @@
 // newSettings returns the settings of a fleet with short times.
 func newSettings(exchanges int, rate float64, seed uint64) Settings {
 	return Settings{Exchanges: exchanges, Regions: 2, Rate: rate, Seed: seed, Classes: shortClasses(),
-		Habits: plant.Habits{Redials: 2, Pause: 300 * time.Millisecond, HotPause: 100 * time.Millisecond,
+		Habits: simenv.Habits{Redials: 2, Pause: 300 * time.Millisecond, HotPause: 100 * time.Millisecond,
 			CutReturn: 500 * time.Millisecond, Overstay: 400 * time.Millisecond}}
 }
 
@@ -32,7 +32,7 @@
 func span(seconds float64) config.Duration { return config.Duration(seconds * float64(time.Second)) }
 
 // playAndCheck plays a script and returns the verdict on the rules, the fleet, and a digest of all records.
-func playAndCheck(t testing.TB, settings Settings, script plant.Script) (rulecheck.Verdict, *Fleet, string) {
+func playAndCheck(t testing.TB, settings Settings, script simenv.Script) (rulecheck.Verdict, *Fleet, string) {
 	t.Helper()
 	var records []rulecheck.Record
 	digest := sha256.New()
@@ -51,13 +51,13 @@
 }
 
 // newScript returns a script of five seconds in which one fault of each given kind starts after a second.
-func newScript(kinds ...string) plant.Script {
-	steps := map[string]plant.Step{"jump": {Size: 1.6}, "flood": {Part: 0.25, Size: 4}, "hot_number": {Part: 0.4, Size: 2},
+func newScript(kinds ...string) simenv.Script {
+	steps := map[string]simenv.Step{"jump": {Size: 1.6}, "flood": {Part: 0.25, Size: 4}, "hot_number": {Part: 0.4, Size: 2},
 		"region_loss": {Part: 0.5}, "mass_cut": {Part: 0.5}, "silence": {Part: 0.25}, "hang": {Part: 0.25}, "replace": {Part: 0.25},
 		"unit": {}, "restart": {Part: 0.5}, "stall": {Part: 0.5, Size: 0.4}, "slow": {Size: 2.5}, "ageing": {Part: 0.25, Size: 8},
 		"late_list": {Size: 1}, "flap": {Part: 0.5}, "give_up": {Size: 0.3}, "client_flap": {Part: 0.5},
 		"late_answer": {Part: 0.5, Size: 1.49}}
-	script := plant.Script{Len: span(5)}
+	script := simenv.Script{Len: span(5)}
 	for _, kind := range kinds {
 		step := steps[kind]
 		step.Kind, step.At, step.Len = kind, span(1), span(1.5)
--- a/model/node.go
+++ b/model/node.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/m3ua"
 	"finchlatch/measure"
@@ -22,22 +22,22 @@
 	index          int
 	name           string
 	region         int
-	processor      *plant.Processor[router.LinkID]
+	processor      *simenv.Processor[router.LinkID]
 	serveScheduled bool           // an event is scheduled that serves the processor
 	router         *router.Router // nil: the call server is down
 	generation     uint64         // incremented at each start and crash; timers of earlier generations are ignored
 	timerAt        time.Duration  // time of the event scheduled for the Router's next timer; 0: none
-	callers        *plant.Callers
-	lines          *plant.Lines
+	callers        *simenv.Callers
+	lines          *simenv.Lines
 	access         [2]*accessEndpoint // of the callers and of the lines
 	meter          *measure.Meter
-	relations      []*plant.Relation // with the exchange itself and those of higher index, created when needed
+	relations      []*simenv.Relation // with the exchange itself and those of higher index, created when needed
 }
 
 // messageSource describes where a message to an exchange comes from.
 type messageSource struct {
-	relation       *plant.Relation
-	direction      plant.Direction
+	relation       *simenv.Relation
+	direction      simenv.Direction
 	link           router.LinkID    // of the receiving Router
 	name           string           // of the sender, in records
 	fromCallServer bool             // from another exchange, not from callers or lines
@@ -61,13 +61,13 @@
 
 // newNode creates an exchange without its Router.
 func (f *Fleet) newNode(i int) *node {
-	n := &node{fleet: f, index: i, name: exchangeName(i), region: plant.Region(i, f.settings.Exchanges, f.settings.Regions)}
-	n.processor = plant.NewProcessor[router.LinkID](f.serviceTimes, f.settings.MaxWait, f.capacity, f.Parameters)
+	n := &node{fleet: f, index: i, name: exchangeName(i), region: simenv.Region(i, f.settings.Exchanges, f.settings.Regions)}
+	n.processor = simenv.NewProcessor[router.LinkID](f.serviceTimes, f.settings.MaxWait, f.capacity, f.Parameters)
 	callers := n.newAccessEndpoint(uint32(firstCallersPointCode+i), n.countersLink(), "counters")
 	lines := n.newAccessEndpoint(uint32(firstLinesPointCode+i), n.linesLink(), "lines")
 	n.access = [2]*accessEndpoint{callers, lines}
-	n.callers = plant.NewCallers(callers, uint32(i), f.accessCircuits, f.settings.Seed, callersStream+uint64(i))
-	n.lines = plant.NewLines(lines, f.settings.Seed, linesStream+uint64(i))
+	n.callers = simenv.NewCallers(callers, uint32(i), f.accessCircuits, f.settings.Seed, callersStream+uint64(i))
+	n.lines = simenv.NewLines(lines, f.settings.Seed, linesStream+uint64(i))
 	n.callers.Classes, n.callers.Habits, n.callers.OnDone, n.callers.T1 = f.settings.Classes, f.settings.Habits, f.addOutcome, t1
 	n.callers.PickNumber, n.callers.RateProfile = n.pickNumber, f.rateProfile()
 	n.callers.Sources = f.settings.Sources
@@ -193,17 +193,17 @@
 func (n *node) linesLink() router.LinkID { return router.LinkID(n.fleet.settings.Exchanges) }
 
 // relationBetween returns the state of the signalling relation between two exchanges, and the direction from a to b.
-func (f *Fleet) relationBetween(a, b *node) (*plant.Relation, plant.Direction) {
-	direction := plant.Direction(0)
+func (f *Fleet) relationBetween(a, b *node) (*simenv.Relation, simenv.Direction) {
+	direction := simenv.Direction(0)
 	if a.index > b.index {
 		a, b, direction = b, a, 1
 	}
 	if a.relations == nil {
-		a.relations = make([]*plant.Relation, len(f.nodes)-a.index)
+		a.relations = make([]*simenv.Relation, len(f.nodes)-a.index)
 	}
 	relation := &a.relations[b.index-a.index]
 	if *relation == nil {
-		*relation = plant.NewRelation()
+		*relation = simenv.NewRelation()
 	}
 	return *relation, direction
 }
@@ -219,7 +219,7 @@
 }
 
 // isCurrentRelation reports whether a signalling relation of two exchanges has not been dropped.
-func (f *Fleet) isCurrentRelation(a, b *node, relation *plant.Relation) bool {
+func (f *Fleet) isCurrentRelation(a, b *node, relation *simenv.Relation) bool {
 	if a.index > b.index {
 		a, b = b, a
 	}
@@ -284,10 +284,10 @@
 	}
 	fleet, peer := n.fleet, n.fleet.nodes[n.peerOf(link)]
 	n.recordMessage(peer.name, true, raw)
-	frame := plant.ReadFrame(raw)
+	frame := simenv.ReadFrame(raw)
 	relation, direction := fleet.relationBetween(n, peer)
 	relation.RecordSent(direction, frame)
-	fleet.schedule(plant.SignallingDelay(n.region, peer.region), func() {
+	fleet.schedule(simenv.SignallingDelay(n.region, peer.region), func() {
 		if fleet.isCurrentRelation(n, peer, relation) && peer.router != nil {
 			peer.arrive(peer.sourceFrom(n, relation, direction), frame)
 		}
@@ -295,12 +295,12 @@
 }
 
 // sourceFrom describes messages from another exchange to this one.
-func (n *node) sourceFrom(peer *node, relation *plant.Relation, direction plant.Direction) messageSource {
+func (n *node) sourceFrom(peer *node, relation *simenv.Relation, direction simenv.Direction) messageSource {
 	return messageSource{relation: relation, direction: direction, link: n.linkOf(peer.index), name: peer.name,
 		fromCallServer: true, reply: func(raw []byte) {
-			n.fleet.schedule(plant.SignallingDelay(n.region, peer.region), func() {
+			n.fleet.schedule(simenv.SignallingDelay(n.region, peer.region), func() {
 				if n.fleet.isCurrentRelation(n, peer, relation) && peer.router != nil {
-					peer.submit(peer.sourceFrom(n, relation, 1-direction), plant.ReadFrame(raw))
+					peer.submit(peer.sourceFrom(n, relation, 1-direction), simenv.ReadFrame(raw))
 				}
 			})
 		}}
@@ -315,7 +315,7 @@
 }
 
 // arrive handles a message that has reached an exchange. Messages on circuits of a refused set-up are intercepted.
-func (n *node) arrive(source messageSource, frame plant.Frame) {
+func (n *node) arrive(source messageSource, frame simenv.Frame) {
 	intercepted, reply, resumed := source.relation.InterceptRefused(source.direction, frame)
 	if reply != nil {
 		source.reply(reply)
@@ -329,7 +329,7 @@
 }
 
 // deliverHeld delivers a message of this call server that was held until a refusal was cleared.
-func (n *node) deliverHeld(source messageSource, frame plant.Frame) {
+func (n *node) deliverHeld(source messageSource, frame simenv.Frame) {
 	if access := source.link - n.countersLink(); access >= 0 {
 		n.access[access].deliver(frame)
 		return
@@ -339,9 +339,9 @@
 }
 
 // submit queues a message at the processor, which delivers it to the Router or refuses it.
-func (n *node) submit(source messageSource, frame plant.Frame) {
-	message := plant.QueuedMessage[router.LinkID]{From: source.link, FromCallServer: source.fromCallServer}
-	frame = plant.Classify(source.relation, source.direction, frame, &message)
+func (n *node) submit(source messageSource, frame simenv.Frame) {
+	message := simenv.QueuedMessage[router.LinkID]{From: source.link, FromCallServer: source.fromCallServer}
+	frame = simenv.Classify(source.relation, source.direction, frame, &message)
 	message.Deliver, message.Refuse = func() { n.deliver(source, frame) }, func() { n.refuseSetUp(source, frame) }
 	n.processor.Submit(n.fleet.now, message)
 	n.scheduleServe()
@@ -364,7 +364,7 @@
 }
 
 // deliver hands a message that the processor has served to the Router, unless it belongs to a refused set-up.
-func (n *node) deliver(source messageSource, frame plant.Frame) {
+func (n *node) deliver(source messageSource, frame simenv.Frame) {
 	if n.router == nil || !n.isCurrent(source) {
 		return // the connection was lost while the message was queued
 	}
@@ -381,7 +381,7 @@
 }
 
 // refuseSetUp refuses an IAM in place of the Router, which never receives it.
-func (n *node) refuseSetUp(source messageSource, frame plant.Frame) {
+func (n *node) refuseSetUp(source messageSource, frame simenv.Frame) {
 	if n.router == nil || !n.isCurrent(source) {
 		return
 	}
@@ -396,7 +396,7 @@
 }
 
 // repeatRelease repeats the REL of a refusal every T1 until the refusal is cleared.
-func (n *node) repeatRelease(source messageSource, frame plant.Frame) {
+func (n *node) repeatRelease(source messageSource, frame simenv.Frame) {
 	n.fleet.schedule(t1, func() {
 		if reply := source.relation.RepeatRelease(frame); reply != nil && n.isCurrent(source) {
 			source.reply(reply)
--- a/model/play.go
+++ b/model/play.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/isup"
 	"finchlatch/logic"
 	"finchlatch/router"
@@ -13,7 +13,7 @@
 
 // fault injects a kind of fault into a fleet, and ends it; end is nil if the fault ends by itself.
 type fault struct {
-	begin, end func(f *Fleet, step plant.Step, affected []*node)
+	begin, end func(f *Fleet, step simenv.Step, affected []*node)
 }
 
 // Down times of a call server that restarts, and the time between releasing all calls and stopping in a replacement.
@@ -25,49 +25,49 @@
 
 // faults are the kinds of fault by their names in scripts: the same as on sockets.
 var faults = map[string]fault{
-	"jump": {func(f *Fleet, step plant.Step, _ []*node) { f.scaleRates(f.nodes, step.Size) },
-		func(f *Fleet, step plant.Step, _ []*node) { f.scaleRates(f.nodes, 1) }},
-	"flood": {func(f *Fleet, step plant.Step, affected []*node) { f.scaleRates(affected, step.Size) },
-		func(f *Fleet, step plant.Step, affected []*node) { f.scaleRates(affected, 1) }},
-	"hot_number": {(*Fleet).startHotNumber, func(f *Fleet, _ plant.Step, _ []*node) { f.hotShare = 0 }},
-	"region_loss": {func(f *Fleet, step plant.Step, _ []*node) { f.setBlocked(step, true) },
-		func(f *Fleet, step plant.Step, _ []*node) { f.setBlocked(step, false) }},
+	"jump": {func(f *Fleet, step simenv.Step, _ []*node) { f.scaleRates(f.nodes, step.Size) },
+		func(f *Fleet, step simenv.Step, _ []*node) { f.scaleRates(f.nodes, 1) }},
+	"flood": {func(f *Fleet, step simenv.Step, affected []*node) { f.scaleRates(affected, step.Size) },
+		func(f *Fleet, step simenv.Step, affected []*node) { f.scaleRates(affected, 1) }},
+	"hot_number": {(*Fleet).startHotNumber, func(f *Fleet, _ simenv.Step, _ []*node) { f.hotShare = 0 }},
+	"region_loss": {func(f *Fleet, step simenv.Step, _ []*node) { f.setBlocked(step, true) },
+		func(f *Fleet, step simenv.Step, _ []*node) { f.setBlocked(step, false) }},
 	"mass_cut": {(*Fleet).dropCalls, nil},
-	"silence": {func(f *Fleet, _ plant.Step, affected []*node) {
+	"silence": {func(f *Fleet, _ simenv.Step, affected []*node) {
 		for _, n := range affected {
 			n.processor.StopResponding()
 			f.announce(n, logic.Gone, false, true)
 		}
 	}, (*Fleet).restartProcessors},
-	"hang": {forEach(func(n *node, _ plant.Step) { n.processor.IgnoreSetUps(true) }),
-		forEach(func(n *node, _ plant.Step) { n.processor.IgnoreSetUps(false) })},
-	"late_answer": {forEach(func(n *node, step plant.Step) { n.lines.ExtraDelay = time.Duration(step.Size * float64(time.Second)) }),
-		forEach(func(n *node, _ plant.Step) { n.lines.ExtraDelay = 0 })},
+	"hang": {forEach(func(n *node, _ simenv.Step) { n.processor.IgnoreSetUps(true) }),
+		forEach(func(n *node, _ simenv.Step) { n.processor.IgnoreSetUps(false) })},
+	"late_answer": {forEach(func(n *node, step simenv.Step) { n.lines.ExtraDelay = time.Duration(step.Size * float64(time.Second)) }),
+		forEach(func(n *node, _ simenv.Step) { n.lines.ExtraDelay = 0 })},
 	"replace": {(*Fleet).replaceProcessors, nil},
-	"unit": {func(f *Fleet, _ plant.Step, affected []*node) {
+	"unit": {func(f *Fleet, _ simenv.Step, affected []*node) {
 		for _, n := range affected {
 			f.restartServer(n, replaceTime, true)
 		}
 	}, nil},
-	"restart": {func(f *Fleet, step plant.Step, affected []*node) {
+	"restart": {func(f *Fleet, step simenv.Step, affected []*node) {
 		for i, n := range affected {
 			f.schedule(time.Duration(step.Len)*time.Duration(i)/time.Duration(len(affected)),
 				func() { f.restartServer(n, restartTime, false) })
 		}
 	}, nil},
 	"stall": {(*Fleet).stallProcessors, nil},
-	"slow": {func(f *Fleet, step plant.Step, _ []*node) {
+	"slow": {func(f *Fleet, step simenv.Step, _ []*node) {
 		for _, n := range f.nodes {
 			n.processor.SlowDown(step.Size, f.now+time.Duration(step.Len))
 		}
 	}, nil},
-	"ageing": {forEach(func(n *node, step plant.Step) {
+	"ageing": {forEach(func(n *node, step simenv.Step) {
 		n.processor.Age(n.fleet.now, (step.Size-1)/time.Duration(step.Len).Seconds())
 	}), (*Fleet).restartProcessors},
-	"late_list": {func(f *Fleet, step plant.Step, _ []*node) {
+	"late_list": {func(f *Fleet, step simenv.Step, _ []*node) {
 		f.discoveryDelay = time.Duration(step.Size * float64(time.Second))
-	}, func(f *Fleet, _ plant.Step, _ []*node) { f.discoveryDelay = 0 }},
-	"flap": {func(f *Fleet, step plant.Step, _ []*node) {
+	}, func(f *Fleet, _ simenv.Step, _ []*node) { f.discoveryDelay = 0 }},
+	"flap": {func(f *Fleet, step simenv.Step, _ []*node) {
 		for i, a := range f.nodes {
 			for _, b := range f.nodes[i+1:] {
 				if f.rng.Float64() < step.Part {
@@ -76,9 +76,9 @@
 			}
 		}
 	}, nil},
-	"give_up": {func(f *Fleet, step plant.Step, _ []*node) { f.setPatience(step.Size) },
-		func(f *Fleet, _ plant.Step, _ []*node) { f.setPatience(0) }},
-	"client_flap": {forEach(func(n *node, _ plant.Step) {
+	"give_up": {func(f *Fleet, step simenv.Step, _ []*node) { f.setPatience(step.Size) },
+		func(f *Fleet, _ simenv.Step, _ []*node) { f.setPatience(0) }},
+	"client_flap": {forEach(func(n *node, _ simenv.Step) {
 		if n.router != nil {
 			n.access[0].loseConnection()
 			n.recordEvent(rulecheck.ConnectionLost, "counters")
@@ -91,8 +91,8 @@
 }
 
 // forEach returns a fault function that is applied to each affected exchange.
-func forEach(apply func(n *node, step plant.Step)) func(*Fleet, plant.Step, []*node) {
-	return func(_ *Fleet, step plant.Step, affected []*node) {
+func forEach(apply func(n *node, step simenv.Step)) func(*Fleet, simenv.Step, []*node) {
+	return func(_ *Fleet, step simenv.Step, affected []*node) {
 		for _, n := range affected {
 			apply(n, step)
 		}
@@ -101,7 +101,7 @@
 
 // Play plays a script: it starts the callers, injects each fault at its time, stops the callers, and runs for drainTime
 // more, in which the last calls end.
-func (f *Fleet) Play(script plant.Script, drainTime time.Duration) error {
+func (f *Fleet) Play(script simenv.Script, drainTime time.Duration) error {
 	for i, step := range script.Steps {
 		if _, ok := faults[step.Kind]; !ok {
 			return fmt.Errorf("model: steps[%d].kind: unknown kind %q", i, step.Kind)
@@ -126,7 +126,7 @@
 }
 
 // selectNodes returns the exchanges that a step affects.
-func (f *Fleet) selectNodes(step plant.Step) (nodes []*node) {
+func (f *Fleet) selectNodes(step simenv.Step) (nodes []*node) {
 	for _, i := range step.SelectExchanges(f.rng, f.names) {
 		nodes = append(nodes, f.nodes[i])
 	}
@@ -148,14 +148,14 @@
 }
 
 // startHotNumber makes a random exchange own a number that a share of all callers calls and that has few lines.
-func (f *Fleet) startHotNumber(step plant.Step, _ []*node) {
+func (f *Fleet) startHotNumber(step simenv.Step, _ []*node) {
 	f.hotOwner = f.rng.IntN(len(f.nodes))
 	f.hotNumber, f.hotShare = fmt.Sprintf("5%04d99999", f.hotOwner+1), step.Part
 	f.nodes[f.hotOwner].lines.LineCounts[f.hotNumber] = int(step.Size)
 }
 
 // setBlocked blocks or unblocks part of the circuits between a region and the others, from the region's side.
-func (f *Fleet) setBlocked(step plant.Step, blocked bool) {
+func (f *Fleet) setBlocked(step simenv.Step, blocked bool) {
 	for _, a := range f.nodes {
 		for i, b := range f.nodes {
 			if a.router != nil && a.region == step.Region && b.region != step.Region {
@@ -168,7 +168,7 @@
 }
 
 // dropCalls resets part of the circuits of established calls in each trunk group.
-func (f *Fleet) dropCalls(step plant.Step, _ []*node) {
+func (f *Fleet) dropCalls(step simenv.Step, _ []*node) {
 	for i, a := range f.nodes {
 		for j := i + 1; j < len(f.nodes) && a.router != nil; j++ {
 			id := router.PeerID(a.linkOf(j))
@@ -180,7 +180,7 @@
 }
 
 // restartProcessors restarts the processors of the affected exchanges.
-func (f *Fleet) restartProcessors(_ plant.Step, affected []*node) {
+func (f *Fleet) restartProcessors(_ simenv.Step, affected []*node) {
 	for _, n := range affected {
 		f.restartProcessor(n)
 	}
@@ -209,7 +209,7 @@
 
 // replaceProcessors moves exchanges to new processors, one after the other: each drains, releases its calls, stops, and
 // restarts on a cold processor.
-func (f *Fleet) replaceProcessors(step plant.Step, affected []*node) {
+func (f *Fleet) replaceProcessors(step simenv.Step, affected []*node) {
 	interval := time.Duration(step.Len) / time.Duration(len(affected))
 	for i, n := range affected {
 		f.schedule(interval*time.Duration(i), func() {
@@ -232,7 +232,7 @@
 }
 
 // stallProcessors pauses processors repeatedly, each with a random interval of its own.
-func (f *Fleet) stallProcessors(step plant.Step, affected []*node) {
+func (f *Fleet) stallProcessors(step simenv.Step, affected []*node) {
 	for _, n := range affected {
 		pause := time.Duration((2 + f.rng.Float64()*2) * float64(time.Second))
 		for at := time.Duration(0); at < time.Duration(step.Len); at += pause {
--- a/model/processor_test.go
+++ b/model/processor_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 )
 
 // Answers have priority over set-ups, but no message overtakes an earlier one of its own circuit.
 func TestProcessorKeepsTheOrderOfACircuit(t *testing.T) {
 	e := &engine{}
-	harness := newProcessorHarness(e, plant.ServiceTimes{SetUp: time.Second, Answer: time.Second}, 1)
+	harness := newProcessorHarness(e, simenv.ServiceTimes{SetUp: time.Second, Answer: time.Second}, 1)
 	var order []string
 	submit := func(name string, message queuedMessage) {
 		message.Deliver = func() { order = append(order, name) }
@@ -48,17 +48,17 @@
 	}
 }
 
-type queuedMessage = plant.QueuedMessage[int]
+type queuedMessage = simenv.QueuedMessage[int]
 
 // processorHarness runs a processor by itself on an engine.
 type processorHarness struct {
 	engine         *engine
-	processor      *plant.Processor[int]
+	processor      *simenv.Processor[int]
 	serveScheduled bool
 }
 
-func newProcessorHarness(engine *engine, serviceTimes plant.ServiceTimes, capacity float64) *processorHarness {
-	return &processorHarness{engine: engine, processor: plant.NewProcessor[int](serviceTimes, 0, capacity, plant.Plan{}.Parameters())}
+func newProcessorHarness(engine *engine, serviceTimes simenv.ServiceTimes, capacity float64) *processorHarness {
+	return &processorHarness{engine: engine, processor: simenv.NewProcessor[int](serviceTimes, 0, capacity, simenv.Plan{}.Parameters())}
 }
 
 // submit queues a message and schedules its service.
--- a/model/scenario.go
+++ b/model/scenario.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"finchlatch/config"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 )
 
 // Scenario describes a whole short run: a fleet and its fault schedule. The swarm draws and shrinks scenarios, and they are
@@ -22,16 +22,16 @@
 	Planned   float64
 	Seed      uint64
 	MaxWait   time.Duration
-	Classes   []plant.Class
-	Habits    plant.Habits
+	Classes   []simenv.Class
+	Habits    simenv.Habits
 	Traffic   Traffic
-	Script    plant.Script
+	Script    simenv.Script
 }
 
 // ReadScenario reads a scenario in Jsonnet or JSON; name stands for its file in errors.
 func ReadScenario(name, text string) (Scenario, error) {
 	var s Scenario
-	if err := plant.DecodeJsonnet(name, text, &s); err != nil {
+	if err := simenv.DecodeJsonnet(name, text, &s); err != nil {
 		return s, err
 	}
 	if len(s.Classes) == 0 {
@@ -120,12 +120,12 @@
 	duration := func(low, high float64) time.Duration {
 		return time.Duration(between(low, high) * float64(time.Second)).Round(time.Millisecond)
 	}
-	s := Scenario{Exchanges: 3 + rng.IntN(5), Regions: 1 + rng.IntN(3), Seed: seed, Classes: plant.DefaultClasses(),
-		Habits: plant.Habits{Redials: rng.IntN(4), Pause: duration(0.1, 1), HotPause: 100 * time.Millisecond, CutReturn: duration(0.1, 2),
+	s := Scenario{Exchanges: 3 + rng.IntN(5), Regions: 1 + rng.IntN(3), Seed: seed, Classes: simenv.DefaultClasses(),
+		Habits: simenv.Habits{Redials: rng.IntN(4), Pause: duration(0.1, 1), HotPause: 100 * time.Millisecond, CutReturn: duration(0.1, 2),
 			Overstay: 400 * time.Millisecond}}
 	s.Planned = float64(int(between(5, 20) * float64(s.Exchanges)))
 	s.Rate = s.Planned * []float64{0.7, 1, 1.3, 2, 4}[rng.IntN(5)]
-	s.MaxWait = []time.Duration{0, plant.MaxWait, plant.MaxWait / 4}[rng.IntN(3)]
+	s.MaxWait = []time.Duration{0, simenv.MaxWait, simenv.MaxWait / 4}[rng.IntN(3)]
 	s.Traffic.Spread = []float64{0, 0, 0.7}[rng.IntN(3)]
 	for i := range s.Classes {
 		class := &s.Classes[i]
@@ -133,13 +133,13 @@
 		class.Patience = time.Duration(between(1.3, 3) * float64(class.Aim)).Round(time.Millisecond)
 		class.Deadline, class.Hold = 3*class.Patience, duration(0.3, 3)
 		class.Width = 1 + i*(1+rng.IntN(4))
-		class.Holding = []plant.Holding{plant.Exponential, plant.Constant, plant.Lognormal, plant.Hyper}[rng.IntN(4)]
+		class.Holding = []simenv.Holding{simenv.Exponential, simenv.Constant, simenv.Lognormal, simenv.Hyper}[rng.IntN(4)]
 	}
-	kinds := plant.FaultKinds()
+	kinds := simenv.FaultKinds()
 	length := duration(3, 7)
-	s.Script = plant.Script{Len: config.Duration(length)}
+	s.Script = simenv.Script{Len: config.Duration(length)}
 	for range 1 + rng.IntN(5) {
-		s.Script.Steps = append(s.Script.Steps, plant.DrawStep(rng, kinds[rng.IntN(len(kinds))], length))
+		s.Script.Steps = append(s.Script.Steps, simenv.DrawStep(rng, kinds[rng.IntN(len(kinds))], length))
 	}
 	return s
 }
--- a/model/swarm_test.go
+++ b/model/swarm_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 )
 
 // TestSwarm plays short scenarios with random fleets and faults, and the stored scenarios that once found a fault. The
@@ -94,12 +94,12 @@
 
 // All kinds of fault can be played.
 func TestBothExecutorsPlayAllFaults(t *testing.T) {
-	for _, k := range plant.FaultKinds() {
+	for _, k := range simenv.FaultKinds() {
 		if _, ok := faults[k]; !ok {
 			t.Errorf("%s cannot be played in simulated time", k)
 		}
 	}
-	if len(faults) != len(plant.FaultKinds()) {
-		t.Errorf("%d kinds are played, %d are known", len(faults), len(plant.FaultKinds()))
+	if len(faults) != len(simenv.FaultKinds()) {
+		t.Errorf("%d kinds are played, %d are known", len(faults), len(simenv.FaultKinds()))
 	}
 }
--- a/model/theory_test.go
+++ b/model/theory_test.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"finchlatch/internal/baseline"
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/router"
 )
@@ -19,20 +19,20 @@
 // and the policy admits all calls.
 
 // oneGroup returns the settings of two exchanges with one trunk group between them; rate is that of both together.
-func oneGroup(seed uint64, circuits int, rate float64, classes []plant.Class) Settings {
+func oneGroup(seed uint64, circuits int, rate float64, classes []simenv.Class) Settings {
 	return Settings{Exchanges: 2, Rate: rate, GroupSize: circuits, NoServiceTimes: true, Baseline: baseline.DirectOnly, Seed: seed, Classes: classes}
 }
 
 // newClass returns a class with a mean hold time of a second.
-func newClass(name string, share float64, category byte, width int, holding plant.Holding) plant.Class {
-	return plant.Class{Name: name, Share: share, Category: category, Width: width, Worth: 1, Aim: 600 * time.Millisecond,
+func newClass(name string, share float64, category byte, width int, holding simenv.Holding) simenv.Class {
+	return simenv.Class{Name: name, Share: share, Category: category, Width: width, Worth: 1, Aim: 600 * time.Millisecond,
 		Patience: 1500 * time.Millisecond, Deadline: 3 * time.Second, Hold: time.Second, Holding: holding}
 }
 
 // circuitHoldTime is the mean time for which a call holds a circuit between two exchanges of one region. From IAM to RLC it
 // consists of the set-up (2 ms to the far exchange, 1 ms to the line, the ringing time, 3 ms back and 1 ms to the caller),
 // the call, and the release from the caller (1 ms) until RLC (4 ms).
-const circuitHoldTime = time.Second + plant.MeanRingTime + 12*time.Millisecond
+const circuitHoldTime = time.Second + simenv.MeanRingTime + 12*time.Millisecond
 
 // independentRuns is the number of independent runs of a check, from which its confidence interval is computed.
 const independentRuns = 8
@@ -56,7 +56,7 @@
 	t.Helper()
 	offered, lost := make([]float64, len(settings.Classes)), make([]float64, len(settings.Classes))
 	countFrom := startTime + startUpTime + 20*time.Second // the group is empty at first; it has reached its steady state by then
-	settings.OnDone = func(outcome plant.Outcome) {
+	settings.OnDone = func(outcome simenv.Outcome) {
 		if outcome.StartedAt < countFrom {
 			return
 		}
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Play(plant.Script{Len: span(duration)}, 20*time.Second); err != nil {
+	if err := f.Play(simenv.Script{Len: span(duration)}, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for c := range offered {
@@ -97,9 +97,9 @@
 		t.Skip("plays for hours of simulated time on one goroutine")
 	}
 	t.Parallel()
-	for _, holding := range []plant.Holding{plant.Exponential, plant.Hyper} {
+	for _, holding := range []simenv.Holding{simenv.Exponential, simenv.Hyper} {
 		blocking := runSeeds(t, func(seed uint64) []float64 {
-			return playBlocking(t, oneGroup(seed, 23, 20, []plant.Class{newClass("one", 1, 10, 1, holding)}), 250)
+			return playBlocking(t, oneGroup(seed, 23, 20, []simenv.Class{newClass("one", 1, 10, 1, holding)}), 250)
 		})
 		checkAgainstTheory(t, string(holding)+" holding", blocking[0], erlangB(23, 20*circuitHoldTime.Seconds()))
 	}
@@ -122,7 +122,7 @@
 	}
 	t.Parallel()
 	const circuits, rate = 28, 14
-	classes := []plant.Class{newClass("narrow", 0.8, 10, 1, ""), newClass("wide", 0.2, 11, 4, "")}
+	classes := []simenv.Class{newClass("narrow", 0.8, 10, 1, ""), newClass("wide", 0.2, 11, 4, "")}
 	blocking := runSeeds(t, func(seed uint64) []float64 { return playBlocking(t, oneGroup(seed, circuits, rate, classes), 400) })
 	q, sum := make([]float64, circuits+1), 1.0
 	q[0] = 1
@@ -154,7 +154,7 @@
 	const idle = 0.8                // calls per second of an idle source
 	settings := Settings{}
 	blocking := runSeeds(t, func(seed uint64) []float64 {
-		settings = oneGroup(seed, circuits, idle*sources, []plant.Class{newClass("one", 1, 10, 1, "")})
+		settings = oneGroup(seed, circuits, idle*sources, []simenv.Class{newClass("one", 1, 10, 1, "")})
 		settings.Sources = sources / 2
 		return playBlocking(t, settings, 600)
 	})
@@ -218,7 +218,7 @@
 	const circuits, rate = 10, 12
 	var means, ratios []float64
 	for seed := range uint64(independentRuns) {
-		settings := oneGroup(seed+1, 120, rate*3, []plant.Class{newClass("one", 1, 10, 1, "")})
+		settings := oneGroup(seed+1, 120, rate*3, []simenv.Class{newClass("one", 1, 10, 1, "")})
 		settings.Exchanges = 3
 		settings.Baseline = func(s logic.Settings, _ int64) (router.Policy, error) {
 			maxDirect := 1 << 30
@@ -245,7 +245,7 @@
 			f.schedule(211*time.Millisecond, sample)
 		}
 		sample()
-		if err := f.Play(plant.Script{Len: span(700)}, 0); err != nil {
+		if err := f.Play(simenv.Script{Len: span(700)}, 0); err != nil {
 			t.Fatal(err)
 		}
 		m, v := stat.MeanVariance(samples, nil)
@@ -268,7 +268,7 @@
 		var setUpWaits, answerWaits []float64
 		for seed := range uint64(independentRuns) {
 			e := &engine{}
-			harness := newProcessorHarness(e, plant.ServiceTimes{SetUp: setup, Answer: answer}, 1)
+			harness := newProcessorHarness(e, simenv.ServiceTimes{SetUp: setup, Answer: answer}, 1)
 			var sum [2]time.Duration
 			var count [2]float64
 			arrive := func(kind int, rate float64, message queuedMessage) {
--- a/planning/rules.go
+++ b/planning/rules.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"finchlatch/dimension"
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/measure"
 )
@@ -76,7 +76,7 @@
 // ReadRules reads rules from Jsonnet; file names the source in errors.
 func ReadRules(file, text string) (Rules, error) {
 	r := Rules{Same: 1, Other: 1}
-	if err := plant.DecodeJsonnet(file, text, &r); err != nil {
+	if err := simenv.DecodeJsonnet(file, text, &r); err != nil {
 		return r, err
 	}
 	invalid := func(format string, args ...any) error {
--- a/planning/sizing_test.go
+++ b/planning/sizing_test.go
@@ -12,7 +12,7 @@
 	"finchlatch/config"
 	"finchlatch/dimension"
 	"finchlatch/internal/baseline"
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/measure"
 	"finchlatch/model"
 )
@@ -37,7 +37,7 @@
 	fmt.Fprintf(&text, `{ classes: [{ name: 'narrow', width: 1, hold: '6s', target: %v }, { name: 'wide', width: 2, hold: '6s', target: %v }], less: true, hours: %d, other: 3, exchanges: [`,
 		trial.targets[0], trial.targets[1], max(1, int(trial.length/measure.IntervalLength)))
 	for i := range trial.exchanges {
-		fmt.Fprintf(&text, "{ number: %d, name: 'ex%03d', region: 'r%d' },", i+1, i+1, plant.Region(i, trial.exchanges, 2))
+		fmt.Fprintf(&text, "{ number: %d, name: 'ex%03d', region: 'r%d' },", i+1, i+1, simenv.Region(i, trial.exchanges, 2))
 	}
 	keep := ""
 	if trial.length < measure.IntervalLength { // keeps the incomplete interval of a run shorter than one
@@ -52,14 +52,14 @@
 
 // settings returns the settings of a simulation run.
 func (trial sizingTrial) settings(seed uint64) model.Settings {
-	classes := []plant.Class{{Name: "narrow", Share: 0.85, Category: 10, Width: 1, Worth: 1}, {Name: "wide", Share: 0.15, Category: 11, Width: 2, Worth: 3}}
+	classes := []simenv.Class{{Name: "narrow", Share: 0.85, Category: 10, Width: 1, Worth: 1}, {Name: "wide", Share: 0.15, Category: 11, Width: 2, Worth: 3}}
 	for i := range classes {
 		class := &classes[i]
 		class.Aim, class.Patience, class.Deadline, class.Hold = 1200*time.Millisecond, 3*time.Second, 9*time.Second, 6*time.Second
 	}
 	settings := model.Settings{Exchanges: trial.exchanges, Regions: 2, Rate: trial.rate * float64(trial.exchanges), Seed: seed, Classes: classes,
 		NoServiceTimes: true, Measure: true,
-		Traffic: trial.traffic, OnDone: func(plant.Outcome) {}}
+		Traffic: trial.traffic, OnDone: func(simenv.Outcome) {}}
 	if !trial.controller {
 		settings.Baseline = baseline.DirectOnly
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.Play(plant.Script{Len: config.Duration(trial.length)}, 0); err != nil {
+	if err := fleet.Play(simenv.Script{Len: config.Duration(trial.length)}, 0); err != nil {
 		t.Fatal(err)
 	}
 	return fleet.Measured()
