--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -109,7 +109,7 @@
 	timerUnfinishedMessage                  // a message of an office should be complete
 	timerRedial                             // try again to connect to an office
 	timerHalfClosed                         // the office should have closed a half-closed connection
-	timerCheckConns                         // look for dead connections to an office
+	timerCheckConns                         // check for dead connections to an office
 	timerDrainGrace                         // unsent set-ups to a draining office must not be sent any more
 	timerProbeTimeout
 	timerHealthCheck      // of an office
--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -38,8 +38,10 @@
 	return logic.Settings{Me: 0, Instances: 3, Home: 0, MaxAttempts: 5, CanCancel: true, ReportFields: []string{"spare", "total"},
 		Tick: time.Millisecond, Release: 200 * time.Millisecond, DrainGrace: time.Second, TipAfter: 3 * time.Second, Overload: 2,
 		ColdFrom: 0.3, ColdFor: 10 * time.Second, Classes: []logic.Class{
-			{Name: "status-check", Worth: 1, LateShare: 0.25, Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, SafeToRepeat: true},
-			{Name: "receipt-review", Worth: 3, LateShare: 0.25, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 2, SafeToRepeat: true}}}
+			{Name: "status-check", Worth: 1, LateShare: 0.25, Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second,
+				Hold: 10 * time.Second, Width: 1, SafeToRepeat: true},
+			{Name: "receipt-review", Worth: 3, LateShare: 0.25, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second,
+				Hold: 10 * time.Second, Width: 2, SafeToRepeat: true}}}
 }
 
 // member returns the entry of an office in service discovery. Its address follows from the exchange that it serves.
--- a/enum/frontend_test.go
+++ b/enum/frontend_test.go
@@ -148,20 +148,20 @@
 
 func TestFloodsAreBounded(t *testing.T) {
 	f := newTestFrontend()
-	asked, refused := 0, 0
+	passedOn, refused := 0, 0
 	for i := range 400 { // 400 queries a second of a client whose rate limit is 40
 		effects := f.Query(time.Duration(i)*2500*time.Microsecond, clientAddr, false, naptrQuery(fmt.Sprintf("55%05d", i)), nil)
 		switch effect := effects[0].(type) {
 		case RouteQuery:
-			asked++
+			passedOn++
 		case Respond:
 			if effect.Message.Rcode == dns.RcodeRefused {
 				refused++
 			}
 		}
 	}
-	if asked < 40 || asked > 52 || asked+refused != 400 {
-		t.Errorf("%d queries passed to the Router, %d refused", asked, refused)
+	if passedOn < 40 || passedOn > 52 || passedOn+refused != 400 {
+		t.Errorf("%d queries passed to the Router, %d refused", passedOn, refused)
 	}
 	if effects := f.Query(time.Second, netip.MustParseAddr("127.0.0.3"), false, naptrQuery("5521"), nil); len(effects) != 1 {
 		t.Errorf("the other client: %+v", effects)
--- a/internal/rulecheck/established.go
+++ b/internal/rulecheck/established.go
@@ -40,15 +40,15 @@
 	}
 }
 
-// CallEnded reports that a call has ended at an office. Its caller must be notified within the given time.
-func (p *PlatformChecker) CallEnded(at time.Duration, office string, callID uint64, within time.Duration) {
+// CallEnded reports that a call has ended at an office. Its caller must be notified within noticeLimit.
+func (p *PlatformChecker) CallEnded(at time.Duration, office string, callID uint64, noticeLimit time.Duration) {
 	call := p.calls[callID]
 	if call == nil || call.established.ended || call.established.settled ||
 		call.established.office != office && call.attemptOffice != office {
 		return
 	}
-	call.established.ended, call.established.endedAt, call.established.noticeDue = true, at, at+within
-	call.established.office, call.established.releaseWritten = office, within < NoticeAfterEnd
+	call.established.ended, call.established.endedAt, call.established.noticeDue = true, at, at+noticeLimit
+	call.established.office, call.established.releaseWritten = office, noticeLimit < NoticeAfterEnd
 }
 
 // ReleaseWritten reports that an office has written the release that it could not write when the call ended.
--- a/internal/soak/discoveryfaults.go
+++ b/internal/soak/discoveryfaults.go
@@ -40,7 +40,7 @@
 	case DiscoveryPartitioned:
 		proxy.SetPartition(platform.Partition{Outbound: true, Inbound: true, NewConnections: true})
 		defer proxy.SetPartition(platform.Partition{})
-	case DiscoveryMute:
+	case DiscoveryUnresponsive:
 		service.Fail(platform.DiscoveryFault{NoEvents: true, NoResponse: true})
 		defer service.Fail(platform.DiscoveryFault{})
 	case DiscoverySlow:
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -73,7 +73,7 @@
 
 // backgroundKinds are the kinds of the random faults of each Scenario.
 var backgroundKinds = []Kind{Partition, OneWayOut, OneWayIn, Hang, CorruptAnswers, Resets, LateConnections, EarlyClose,
-	DiscoveryDown, DiscoveryPartitioned, DiscoveryMute, DiscoverySlow, DiscoveryTruncated, Reload, ReloadSeries, Restart, RestartWithReload,
+	DiscoveryDown, DiscoveryPartitioned, DiscoveryUnresponsive, DiscoverySlow, DiscoveryTruncated, Reload, ReloadSeries, Restart, RestartWithReload,
 	Kill, ConnectionFlood, UnknownClients, Die, Replace}
 
 // faultPatterns are combinations of related faults. The seed of a Scenario selects one.
@@ -85,7 +85,7 @@
 
 // patternLostOffices loses offices with established calls while service discovery is down or silent.
 func patternLostOffices(scenario *Scenario, r *rand.Rand) {
-	kinds := []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryMute}
+	kinds := []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryUnresponsive}
 	scenario.Deployment.Hold = Span(randomDuration(r, 6*time.Second, 15*time.Second))
 	at := randomDuration(r, firstFaultAt, firstFaultAt+3*time.Second)
 	scenario.addFault(r, kinds[r.IntN(len(kinds))], at-500*time.Millisecond, randomDuration(r, 10*time.Second, 14*time.Second)).Node = -1
@@ -102,7 +102,7 @@
 	if r.IntN(2) == 0 {
 		duration = limit + 200*time.Millisecond
 	}
-	scenario.addFault(r, DiscoveryMute, firstFaultAt-time.Second, 12*time.Second).Node = -1
+	scenario.addFault(r, DiscoveryUnresponsive, firstFaultAt-time.Second, 12*time.Second).Node = -1
 	scenario.addFault(r, Partition, firstFaultAt, duration)
 	scenario.addFault(r, Partition, firstFaultAt+time.Second, randomDuration(r, time.Second, 7*time.Second))
 }
@@ -127,7 +127,7 @@
 
 // patternDiscovery has a fault of service discovery, a drain close to its end, and new configurations in quick succession.
 func patternDiscovery(scenario *Scenario, r *rand.Rand) {
-	kinds := []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryMute, DiscoverySlow, DiscoveryTruncated}
+	kinds := []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryUnresponsive, DiscoverySlow, DiscoveryTruncated}
 	duration := randomDuration(r, 2*time.Second, 9*time.Second)
 	scenario.addFault(r, kinds[r.IntN(len(kinds))], firstFaultAt, duration).Node = -1
 	offset := []time.Duration{-5 * time.Millisecond, 5 * time.Millisecond}[r.IntN(2)]
@@ -162,7 +162,7 @@
 // patternReplaced starts successors at the addresses of offices while service discovery cannot announce them.
 func patternReplaced(scenario *Scenario, r *rand.Rand) {
 	scenario.Deployment.Hold = Span(randomDuration(r, 6*time.Second, 15*time.Second))
-	scenario.addFault(r, DiscoveryMute, firstFaultAt-time.Second, randomDuration(r, 11*time.Second, 14*time.Second)).Node = -1
+	scenario.addFault(r, DiscoveryUnresponsive, firstFaultAt-time.Second, randomDuration(r, 11*time.Second, 14*time.Second)).Node = -1
 	scenario.addFault(r, ReplaceHard, firstFaultAt, randomDuration(r, 9*time.Second, 12*time.Second))
 	scenario.addFault(r, HangThenDie, firstFaultAt+time.Second, randomDuration(r, 2*time.Second, 6*time.Second)).ComesBack = true
 }
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -73,32 +73,32 @@
 
 // The kinds of fault.
 const (
-	MachineLost          Kind = "vanish"        // an office's machine is lost: no bytes pass, no connection is established, its calls end
-	Partition            Kind = "partition"     // no bytes pass between call servers and an office that continues
-	OneWayOut            Kind = "one way out"   // only bytes from the call server are lost
-	OneWayIn             Kind = "one way in"    // only bytes from the office are lost
-	Hang                 Kind = "hang"          // an office accepts connections and does not respond, and continues later
-	HangThenDie          Kind = "hang then die" // the same, and then its process ends
-	Die                  Kind = "die"           // an office's process ends: connections are reset and refused
-	ReplaceHard          Kind = "replace hard"  // an office's process ends, and a successor takes its address at once
-	Replace              Kind = "replace"       // an office drains, announced by service discovery, and is then replaced
-	CorruptAnswers       Kind = "spoil"         // answers are malformed, truncated, duplicated or lost
-	Resets               Kind = "resets"        // connections to an office are reset at random intervals
-	LateConnections      Kind = "late conns"    // connections to an office are established late
-	EarlyClose           Kind = "early close"   // connections to an office are closed as soon as they are established
-	DiscoveryDown        Kind = "journal down"  // service discovery refuses connections
-	DiscoveryPartitioned Kind = "journal cut"   // service discovery is behind a partition
-	DiscoveryMute        Kind = "journal mute"  // service discovery accepts connections and does not respond
-	DiscoverySlow        Kind = "journal slow"  // service discovery responds late
-	DiscoveryTruncated   Kind = "journal half"  // service discovery ends each connection in the middle of an event
-	Reload               Kind = "reload"        // SIGHUP: service discovery has moved
-	ReloadSeries         Kind = "reload series" // several SIGHUPs, the first ones with an address that does not answer
-	Restart              Kind = "restart"       // SIGTERM, SIGKILL at the earliest time, and a new process
-	RestartWithReload    Kind = "restart hup"   // the same, with SIGHUP, SIGTERM and SIGHUP after the first SIGTERM
-	Kill                 Kind = "kill"          // SIGKILL, and a new process
-	ConnectionFlood      Kind = "crowd"         // hundreds of connections that send a health check
-	UnknownClients       Kind = "strangers"     // clients that send garbage at full speed
-	CallersDisconnected  Kind = "callers gone"  // no caller is connected
+	MachineLost           Kind = "vanish"        // an office's machine is lost: no bytes pass, no connection is established, its calls end
+	Partition             Kind = "partition"     // no bytes pass between call servers and an office that continues
+	OneWayOut             Kind = "one way out"   // only bytes from the call server are lost
+	OneWayIn              Kind = "one way in"    // only bytes from the office are lost
+	Hang                  Kind = "hang"          // an office accepts connections and does not respond, and continues later
+	HangThenDie           Kind = "hang then die" // the same, and then its process ends
+	Die                   Kind = "die"           // an office's process ends: connections are reset and refused
+	ReplaceHard           Kind = "replace hard"  // an office's process ends, and a successor takes its address at once
+	Replace               Kind = "replace"       // an office drains, announced by service discovery, and is then replaced
+	CorruptAnswers        Kind = "spoil"         // answers are malformed, truncated, duplicated or lost
+	Resets                Kind = "resets"        // connections to an office are reset at random intervals
+	LateConnections       Kind = "late conns"    // connections to an office are established late
+	EarlyClose            Kind = "early close"   // connections to an office are closed as soon as they are established
+	DiscoveryDown         Kind = "journal down"  // service discovery refuses connections
+	DiscoveryPartitioned  Kind = "journal cut"   // service discovery is behind a partition
+	DiscoveryUnresponsive Kind = "journal mute"  // service discovery accepts connections and does not respond
+	DiscoverySlow         Kind = "journal slow"  // service discovery responds late
+	DiscoveryTruncated    Kind = "journal half"  // service discovery ends each connection in the middle of an event
+	Reload                Kind = "reload"        // SIGHUP: service discovery has moved
+	ReloadSeries          Kind = "reload series" // several SIGHUPs, the first ones with an address that does not answer
+	Restart               Kind = "restart"       // SIGTERM, SIGKILL at the earliest time, and a new process
+	RestartWithReload     Kind = "restart hup"   // the same, with SIGHUP, SIGTERM and SIGHUP after the first SIGTERM
+	Kill                  Kind = "kill"          // SIGKILL, and a new process
+	ConnectionFlood       Kind = "crowd"         // hundreds of connections that send a health check
+	UnknownClients        Kind = "strangers"     // clients that send garbage at full speed
+	CallersDisconnected   Kind = "callers gone"  // no caller is connected
 )
 
 // Fault is one fault of a Scenario. Which fields are used depends on its kind.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -70,7 +70,7 @@
 	if testing.Short() {
 		t.Skip("a quarter of a minute on real processes")
 	}
-	for name, discoveryFault := range map[string]Kind{"discovery is down": DiscoveryDown, "discovery is silent": DiscoveryMute} {
+	for name, discoveryFault := range map[string]Kind{"discovery is down": DiscoveryDown, "discovery is silent": DiscoveryUnresponsive} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			report := playScenario(t, binary, scenarioWithFaults(4*time.Second,
@@ -124,7 +124,7 @@
 	}
 	add(CorruptAnswers, "rule 1", scenarioWithFaults(5*time.Second, oneFault(CorruptAnswers, duration)))
 	add(Replace, "rule 3", scenarioWithFaults(6*time.Second, oneFault(Replace, Span(10*time.Second))))
-	for _, kind := range []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryMute, DiscoverySlow, DiscoveryTruncated} {
+	for _, kind := range []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryUnresponsive, DiscoverySlow, DiscoveryTruncated} {
 		add(kind, "rule 3", drainDuring(kind))
 	}
 	for _, kind := range []Kind{Reload, ReloadSeries} { // SIGHUP ends a faultyServer
--- a/model/play.go
+++ b/model/play.go
@@ -255,8 +255,8 @@
 				return fmt.Errorf("model: %s: circuits are not free: %+v", n.name, group)
 			}
 		}
-		if held, _ := n.router.CallCounts(); held > 0 && f.CollapsedCount() == 0 {
-			return fmt.Errorf("model: %s holds %d calls: %+v", n.name, held, n.router.Calls(f.now, 3))
+		if activeCalls, _ := n.router.CallCounts(); activeCalls > 0 && f.CollapsedCount() == 0 {
+			return fmt.Errorf("model: %s holds %d calls: %+v", n.name, activeCalls, n.router.Calls(f.now, 3))
 		}
 	}
 	return nil
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -629,7 +629,8 @@
 	batchWriter := h.dial()
 	incomplete := platform.InviteMessage(4, 2500*time.Millisecond, legs)
 	recordCalls(2, 3)
-	write(batchWriter, platform.InviteMessage(2, 2500*time.Millisecond, legs)+platform.InviteMessage(3, 2500*time.Millisecond, legs)+incomplete[:len(incomplete)/2])
+	write(batchWriter, platform.InviteMessage(2, 2500*time.Millisecond, legs)+
+		platform.InviteMessage(3, 2500*time.Millisecond, legs)+incomplete[:len(incomplete)/2])
 	for range 2 {
 		h.await(batchWriter, "the answer to one of several", func(msg platform.ReceivedMessage) bool { return isFinalAnswer(2)(msg) || isFinalAnswer(3)(msg) })
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -277,7 +277,7 @@
 	return link
 }
 
-// markPending makes processPending look at a peer.
+// markPending makes processPending handle a peer.
 func (r *Router) markPending(peer *peer) {
 	if !peer.pending {
 		peer.pending = true
--- a/server/console.go
+++ b/server/console.go
@@ -160,9 +160,9 @@
 	add := func(format string, values ...any) { lines = append(lines, fmt.Sprintf(format, values...)) }
 	views := map[string]func(r *router.Router, now time.Duration){
 		"status": func(r *router.Router, now time.Duration) {
-			heldCalls, unanswered := r.CallCounts()
+			activeCalls, unanswered := r.CallCounts()
 			add("exchange %s up %v draining %v", r.Name(), (now - Epoch).Round(time.Second), r.Draining())
-			add("calls %d unanswered %d", heldCalls, unanswered)
+			add("calls %d unanswered %d", activeCalls, unanswered)
 			add("stands %d refused %d failed %d hung-up %d", s.finalAnswers[0], s.finalAnswers[1], s.finalAnswers[2], s.finalAnswers[3])
 		},
 		"calls": func(r *router.Router, now time.Duration) {
--- a/server/server.go
+++ b/server/server.go
@@ -197,17 +197,17 @@
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	for waiting := true; waiting; {
-		heldCalls := 0
-		if err := s.Do(func(r *router.Router, now time.Duration) { heldCalls, _ = r.CallCounts() }); err != nil {
+		activeCalls := 0
+		if err := s.Do(func(r *router.Router, now time.Duration) { activeCalls, _ = r.CallCounts() }); err != nil {
 			return err
 		}
 		select {
 		case <-timer.C:
 			waiting = false
 		case <-poll.C:
-			waiting = heldCalls > 0
+			waiting = activeCalls > 0
 		}
-		if heldCalls == 0 {
+		if activeCalls == 0 {
 			waiting = false
 		}
 	}
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -143,7 +143,8 @@
 			pair.seize(1, widths[1])
 			pair.deliverAll()
 			if widths[0] == 1 && widths[1] == 1 || widths[0]+widths[1] > len(circuits) {
-				lost, arrived := pair.countEvents(0, SeizureLost)+pair.countEvents(1, SeizureLost), pair.countEvents(0, IncomingCall)+pair.countEvents(1, IncomingCall)
+				lost, arrived := pair.countEvents(0, SeizureLost)+pair.countEvents(1, SeizureLost),
+					pair.countEvents(0, IncomingCall)+pair.countEvents(1, IncomingCall)
 				if lost != 1 || arrived != 1 {
 					t.Errorf("widths %v on %v: %d lost, %d arrived", widths, circuits, lost, arrived)
 				}
@@ -285,8 +286,9 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	for name, settings := range map[string]Settings{"none": {OwnPointCode: 1, PeerPointCode: 2}, "slot 0": {OwnPointCode: 1, PeerPointCode: 2, Circuits: []uint16{32}},
-		"twice": {OwnPointCode: 1, PeerPointCode: 2, Circuits: []uint16{3, 3}}, "same ends": {OwnPointCode: 1, PeerPointCode: 1, Circuits: []uint16{3}}} {
+	for name, settings := range map[string]Settings{"none": {OwnPointCode: 1, PeerPointCode: 2},
+		"slot 0": {OwnPointCode: 1, PeerPointCode: 2, Circuits: []uint16{32}},
+		"twice":  {OwnPointCode: 1, PeerPointCode: 2, Circuits: []uint16{3, 3}}, "same ends": {OwnPointCode: 1, PeerPointCode: 1, Circuits: []uint16{3}}} {
 		if _, err := New(settings); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
