--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -70,7 +70,7 @@
 		caller: caller, className: invite.className, calledNumber: invite.calledNumber, description: invite.description}
 	// During shutdown only transit calls are accepted: they arrive for as long as this process runs, and no other call server
 	// can use this exchange as a tandem without it.
-	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpen > 0 && s.openCalls >= s.cfg.MaxOpen {
+	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpenCalls > 0 && s.openCalls >= s.cfg.MaxOpenCalls {
 		s.respond(caller, call.inviteHead, 503, 0, nil)
 		s.totals.Refused++
 		return
@@ -167,7 +167,7 @@
 	call.inviteHead, call.description = sip.Head{}, nil
 	s.addEstablished(call.remote)
 	call.remote.counts.established++
-	s.controller.Stands(s.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.remote.id, Took: s.now - call.sentAt})
+	s.controller.Established(s.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.remote.id, Elapsed: s.now - call.sentAt})
 	if call.remote.state == logic.Gone { // it was reported as gone before its answer arrived
 		s.handOverCalls(call.remote)
 	}
@@ -196,10 +196,10 @@
 	call.attemptActive, call.conn, call.setUpSent, call.releaseSent = false, nil, false, false
 	remote.counts.add(outcome.Status)
 	call.lastStatus, call.lastNote = outcome.Status, outcome.Note
-	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, remote.id,
+	outcome.Call, outcome.Attempt, outcome.Office, outcome.Elapsed, outcome.Over = call.id, call.attempts-1, remote.id,
 		s.now-call.sentAt, s.callsByWireID[call.wireID] != call
 	s.log(slog.LevelDebug, "attempt ended", slog.String("call", call.callID), slog.String("office", remote.id),
-		slog.String("status", string(outcome.Status)), slog.Int("note", outcome.Note), slog.Duration("took", outcome.Took))
+		slog.String("status", string(outcome.Status)), slog.Int("note", outcome.Note), slog.Duration("took", outcome.Elapsed))
 	s.controller.Outcome(s.now, outcome)
 	s.forgetIfOver(call)
 	if noActivity {
@@ -217,7 +217,7 @@
 		s.adoptedCalls--
 		return
 	}
-	outcome.Call, outcome.Attempt, outcome.Office, outcome.Took, outcome.Over = call.id, call.attempts-1, call.remote.id,
+	outcome.Call, outcome.Attempt, outcome.Office, outcome.Elapsed, outcome.Over = call.id, call.attempts-1, call.remote.id,
 		s.now-call.sentAt, true
 	s.controller.Outcome(s.now, outcome)
 }
@@ -253,7 +253,7 @@
 }
 
 // releaseAttempt ends an outstanding attempt. If its set-up was sent, the office is sent a release first, and the Controller is
-// told once that has been written, as the release time before another attempt counts from there (rule 5).
+// notified once that has been written, as the release time before another attempt counts from there (rule 5).
 func (s *Server) releaseAttempt(call *activeCall, status logic.Status) {
 	s.detachAttempt(call)
 	if !call.setUpSent {
@@ -282,7 +282,7 @@
 		}
 		return
 	}
-	if s.adoptedCalls >= s.cfg.MaxOpen {
+	if s.adoptedCalls >= s.cfg.MaxOpenCalls {
 		s.log(slog.LevelWarn, "too many adopted calls", slog.String("from", caller.remoteAddr))
 		return
 	}
--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -25,7 +25,7 @@
 	closed            map[ConnID]Close
 	halfClosed        []ConnID // oldest first
 	dials             []Dial   // connections being dialled
-	discoveryRequests []AskJournal
+	discoveryRequests []RequestDiscovery
 	attempts          []Decision // those that started an attempt
 	withholdWritten   bool       // do not respond to Confirm with InWritten
 }
@@ -38,8 +38,10 @@
 	return logic.Settings{Me: 0, Instances: 3, Home: 0, MaxAttempts: 5, CanCancel: true, ReportFields: []string{"spare", "total"},
 		Tick: time.Millisecond, Release: 200 * time.Millisecond, DrainGrace: time.Second, TipAfter: 3 * time.Second, Overload: 2,
 		ColdFrom: 0.3, ColdFor: 10 * time.Second, Classes: []logic.Class{
-			{Name: "status-check", Worth: 1, LateShare: 0.25, Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, Safe: true},
-			{Name: "receipt-review", Worth: 3, LateShare: 0.25, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 2, Safe: true}}}
+			{Name: "status-check", Worth: 1, LateShare: 0.25, Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second,
+				Hold: 10 * time.Second, Width: 1, SafeToRepeat: true},
+			{Name: "receipt-review", Worth: 3, LateShare: 0.25, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second,
+				Hold: 10 * time.Second, Width: 2, SafeToRepeat: true}}}
 }
 
 // member returns the entry of an office in service discovery. Its address follows from the exchange that it serves.
@@ -55,7 +57,7 @@
 // newHarness starts a Server that knows three offices, that of its own exchange among them.
 func newHarness(t *testing.T, configure func(*Config)) *harness {
 	t.Helper()
-	cfg := Config{Settings: testSettings(), Seed: 1, ConnectTimeout: 500 * time.Millisecond, MaxOpen: 1000, Callers: 4, Offices: 30,
+	cfg := Config{Settings: testSettings(), Seed: 1, ConnectTimeout: 500 * time.Millisecond, MaxOpenCalls: 1000, MaxCallerConns: 4, MaxOfficeConns: 30,
 		LogLevel: slog.LevelError}
 	if configure != nil {
 		configure(&cfg)
@@ -65,7 +67,7 @@
 		t.Fatal(err)
 	}
 	h := &harness{t: t, server: server, now: startTime, written: map[ConnID][]byte{}, closed: map[ConnID]Close{}}
-	server.Start(h.now, feed.Known{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving),
+	server.Start(h.now, feed.Snapshot{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving),
 		member("s-1", 1, feed.Serving), member("s-2", 2, feed.Serving))}})
 	h.collectEffects()
 	return h
@@ -83,7 +85,7 @@
 	for _, effect := range h.server.Effects() {
 		switch effect := effect.(type) {
 		case Decision:
-			if effect.Act == logic.ActSend {
+			if effect.Action == logic.ActionSend {
 				h.attempts = append(h.attempts, effect)
 			}
 		case Confirm:
@@ -98,11 +100,11 @@
 			h.written[effect.Conn] = append(h.written[effect.Conn], effect.Bytes...)
 		case Close:
 			h.closed[effect.Conn] = effect
-		case Shut:
+		case HalfClose:
 			h.halfClosed = append(h.halfClosed, effect.Conn)
 		case Dial:
 			h.dials = append(h.dials, effect)
-		case AskJournal:
+		case RequestDiscovery:
 			h.discoveryRequests = append(h.discoveryRequests, effect)
 		case Log:
 			if effect.Level >= slog.LevelError {
@@ -125,15 +127,15 @@
 	h.t.Helper()
 	end := h.now + duration
 	for {
-		due, ok := h.server.Next()
+		due, ok := h.server.NextTimer()
 		if !ok || due > end {
 			break
 		}
 		h.now = max(h.now, due)
-		h.apply(Input{Kind: InAdvance})
+		h.apply(Input{Kind: InTimer})
 	}
 	h.now = end
-	h.apply(Input{Kind: InAdvance})
+	h.apply(Input{Kind: InTimer})
 }
 
 // advanceWithReports advances the time while an office reports its group state every second: an unresponsive one would be
@@ -282,7 +284,8 @@
 	caller := h.acceptCaller()
 	h.callerSends(caller, invite(7, "dest:1;width:1;via:-1"))
 	conn, msg := h.takeSetUp(7)
-	if msg.Class != "status-check" || msg.Number != "7f3a9c21e0b4d655" || string(msg.Description) != sessionDescription || msg.Wait < 2900 || msg.Wait > 3000 {
+	if msg.Class != "status-check" || msg.Number != "7f3a9c21e0b4d655" || string(msg.Description) != sessionDescription ||
+		msg.TimeLeftMs < 2900 || msg.TimeLeftMs > 3000 {
 		t.Fatalf("unexpected set-up %+v", msg)
 	}
 	h.advance(40 * time.Millisecond)
@@ -305,7 +308,7 @@
 		!strings.Contains(got, "Reason: Q.850;cause=16") {
 		t.Fatalf("BYE to the caller: %q", got)
 	}
-	if _, established := h.server.Held(); established != 0 {
+	if _, established := h.server.CallCounts(); established != 0 {
 		t.Fatalf("%d established calls", established)
 	}
 }
@@ -492,7 +495,7 @@
 // repeat on others. The release must be read. Half-closed connections that their offices do not close are closed after a time,
 // and their number is limited.
 func TestAReleaseThatCrossesTheEndOfItsConnection(t *testing.T) {
-	h := newHarness(t, func(cfg *Config) { cfg.Offices = 40 })
+	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = 40 })
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
 	h.callerSends(caller, invite(7, "dest:1;width:1"))
@@ -535,7 +538,7 @@
 	h.callerSends(caller, invite(9, "dest:1;width:1"))
 	thirdConn, _ := h.takeSetUp(9)
 	h.officeSends(thirdConn, answerMsg(9)) // connections are opened only while the office holds calls
-	limit := h.server.cfg.Offices / halfClosedDivisor
+	limit := h.server.cfg.MaxOfficeConns / halfClosedDivisor
 	for range 4 * limit {
 		h.connect("10.0.0.1:5080")
 		h.server.connLost(remote)
@@ -828,7 +831,7 @@
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "200")
 	newMember := member("s-9", 1, feed.Serving) // at the address of s-1
 	goneMember := member("s-1", 1, feed.Deleted)
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, goneMember, newMember), discoveryEvent(2, false, newMember)}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, goneMember, newMember), discoveryEvent(2, false, newMember)}})
 	requireMessages(t, "messages to the caller of the call at the old office", h.takeCallerMessages(caller), "BYE")
 	if _, ok := h.closed[conn]; !ok || h.server.offices["s-1"] != nil {
 		t.Fatal("the old office has not been removed")
@@ -838,15 +841,15 @@
 	if newConn, _ := h.takeSetUp(8); h.server.officeConns[newConn].remote.id != "s-9" {
 		t.Fatal("the call was not sent to the new office")
 	}
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(4, false, member("s-9", 1, feed.Draining))}})
-	if len(h.discoveryRequests) != 1 || h.server.Pos() != 0 {
-		t.Fatalf("after a gap: requests %v, position %d", h.discoveryRequests, h.server.Pos())
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(4, false, member("s-9", 1, feed.Draining))}})
+	if len(h.discoveryRequests) != 1 || h.server.Position() != 0 {
+		t.Fatalf("after a gap: requests %v, position %d", h.discoveryRequests, h.server.Position())
 	}
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(5, true, member("s-0", 0, feed.Serving),
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(5, true, member("s-0", 0, feed.Serving),
 		member("s-9", 1, feed.Draining))}})
 	h.callerSends(caller, invite(10, "dest:1;width:1"))
 	requireMessages(t, "call to a draining office", h.takeCallerMessages(caller), "503")
-	if h.server.Pos() != 5 || h.server.offices["s-2"] != nil {
+	if h.server.Position() != 5 || h.server.offices["s-2"] != nil {
 		t.Fatal("a snapshot does not replace the known offices")
 	}
 }
@@ -864,7 +867,7 @@
 		}
 	}
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "503")
-	if open, _ := h.server.Held(); open != 0 || len(h.server.calls) != 0 {
+	if open, _ := h.server.CallCounts(); open != 0 || len(h.server.calls) != 0 {
 		t.Fatalf("%d open calls, %d not removed", open, len(h.server.calls))
 	}
 }
@@ -992,7 +995,7 @@
 		"corrupted message": {trigger: func(h *harness, conn, _ ConnID) {
 			h.apply(Input{Kind: InReceive, Conn: conn, Bytes: []byte{0, 0, 9, 9}})
 		}},
-		"writes blocked": {trigger: func(h *harness, conn, _ ConnID) { h.apply(Input{Kind: InStuck, Conn: conn, On: true}) }},
+		"writes blocked": {trigger: func(h *harness, conn, _ ConnID) { h.apply(Input{Kind: InWriteBlocked, Conn: conn, Blocked: true}) }},
 		"CANCEL":         {trigger: func(h *harness, _, caller ConnID) { h.callerSends(caller, request("CANCEL", 7)) }, hungUp: true},
 		"caller closes":  {trigger: func(h *harness, _, caller ConnID) { h.apply(Input{Kind: InClosed, Conn: caller}) }, hungUp: true},
 	}
@@ -1078,13 +1081,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, nil)
-			h.apply(Input{Kind: InJournal, Events: tt.events})
+			h.apply(Input{Kind: InDiscovery, Events: tt.events})
 			var offices []string
 			for _, remote := range h.server.sortedOffices() {
 				offices = append(offices, fmt.Sprintf("%s %d", remote.id, remote.state))
 			}
-			if got := strings.Join(offices, " "); got != tt.offices || len(h.discoveryRequests) != tt.requests || h.server.Pos() != tt.position {
-				t.Errorf("known offices %q, want %q; %d requests; position %d", got, tt.offices, len(h.discoveryRequests), h.server.Pos())
+			if got := strings.Join(offices, " "); got != tt.offices || len(h.discoveryRequests) != tt.requests || h.server.Position() != tt.position {
+				t.Errorf("known offices %q, want %q; %d requests; position %d", got, tt.offices, len(h.discoveryRequests), h.server.Position())
 			}
 			caller := h.acceptCaller()
 			h.callerSends(caller, invite(7, "dest:1;width:1"))
@@ -1127,7 +1130,7 @@
 	}
 	newMember := member("s-9", 1, feed.Serving)
 	newMember.UpSince = int64(h.now / time.Millisecond)
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, newMember, member("s-1", 1, feed.Deleted))}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, newMember, member("s-1", 1, feed.Deleted))}})
 	h.connect("10.0.0.1:5080")
 	for id := uint64(1); len(h.attempts) == 0 && id < 100; id++ { // slow start grants the first attempt at a random time
 		h.advance(100 * time.Millisecond)
@@ -1164,7 +1167,7 @@
 			h.connect("10.0.0.1:5080")
 			h.officeSends(conn, releaseMsg(7, office.CauseTemporary, ""))
 			h.advance(250 * time.Millisecond) // the second attempt started 50 ms ago
-			input := Input{Kind: InReceive, Conn: caller, Bytes: []byte(request("CANCEL", 7)), Waited: tt.waited}
+			input := Input{Kind: InReceive, Conn: caller, Bytes: []byte(request("CANCEL", 7)), Delay: tt.waited}
 			if tt.closes {
 				input.Kind, input.Bytes = InClosed, nil
 			}
@@ -1202,7 +1205,7 @@
 				t.Fatalf("%d attempts before the release of the first is written", len(h.attempts))
 			}
 			if blocked {
-				h.apply(Input{Kind: InStuck, Conn: conn, On: true})
+				h.apply(Input{Kind: InWriteBlocked, Conn: conn, Blocked: true})
 			}
 			h.withholdWritten = false
 			writtenAt := h.now
@@ -1227,7 +1230,7 @@
 	caller := h.acceptCaller()
 	h.callerSends(caller, invite(1, "dest:1;width:1"))
 	end := h.now + 500*time.Millisecond
-	h.apply(Input{Kind: InLeave, Until: end})
+	h.apply(Input{Kind: InShutdown, EndsAt: end})
 	h.callerSends(caller, invite(2, "dest:1;width:1;transit:1")) // its office does not answer
 	h.callerSends(caller, invite(3, "dest:1;width:1;transit:1"))
 	h.connect("10.0.0.1:5080")
@@ -1238,7 +1241,7 @@
 	requireMessages(t, "transit call when the process ends", h.takeCallerMessages(caller), "500")
 	h.callerSends(caller, invite(4, "dest:1;width:1"))
 	requireMessages(t, "call after that", h.takeCallerMessages(caller), "503")
-	if open, _ := h.server.Held(); open != 1 {
+	if open, _ := h.server.CallCounts(); open != 1 {
 		t.Errorf("%d open calls, want the one accepted before the shutdown", open)
 	}
 }
@@ -1247,7 +1250,7 @@
 // would go to one of them. Unknown clients may set a timer of years, or name established calls that do not exist: the deadline
 // of the class and the limit on adopted calls hold.
 func TestUnresponsiveHostAndExcessivePatience(t *testing.T) {
-	h := newHarness(t, func(cfg *Config) { cfg.MaxOpen = 3 })
+	h := newHarness(t, func(cfg *Config) { cfg.MaxOpenCalls = 3 })
 	for id := uint64(1); id <= 3; id++ {
 		h.connect("10.0.0.1:5080")
 		caller := h.acceptCaller()
@@ -1255,7 +1258,7 @@
 	}
 	h.connect("10.0.0.1:5080")
 	h.advance(9100 * time.Millisecond)
-	if open, _ := h.server.Held(); open != 0 {
+	if open, _ := h.server.CallCounts(); open != 0 {
 		t.Fatalf("%d calls are open past the deadline of their class", open)
 	}
 	if remote := h.server.offices["s-1"]; remote.anyConnUp() {
@@ -1265,7 +1268,7 @@
 	for id := uint64(10); id < 20; id++ {
 		h.callerSends(caller, invite(id, "at:s-1"))
 	}
-	if _, established := h.server.Held(); established != 3 {
+	if _, established := h.server.CallCounts(); established != 3 {
 		t.Fatalf("%d adopted calls, the limit is 3", established)
 	}
 }
@@ -1289,7 +1292,7 @@
 	requireMessages(t, "release by the office", h.takeCallerMessages(caller), "BYE")
 	h.advance(6 * time.Second)
 	requireMessages(t, "call at an office that service discovery does not name", h.takeCallerMessages(caller), "BYE")
-	if _, established := h.server.Held(); established != 0 {
+	if _, established := h.server.CallCounts(); established != 0 {
 		t.Fatalf("%d established calls", established)
 	}
 }
@@ -1300,7 +1303,7 @@
 	for i := range 300 {
 		position, exchange := uint64(2+i), 1+i%2
 		oldID, newID := fmt.Sprintf("s-%d", i+1), fmt.Sprintf("s-%d", i+3)
-		h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(position, false, member(oldID, exchange, feed.Deleted),
+		h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(position, false, member(oldID, exchange, feed.Deleted),
 			member(newID, exchange, feed.Serving))}})
 		h.connect("10.0.0.1:5080")
 		h.connect("10.0.0.2:5080")
@@ -1324,12 +1327,13 @@
 
 // BenchmarkCall handles one call from its set-up to its release.
 func BenchmarkCall(b *testing.B) {
-	server, err := New(Config{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second, MaxOpen: 1000, Callers: 10, Offices: 100, LogLevel: slog.LevelError})
+	server, err := New(Config{Settings: testSettings(), Seed: 1, ConnectTimeout: time.Second, MaxOpenCalls: 1000, MaxCallerConns: 10, MaxOfficeConns: 100,
+		LogLevel: slog.LevelError})
 	if err != nil {
 		b.Fatal(err)
 	}
 	now, conn := startTime, ConnID(0)
-	server.Start(now, feed.Known{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving), member("s-1", 1, feed.Serving))}})
+	server.Start(now, feed.Snapshot{Pos: 1, Entries: []feed.Event{discoveryEvent(1, true, member("s-0", 0, feed.Serving), member("s-1", 1, feed.Serving))}})
 	runEffects := func() (dialled []ConnID) {
 		for _, effect := range server.Effects() {
 			switch effect := effect.(type) {
@@ -1366,7 +1370,7 @@
 			data, _ := office.Append(nil, msg)
 			server.Apply(Input{At: now, Kind: InReceive, Conn: conn, Bytes: data})
 		}
-		server.Apply(Input{At: now, Kind: InAdvance})
+		server.Apply(Input{At: now, Kind: InTimer})
 		connectDialled()
 	}
 	if server.totals.Established < id-1 {
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -86,9 +86,9 @@
 	s.lastConnID++
 	conn := &officeConn{id: s.lastConnID, remote: remote, openedAt: s.now}
 	remote.conns, s.officeConns[conn.id] = append(remote.conns, conn), conn
-	remote.detector.Dialled(s.now)
+	remote.detector.RecordDial(s.now)
 	s.trace("dial", "", remote.id, conn.id, "", 0)
-	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Within: s.cfg.ConnectTimeout})
+	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Timeout: s.cfg.ConnectTimeout})
 }
 
 // armConnCheck schedules a check of an office's connections.
@@ -152,7 +152,7 @@
 // it may, its oldest idle one is half-closed first. If many offices are unreachable at once, descriptors are the limit.
 func (s *Server) dialAdditional(remote *remoteOffice) {
 	counts := remote.countConns()
-	full := len(s.officeConns) >= s.cfg.Offices+s.cfg.Offices/halfClosedDivisor
+	full := len(s.officeConns) >= s.cfg.MaxOfficeConns+s.cfg.MaxOfficeConns/halfClosedDivisor
 	switch {
 	case full && counts.idle == 0:
 		return
@@ -199,7 +199,7 @@
 	remote.dialFailures = 0
 	s.noteConnected(remote, conn)
 	if remote.unverifiedBefore > 0 {
-		s.armTimer(liveness.AskStateWithin, timer{kind: timerVerifyCalls, officeID: remote.id})
+		s.armTimer(liveness.PendingReleaseWindow, timer{kind: timerVerifyCalls, officeID: remote.id})
 	}
 	s.flushOfficeReleases(remote)
 	waiting := remote.waitingCalls
@@ -220,7 +220,7 @@
 	s.log(slog.LevelInfo, "connection to office failed", slog.String("office", remote.id), slog.Bool("refused", refused))
 	s.removeConn(conn)
 	if !refused {
-		remote.detector.Missed()
+		remote.detector.RecordDialFailure()
 	}
 	maxDelay := maxRedialDelay
 	if remote.supervised && remote.detector.State() == liveness.Suspected {
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -11,7 +11,7 @@
 )
 
 // loadSnapshot applies the snapshot from the configuration.
-func (s *Server) loadSnapshot(snapshot feed.Known) {
+func (s *Server) loadSnapshot(snapshot feed.Snapshot) {
 	s.position = snapshot.Pos
 	var offices []logic.Office
 	for i := range snapshot.Entries {
@@ -20,7 +20,7 @@
 			offices = append(offices, listed)
 		}
 	}
-	s.controller.List(s.now, logic.ListRestored, offices)
+	s.controller.UpdateOffices(s.now, logic.ListRestored, offices)
 	s.connectToOffices()
 }
 
@@ -33,7 +33,7 @@
 	if event.Pos > s.position+1 && !event.Hosts.Complete {
 		s.log(slog.LevelWarn, "gap in service discovery events", slog.Uint64("from", s.position), slog.Uint64("to", event.Pos))
 		s.position = 0
-		s.emit(AskJournal{})
+		s.emit(RequestDiscovery{})
 		return
 	}
 	s.position, s.discoveryChangedAt = event.Pos, s.now
@@ -42,7 +42,7 @@
 		kind = logic.ListReplace
 		s.removeUnlisted(event.Hosts.Members)
 	}
-	s.controller.List(s.now, kind, s.applyMembers(&event.Hosts))
+	s.controller.UpdateOffices(s.now, kind, s.applyMembers(&event.Hosts))
 	s.connectToOffices()
 }
 
@@ -207,7 +207,7 @@
 // LogTotals logs the totals of this process and the counts of each office.
 func (s *Server) LogTotals() {
 	totals := s.totals
-	open, established := s.Held()
+	open, established := s.CallCounts()
 	s.log(slog.LevelInfo, "totals", slog.Uint64("offered", totals.Offered), slog.Uint64("stood", totals.Established),
 		slog.Uint64("refused", totals.Refused), slog.Uint64("failed", totals.Failed),
 		slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
--- a/callserver/invitation.go
+++ b/callserver/invitation.go
@@ -54,7 +54,7 @@
 	if invite.classIndex >= 0 { // an unknown client could ask for a year and keep the call open as long
 		invite.timeLeft = min(invite.timeLeft, s.cfg.Settings.Classes[invite.classIndex].Deadline)
 	}
-	if !office.GoodDescription(invite.description) {
+	if !office.ValidDescription(invite.description) {
 		return invite, fmt.Errorf("body: invalid session description")
 	}
 	return invite, nil
@@ -104,7 +104,7 @@
 		case "transit":
 			invite.offer.Transit = number == 1
 		case "again":
-			invite.offer.WasCut = number == 1
+			invite.offer.WasDropped = number == 1
 		}
 	}
 	return nil
--- a/callserver/supervision_test.go
+++ b/callserver/supervision_test.go
@@ -88,7 +88,7 @@
 	requireMessages(t, "messages to the caller before the limit", h.takeCallerMessages(caller))
 	h.advanceUnreachable(500 * time.Millisecond)
 	requireMessages(t, "messages to the caller after it", h.takeCallerMessages(caller), "BYE", "BYE", "BYE")
-	if _, established := h.server.Held(); established != 0 {
+	if _, established := h.server.CallCounts(); established != 0 {
 		t.Errorf("%d established calls", established)
 	}
 	h.advance(2 * time.Second)
@@ -112,7 +112,7 @@
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "BYE")
 	h.advanceWithReports(5*time.Second, conn)
 	requireMessages(t, "later messages to the caller", h.takeCallerMessages(caller))
-	if _, established := h.server.Held(); established != 1 {
+	if _, established := h.server.CallCounts(); established != 1 {
 		t.Errorf("%d established calls", established)
 	}
 }
@@ -125,7 +125,7 @@
 		conn := h.openConns()[0]
 		h.advanceUnreachable(5 * time.Second)
 		for range 3 { // delayed bytes, all at once
-			h.officeSends(conn, &office.Message{Type: office.TestReport, Call: 1, HasCause: true, Cause: 1})
+			h.officeSends(conn, &office.Message{Type: office.HealthReport, Call: 1, HasCause: true, Cause: 1})
 		}
 		if fails {
 			h.advanceUnreachable(liveness.FailAfter - 5*time.Second + 200*time.Millisecond)
@@ -133,7 +133,7 @@
 			continue
 		}
 		h.advanceUnreachable(200 * time.Millisecond)
-		h.officeSends(conn, &office.Message{Type: office.TestReport, Call: 2, HasCause: true, Cause: 1})
+		h.officeSends(conn, &office.Message{Type: office.HealthReport, Call: 2, HasCause: true, Cause: 1})
 		h.advanceUnreachable(liveness.FailAfter - 5*time.Second + 200*time.Millisecond)
 		requireMessages(t, "messages to the caller if the office is alive", h.takeCallerMessages(caller))
 	}
@@ -145,7 +145,7 @@
 	heartbeats := 0
 	for range 300 {
 		h.advance(100 * time.Millisecond)
-		for _, count := range h.countSent(office.Test) {
+		for _, count := range h.countSent(office.HealthCheck) {
 			heartbeats += count
 		}
 		for i := 0; i < len(h.dials); i++ {
@@ -172,9 +172,9 @@
 		h.advance(100 * time.Millisecond)
 		for _, conn := range h.openConns() {
 			for _, msg := range h.takeOfficeMessages(conn) {
-				if msg.Type == office.Test {
+				if msg.Type == office.HealthCheck {
 					heartbeats++
-					h.officeSends(conn, &office.Message{Type: office.TestReport, Call: msg.Call, HasCause: true, Cause: 1})
+					h.officeSends(conn, &office.Message{Type: office.HealthReport, Call: msg.Call, HasCause: true, Cause: 1})
 				}
 			}
 		}
@@ -223,7 +223,7 @@
 				h.officeSends(conn, &office.Message{Type: office.GroupState, Load: tt.load})
 				h.officeSends(conn, &office.Message{Type: office.GroupState, Load: "spare:9;total:30"}) // new calls have taken circuits
 			}
-			h.advance(liveness.AskStateWithin)
+			h.advance(liveness.PendingReleaseWindow)
 			requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), tt.want...)
 		})
 	}
@@ -259,7 +259,7 @@
 				}
 			}
 		}
-		h.advance(liveness.AskStateWithin)
+		h.advance(liveness.PendingReleaseWindow)
 		if byes := len(h.takeCallerMessages(caller)); byes != 3 {
 			t.Errorf("%d connections: %d of 3 calls were released to their callers", len(conns), byes)
 		}
@@ -307,7 +307,7 @@
 			h.advance(100 * time.Millisecond)
 			h.callerSends(caller, invite(8, "dest:1;width:1;at:s-1"))
 			requireMessages(t, "messages to the caller at once", h.takeCallerMessages(caller))
-			h.advance(liveness.NamedWithin)
+			h.advance(liveness.AdoptionWindow)
 			requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), want...)
 			if h.server.callsByWireID[9] == nil {
 				t.Error("the new call was dropped")
@@ -369,12 +369,12 @@
 		}, []string{"BYE", "500"}},
 		"before another dropped call": {func(h *harness, conn ConnID) {
 			h.officeSends(conn, releaseMsg(7, office.CauseTemporary, ""))
-			h.advance(liveness.CutSpread / 2)
+			h.advance(liveness.DropWindow / 2)
 			h.officeSends(conn, releaseMsg(8, office.CauseTemporary, ""))
 		}, []string{"BYE", "500"}},
 		"alone": {func(h *harness, conn ConnID) {
 			h.officeSends(conn, releaseMsg(7, office.CauseTemporary, ""))
-			h.advance(2 * liveness.CutSpread)
+			h.advance(2 * liveness.DropWindow)
 			h.officeSends(conn, releaseMsg(8, office.CauseTemporary, ""))
 		}, []string{"BYE"}},
 	} {
@@ -412,7 +412,7 @@
 	if got := h.takeOfficeMessages(conn); len(got) != 1 || got[0].Type != office.Release || got[0].Call != 7 {
 		t.Errorf("messages to the office: %v", got)
 	}
-	if open, established := h.server.Held(); open != 0 || established != 0 || len(h.server.calls) != 0 {
+	if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.calls) != 0 {
 		t.Errorf("%d open calls, %d established, %d not removed", open, established, len(h.server.calls))
 	}
 }
@@ -446,7 +446,7 @@
 			caller := h.acceptCaller()
 			h.callerSends(caller, invite(7, "dest:1;width:1"))
 			conn, _ := h.takeSetUp(7)
-			h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, false, append(listed, member("s-1", 1, feed.Deleted))...)}})
+			h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, append(listed, member("s-1", 1, feed.Deleted))...)}})
 			h.officeSends(conn, answerMsg(7))
 			requireMessages(t, "answer to the call", h.takeCallerMessages(caller), "200")
 			if listed != nil {
@@ -478,13 +478,13 @@
 // If many offices are unreachable at once, the connections that probe them must not exceed the descriptors for offices.
 func TestManyOfficesOutOfReachKeepWithinTheDescriptors(t *testing.T) {
 	const offices = 40
-	h := newHarness(t, func(cfg *Config) { cfg.Offices = offices + 5 })
+	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = offices + 5 })
 	var members []feed.Member
 	for exchange := 1; exchange <= offices; exchange++ {
 		members = append(members, feed.Member{ID: fmt.Sprint("o-", exchange), Addr: fmt.Sprintf("10.0.1.%d:5080", exchange),
 			Cell: exchange, Phase: feed.Serving})
 	}
-	h.apply(Input{Kind: InJournal, Events: []feed.Event{discoveryEvent(2, true, members...)}})
+	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, true, members...)}})
 	for exchange := 1; exchange <= offices; exchange++ {
 		h.connect(fmt.Sprintf("10.0.1.%d:5080", exchange))
 	}
@@ -505,7 +505,7 @@
 		pending = dialCounts[max(0, len(dialCounts)-5)]
 	}
 	// Callers have 5/9 of the descriptors, offices 3/9, and 1/9 is left.
-	if limit := h.server.cfg.Offices + h.server.cfg.Offices/3; maxConns > limit {
+	if limit := h.server.cfg.MaxOfficeConns + h.server.cfg.MaxOfficeConns/3; maxConns > limit {
 		t.Errorf("%d connections, %d descriptors for them", maxConns, limit)
 	}
 	if got := len(h.takeCallerMessages(caller)); got != offices {
@@ -516,7 +516,7 @@
 // During shutdown new set-ups are refused and transit calls are accepted.
 func TestADrainTakesOnlyCallsInTransit(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
-	h.apply(Input{Kind: InLeave, Until: h.now + 3*time.Second})
+	h.apply(Input{Kind: InShutdown, EndsAt: h.now + 3*time.Second})
 	h.callerSends(caller, invite(8, "dest:1;width:1"))
 	requireMessages(t, "new set-up", h.takeCallerMessages(caller), "503")
 	h.callerSends(caller, invite(9, "dest:1;width:1;via:2;transit:1"))
@@ -574,7 +574,7 @@
 	firstConn := h.dials[i].Conn
 	h.dials = slices.Delete(h.dials, i, i+1)
 	h.apply(Input{Kind: InConnected, Conn: firstConn}) // and nothing is received on it
-	h.advance(liveness.AskStateWithin - 10*time.Millisecond)
+	h.advance(liveness.PendingReleaseWindow - 10*time.Millisecond)
 	h.server.dialOffice(h.server.offices["s-1"])
 	h.collectEffects()
 	conn := h.connectWithLoad("10.0.0.1:5080", "spare:29;total:30")
@@ -584,7 +584,7 @@
 	}
 	h.advanceWithReports(2*time.Second, conn)
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "BYE", "BYE", "BYE")
-	if _, established := h.server.Held(); established != 1 {
+	if _, established := h.server.CallCounts(); established != 1 {
 		t.Errorf("%d established calls", established)
 	}
 }
--- a/cmd/finchlatch/try.go
+++ b/cmd/finchlatch/try.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/internal/standin"
 )
 
@@ -23,11 +23,11 @@
 			"rule was violated. Kinds of faults and load changes:\n",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script, err := plant.BadDay()
+			script, err := simenv.DefaultScript()
 			if scriptPath != "" {
 				var text []byte
 				if text, err = os.ReadFile(scriptPath); err == nil {
-					script, err = plant.ParseScript(scriptPath, string(text))
+					script, err = simenv.ParseScript(scriptPath, string(text))
 				}
 			}
 			if err != nil {
@@ -37,20 +37,20 @@
 			if err != nil {
 				return err
 			}
-			settings.Classes, settings.Habits, settings.Log = plant.DefaultClasses(), plant.DefaultHabits(), log
+			settings.Classes, settings.Habits, settings.Log = simenv.DefaultClasses(), simenv.DefaultHabits(), log
 			if simulated {
 				return simulate(cmd, settings, script, trace)
 			}
 			return tryOnLoopback(cmd, settings, script, trace)
 		}}
-	for _, kind := range plant.KindNames() {
+	for _, kind := range simenv.FaultKindDescriptions() {
 		c.Long += "  " + kind + "\n"
 	}
 	c.Flags().StringVar(&scriptPath, "script", "", "file with the fault schedule (Jsonnet); empty: an embedded one of a minute")
 	c.Flags().Uint64Var(&settings.Seed, "seed", 1, "seed of the random numbers of callers and faults")
 	c.Flags().Float64Var(&settings.Rate, "rate", 120, "set-ups per second of all callers together, without redials")
 	c.Flags().IntVar(&settings.Exchanges, "exchanges", 12, "number of exchanges, each with its own call server")
-	c.Flags().Float64Var(&settings.Asks, "asks", 0, "share of set-ups that are preceded by an ENUM query, 0 to 1")
+	c.Flags().Float64Var(&settings.LookUpShare, "asks", 0, "share of set-ups that are preceded by an ENUM query, 0 to 1")
 	c.Flags().IntVar(&settings.Regions, "regions", 2, "number of regions that the exchanges are spread over")
 	c.Flags().BoolVar(&simulated, "simulated", false, "run in simulated time, without sockets; the same seed gives the same run")
 	c.Flags().BoolVar(&trace, "trace", false, "after a violation, list the messages on the circuits of the first call concerned")
@@ -59,7 +59,7 @@
 }
 
 // tryOnLoopback runs a fault schedule on a fleet whose call servers are connected over loopback sockets.
-func tryOnLoopback(cmd *cobra.Command, settings standin.FleetSettings, script plant.Script, trace bool) error {
+func tryOnLoopback(cmd *cobra.Command, settings standin.FleetSettings, script simenv.Script, trace bool) error {
 	out := cmd.OutOrStdout()
 	if settings.Exchanges < 3 || settings.Exchanges > 99 || settings.Rate <= 0 || settings.Rate > 5000 {
 		return fmt.Errorf("--exchanges must be 3 to 99, --rate more than 0 and at most 5000")
@@ -85,7 +85,7 @@
 				done, established := 0, 0
 				for _, outcome := range fleet.Results() {
 					done++
-					if outcome.Stood && !outcome.Cut {
+					if outcome.Established && !outcome.Dropped {
 						established++
 					}
 				}
@@ -102,9 +102,9 @@
 	<-ended
 	report := fleet.Report()
 	report.Write(out)
-	if len(report.Verdict.Breaches) > 0 {
+	if len(report.Verdict.Violations) > 0 {
 		if trace {
-			for _, line := range rulecheck.Trace(fleet.Rec.Records(), report.Verdict.Breaches[0].Call) {
+			for _, line := range rulecheck.Trace(fleet.Recorder.Records(), report.Verdict.Violations[0].Call) {
 				fmt.Fprintln(out, line)
 			}
 		}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -24,13 +24,13 @@
 	sticky         bool                                             // keep the tandem of a destination while it is usable and calls over it succeed
 }
 
-// AdmitAll tries every call once, over its direct route, whatever the load.
-func AdmitAll(settings logic.Settings, seed int64) (router.Policy, error) {
+// DirectOnly tries every call once, over its direct route, whatever the load.
+func DirectOnly(settings logic.Settings, seed int64) (router.Policy, error) {
 	return newPolicy(settings, seed, variant{}), nil
 }
 
-// AtMost tries a call over its direct route while fewer than limit attempts are outstanding, and refuses it otherwise.
-func AtMost(limit int) Maker {
+// MaxOutstanding tries a call over its direct route while fewer than limit attempts are outstanding, and refuses it otherwise.
+func MaxOutstanding(limit int) Maker {
 	return func(settings logic.Settings, seed int64) (router.Policy, error) {
 		return newPolicy(settings, seed, variant{maxOutstanding: limit}), nil
 	}
@@ -117,8 +117,8 @@
 	return p
 }
 
-// List updates the offices by service discovery.
-func (p *policy) List(_ time.Duration, _ logic.ListKind, offices []logic.Office) {
+// UpdateOffices updates the offices by service discovery.
+func (p *policy) UpdateOffices(_ time.Duration, _ logic.ListKind, offices []logic.Office) {
 	for _, announced := range offices {
 		known := p.offices[announced.Exchange]
 		if known == nil {
@@ -225,8 +225,8 @@
 	return chosen
 }
 
-// Stands records that a call is established.
-func (p *policy) Stands(_ time.Duration, outcome logic.Outcome) {
+// Established records that a call is established.
+func (p *policy) Established(_ time.Duration, outcome logic.Outcome) {
 	if c := p.calls[outcome.Call]; c != nil && !c.established {
 		c.established = true
 		p.outstanding--
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -115,11 +115,11 @@
 	(<-accepted).Close()
 	listener.Close()
 	<-ended
-	places := make(Places, 1)
-	if !places.Take() || places.Take() {
-		t.Fatal("one place is not taken exactly once")
+	slots := make(Semaphore, 1)
+	if !slots.TryAcquire() || slots.TryAcquire() {
+		t.Fatal("one slot is not acquired exactly once")
 	}
-	if places.Leave(); !places.Take() {
-		t.Fatal("a returned place is not free")
+	if slots.Release(); !slots.TryAcquire() {
+		t.Fatal("a released slot is not free")
 	}
 }
--- a/internal/platform/officeconn.go
+++ b/internal/platform/officeconn.go
@@ -43,7 +43,7 @@
 				return
 			}
 		}
-		if err == io.EOF && o.Crosses {
+		if err == io.EOF && o.ReleasesOnHalfClose {
 			callServerConn.releaseAll()
 		}
 		if err != nil {
@@ -71,8 +71,8 @@
 	}
 	o.mu.Unlock()
 	for _, call := range pendingReleases {
-		if o.Events.Said != nil {
-			o.Events.Said(call, c.node)
+		if o.Events.ReleaseSent != nil {
+			o.Events.ReleaseSent(call, c.node)
 		}
 		c.sendRelease(call)
 	}
@@ -144,8 +144,8 @@
 func (c *officeConn) reportEnd(call uint64, signallingFault bool) {
 	if c.outstanding[call] {
 		delete(c.outstanding, call)
-		c.office.report(func(at time.Duration, checker *rulecheck.Platform) {
-			checker.End(at, c.office.Member.ID, call, signallingFault)
+		c.office.report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+			checker.AttemptEnded(at, c.office.Member.ID, call, signallingFault)
 		})
 	}
 }
@@ -154,7 +154,9 @@
 func (c *officeConn) reportWithdrawn(call uint64) {
 	if c.outstanding[call] {
 		delete(c.outstanding, call)
-		c.office.report(func(at time.Duration, checker *rulecheck.Platform) { checker.Withdrawn(at, c.office.Member.ID, call) })
+		c.office.report(func(at time.Duration, checker *rulecheck.PlatformChecker) {
+			checker.CancelRead(at, c.office.Member.ID, call)
+		})
 	}
 }
 
@@ -172,8 +174,8 @@
 	switch msg.Type {
 	case office.Release:
 		c.handleRelease(msg.Call)
-	case office.Test:
-		c.send(&office.Message{Type: office.TestReport, Call: msg.Call, HasCause: true, Cause: 1, Load: c.office.groupState(c.node)})
+	case office.HealthCheck:
+		c.send(&office.Message{Type: office.HealthReport, Call: msg.Call, HasCause: true, Cause: 1, Load: c.office.groupState(c.node)})
 	case office.SetUp:
 		return c.handleSetUp(msg.Call, msg.Class)
 	}
@@ -198,7 +200,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.office
-	o.report(func(at time.Duration, checker *rulecheck.Platform) { checker.SetUp(at, o.Member.ID, call) })
+	o.report(func(at time.Duration, checker *rulecheck.PlatformChecker) { checker.SetUp(at, o.Member.ID, call) })
 	c.outstanding[call] = true
 	o.mu.Lock()
 	o.setUps[call]++
@@ -225,11 +227,11 @@
 // the time of writing. It returns false if the connection has to be closed.
 func (c *officeConn) perform(behavior Behavior, call uint64, width int) bool {
 	answer := &office.Message{Type: office.Answer, Call: call, Description: []byte(Description)}
-	if used, total := c.office.circuitUse(c.node); used+width > total && (behavior == Stand || behavior == DuplicateAnswer) {
-		behavior = Full
+	if used, total := c.office.circuitUse(c.node); used+width > total && (behavior == AnswerCall || behavior == DuplicateAnswer) {
+		behavior = NoCircuit
 	}
 	switch behavior {
-	case Stand, DuplicateAnswer:
+	case AnswerCall, DuplicateAnswer:
 		c.reportEnd(call, false)
 		if behavior == DuplicateAnswer {
 			c.send(&office.Message{Type: office.Answer, Call: ^call, Description: []byte(Description)})
@@ -242,8 +244,8 @@
 	case LoseAnswer:
 		delete(c.outstanding, call)
 		c.office.establish(call, c.node, width)
-	case Busy, Full, Reset:
-		c.reportEnd(call, behavior == Reset)
+	case Busy, NoCircuit, SignallingFault:
+		c.reportEnd(call, behavior == SignallingFault)
 		refusal := refusals[behavior]
 		refusal.Type, refusal.Call, refusal.HasCause = office.Release, call, true
 		c.send(&refusal)
@@ -257,7 +259,7 @@
 			data = behavior.corrupt(data)
 		}
 		_, _ = c.Write(data)
-	case Drop:
+	case ResetConnection:
 		if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcpConn.SetLinger(0)
 		}
--- a/internal/plant/callers.go
+++ b/internal/simenv/callers.go
@@ -1,4 +1,4 @@
-package plant
+package simenv
 
 import (
 	"encoding/binary"
@@ -170,7 +170,7 @@
 	}
 	caller.number, caller.Hot = c.PickNumber(c.demandRand)
 	caller.holdTime = c.Classes[caller.Class].drawHoldTime(c.demandRand)
-	caller.Began = c.association.Now()
+	caller.StartedAt = c.association.Now()
 	c.unfinished++
 	c.dial(caller)
 }
@@ -206,7 +206,7 @@
 	try := &setUpTry{caller: caller, circuits: circuits}
 	c.setUpCount++
 	iam, err := isup.NewSetup(circuits[0], isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1},
-		Category: class.Category, Width: class.Width, Map: isup.CircuitMap(circuits), Hops: -1})
+		Category: class.Category, Width: class.Width, CircuitMap: isup.CircuitMap(circuits), HopCounter: -1})
 	if err == nil {
 		iam.Set(isup.ParamCallingNumber, callingNumber(c.id, c.setUpCount)...)
 		err = c.association.Send(iam)
@@ -269,7 +269,7 @@
 			c.handleAnswer(try)
 		}
 	case isup.REL:
-		_ = c.association.Send(isup.Simple(isup.RLC, message.CIC))
+		_ = c.association.Send(isup.NewSimple(isup.RLC, message.CIC))
 		if try != nil {
 			c.handleRelease(try, message.Release().Cause, false)
 		}
@@ -289,7 +289,7 @@
 			}
 		}
 	case isup.RSC:
-		_ = c.association.Send(isup.Simple(isup.RLC, message.CIC))
+		_ = c.association.Send(isup.NewSimple(isup.RLC, message.CIC))
 		if try != nil {
 			c.handleRelease(try, isup.CauseTemporaryFailure, true)
 		}
@@ -299,9 +299,9 @@
 // handleAnswer marks the call as established, and hangs up after the hold time.
 func (c *Callers) handleAnswer(try *setUpTry) {
 	caller := try.caller
-	try.established, caller.Stood, caller.Cut = true, true, false
+	try.established, caller.Established, caller.Dropped = true, true, false
 	if caller.SetUp == 0 {
-		caller.SetUp = c.association.Now() - caller.Began
+		caller.SetUp = c.association.Now() - caller.StartedAt
 	}
 	c.association.After(caller.holdTime, func() {
 		if c.tries[try.circuits[0]] == try && !try.releasing {
@@ -323,7 +323,7 @@
 	switch {
 	case try.releasing:
 	case try.established:
-		caller.Cut = true
+		caller.Dropped = true
 		c.redialOrGiveUp(caller, true)
 	case cause == isup.CauseNoCircuit || cause == isup.CauseCongestion:
 		caller.Refused++
@@ -346,7 +346,7 @@
 	if dropped {
 		wait = time.Duration(c.behaviourRand.Float64() * float64(habits.CutReturn))
 	}
-	if caller.Tries > habits.Redials || !dropped && c.association.Now()-caller.Began+wait > c.Classes[caller.Class].Deadline {
+	if caller.Tries > habits.Redials || !dropped && c.association.Now()-caller.StartedAt+wait > c.Classes[caller.Class].Deadline {
 		c.finish(caller)
 		return
 	}
--- a/internal/plant/relation.go
+++ b/internal/simenv/relation.go
@@ -1,4 +1,4 @@
-package plant
+package simenv
 
 import (
 	"slices"
@@ -29,7 +29,7 @@
 // ReadFrame decodes a whole M3UA message.
 func ReadFrame(raw []byte) Frame {
 	frame := Frame{Raw: raw}
-	if message, data, ok := rulecheck.ISUP(raw); ok {
+	if message, data, ok := rulecheck.DecodeISUP(raw); ok {
 		frame.ISUP, frame.Data = message, data
 	}
 	return frame
@@ -233,7 +233,7 @@
 		refused.heldFrames = append(refused.heldFrames, frame)
 		return true, nil, nil
 	case frame.ISUP.Type == isup.REL: // the refused end releases the call itself; its RLC for the refusal is still due
-		return true, frame.reply(isup.Simple(isup.RLC, frame.ISUP.CIC)), nil
+		return true, frame.reply(isup.NewSimple(isup.RLC, frame.ISUP.CIC)), nil
 	case frame.ISUP.Type != isup.RLC:
 		return true, nil, nil
 	}
@@ -257,7 +257,7 @@
 		return false, nil
 	}
 	if f.ISUP.Type == isup.REL {
-		reply = f.reply(isup.Simple(isup.RLC, f.ISUP.CIC))
+		reply = f.reply(isup.NewSimple(isup.RLC, f.ISUP.CIC))
 	}
 	return true, reply
 }
--- a/internal/plant/report.go
+++ b/internal/simenv/report.go
@@ -1,4 +1,4 @@
-package plant
+package simenv
 
 import (
 	"fmt"
@@ -29,9 +29,9 @@
 
 // Report is the result of a run: the outcomes of its callers and the verdict of the rule checker.
 type Report struct {
-	Classes []ClassReport
-	Verdict rulecheck.Verdict
-	Fallen  []string // exchanges whose processor collapsed
+	Classes   []ClassReport
+	Verdict   rulecheck.Verdict
+	Collapsed []string // exchanges whose processor collapsed
 }
 
 // NewReport sums up the outcomes of a run on sockets or in simulated time.
@@ -54,16 +54,16 @@
 	earned, offered := outcome.Worth(class)
 	c.Earned, c.Offered = c.Earned+earned, c.Offered+offered
 	switch {
-	case !outcome.Stood:
+	case !outcome.Established:
 		c.NeverEstablished++
-	case outcome.Cut:
+	case outcome.Dropped:
 		c.Dropped++
 	case outcome.SetUp <= class.Aim:
 		c.InTime++
 	default:
 		c.Late++
 	}
-	if outcome.Stood {
+	if outcome.Established {
 		_ = c.SetUp.RecordValue(outcome.SetUp.Microseconds())
 	}
 }
@@ -97,22 +97,22 @@
 	}
 	verdict := r.Verdict
 	fmt.Fprintf(w, "service %.3f of the worth offered; %d calls taken, %d final answers, %d attempts, %d dual seizures, %d cold starts\n",
-		r.Service(), verdict.Calls, verdict.Answers, verdict.Attempts, verdict.Dual, verdict.Cold)
-	if verdict.LookUps > 0 {
-		fmt.Fprintf(w, "%d look-ups, %d of them granted a lease\n", verdict.LookUps, verdict.Leases)
+		r.Service(), verdict.Calls, verdict.Answers, verdict.Attempts, verdict.DualSeizures, verdict.ColdStarts)
+	if verdict.Queries > 0 {
+		fmt.Fprintf(w, "%d look-ups, %d of them granted a lease\n", verdict.Queries, verdict.Leases)
 	}
-	for _, exchange := range r.Fallen {
+	for _, exchange := range r.Collapsed {
 		fmt.Fprintf(w, "processor of %s fell over\n", exchange)
 	}
-	if len(verdict.Breaches) == 0 {
+	if len(verdict.Violations) == 0 {
 		fmt.Fprintf(w, "rules 1 to 5 kept, judged from what passed on the wires\n")
 		return
 	}
 	const maxListed = 20
-	fmt.Fprintf(w, "RULES BROKEN: %d\n", len(verdict.Breaches))
-	for i, violation := range verdict.Breaches {
+	fmt.Fprintf(w, "RULES BROKEN: %d\n", len(verdict.Violations))
+	for i, violation := range verdict.Violations {
 		if i == maxListed {
-			fmt.Fprintf(w, "... and %d more\n", len(verdict.Breaches)-maxListed)
+			fmt.Fprintf(w, "... and %d more\n", len(verdict.Violations)-maxListed)
 			break
 		}
 		fmt.Fprintln(w, violation)
--- a/internal/plant/script.go
+++ b/internal/simenv/script.go
@@ -1,4 +1,4 @@
-package plant
+package simenv
 
 import (
 	_ "embed"
@@ -12,21 +12,21 @@
 	"finchlatch/config"
 )
 
-// Step is one fault of a script. The meaning of its values depends on the kind: KindNames describes it.
+// Step is one fault of a script. The meaning of its values depends on the kind: FaultKindDescriptions describes it.
 type Step struct {
-	At       config.Span `json:"at"`
-	Kind     string      `json:"kind"`
-	Len      config.Span `json:"len"`
-	Part     float64     `json:"part"` // share of the exchanges, or of the calls, circuits or associations affected
-	Size     float64     `json:"size"`
-	Region   int         `json:"region"`
-	Exchange string      `json:"exchange,omitempty"` // affects this exchange instead of a random selection
+	At       config.Duration `json:"at"`
+	Kind     string          `json:"kind"`
+	Len      config.Duration `json:"len"`
+	Part     float64         `json:"part"` // share of the exchanges, or of the calls, circuits or associations affected
+	Size     float64         `json:"size"`
+	Region   int             `json:"region"`
+	Exchange string          `json:"exchange,omitempty"` // affects this exchange instead of a random selection
 }
 
 // Script is a fault schedule. It can be played on sockets and in simulated time.
 type Script struct {
-	Len   config.Span `json:"len"`
-	Steps []Step      `json:"steps"`
+	Len   config.Duration `json:"len"`
+	Steps []Step          `json:"steps"`
 }
 
 // faultKind describes a kind of fault and the values that it takes.
@@ -68,8 +68,8 @@
 	return names
 }
 
-// KindNames returns the kinds of fault in alphabetical order, each with a description of its values.
-func KindNames() (descriptions []string) {
+// FaultKindDescriptions returns the kinds of fault in alphabetical order, each with a description of its values.
+func FaultKindDescriptions() (descriptions []string) {
 	for _, name := range FaultKinds() {
 		descriptions = append(descriptions, name+": "+faultKinds[name].description)
 	}
@@ -89,24 +89,24 @@
 }
 
 // roundToMillisecond keeps the durations in scripts short and readable.
-func roundToMillisecond(nanoseconds float64) config.Span {
-	return config.Span(time.Duration(nanoseconds).Round(time.Millisecond))
+func roundToMillisecond(nanoseconds float64) config.Duration {
+	return config.Duration(time.Duration(nanoseconds).Round(time.Millisecond))
 }
 
 // ParseScript reads and checks a script in Jsonnet; name stands for its file in errors.
 func ParseScript(name, text string) (Script, error) {
 	var s Script
-	if err := Read(name, text, &s); err != nil {
+	if err := DecodeJsonnet(name, text, &s); err != nil {
 		return s, err
 	}
 	return s, s.Check(name)
 }
 
 //go:embed badday.jsonnet
-var defaultScript string
+var defaultScriptText string
 
-// BadDay returns the embedded script, which is played by default.
-func BadDay() (Script, error) { return ParseScript("badday.jsonnet", defaultScript) }
+// DefaultScript returns the embedded script, which is played by default.
+func DefaultScript() (Script, error) { return ParseScript("badday.jsonnet", defaultScriptText) }
 
 // Check returns an error that names the first invalid step.
 func (s Script) Check(name string) error {
@@ -117,7 +117,7 @@
 		kind, ok := faultKinds[step.Kind]
 		switch {
 		case !ok:
-			return fmt.Errorf("%s: steps[%d].kind: %q is none of %s", name, i, step.Kind, strings.Join(KindNames(), "; "))
+			return fmt.Errorf("%s: steps[%d].kind: %q is none of %s", name, i, step.Kind, strings.Join(FaultKindDescriptions(), "; "))
 		case !(step.Part >= 0 && step.Part <= 1):
 			return fmt.Errorf("%s: steps[%d].part: %v is not 0 to 1", name, i, step.Part)
 		case kind.maxSize > 0 && !(step.Size >= kind.minSize && step.Size <= kind.maxSize):
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -36,16 +36,16 @@
 type discoveryView struct {
 	name       string                     // of the call server
 	officeAddr func(office string) string // address of an office for this call server
-	service    *platform.Journal
+	service    *platform.DiscoveryService
 	proxy      *platform.Proxy // between the call server and service
 	outages    []outage
 }
 
 // snapshot returns the present snapshot, for a configuration file.
-func (d *discovery) snapshot(view *discoveryView) feed.Known {
+func (d *discovery) snapshot(view *discoveryView) feed.Snapshot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return feed.Known{Pos: d.position, Entries: []feed.Event{d.newEvent(view, d.members, true)}}
+	return feed.Snapshot{Pos: d.position, Entries: []feed.Event{d.newEvent(view, d.members, true)}}
 }
 
 // newEvent returns the event that announces members to one call server. The caller holds d.mu.
@@ -71,11 +71,11 @@
 	}
 	now := d.env.Now()
 	for _, view := range d.views {
-		view.service.Tell(d.newEvent(view, members, false))
+		view.service.Publish(d.newEvent(view, members, false))
 		for _, member := range members {
 			if member.Phase != feed.Serving {
-				d.env.Judge(func(_ time.Duration, checker *rulecheck.Platform) {
-					checker.Told(view.latestNotice(now), view.name+"/"+member.ID)
+				d.env.Report(func(_ time.Duration, checker *rulecheck.PlatformChecker) {
+					checker.OfficeAnnounced(view.latestNotice(now), view.name+"/"+member.ID)
 				})
 			}
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(report.Breaches) > 0 {
+	if len(report.Violations) > 0 {
 		t.Error(report)
 	}
 	return report
@@ -70,14 +70,14 @@
 	if testing.Short() {
 		t.Skip("a quarter of a minute on real processes")
 	}
-	for name, discoveryFault := range map[string]Kind{"discovery is down": DiscoveryDown, "discovery is silent": DiscoveryMute} {
+	for name, discoveryFault := range map[string]Kind{"discovery is down": DiscoveryDown, "discovery is silent": DiscoveryUnresponsive} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			report := playScenario(t, binary, scenarioWithFaults(4*time.Second,
 				Fault{Kind: discoveryFault, At: Span(2 * time.Second), For: Span(12 * time.Second), Node: -1},
 				Fault{Kind: MachineLost, At: Span(3 * time.Second), For: Span(9 * time.Second), Node: -1, Office: 1, LateNotice: true}))
-			if report.Met[hardUnannounced] < 10 {
-				t.Errorf("only %d calls were established at the lost office", report.Met[hardUnannounced])
+			if report.Counts[hardUnannounced] < 10 {
+				t.Errorf("only %d calls were established at the lost office", report.Counts[hardUnannounced])
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 	}
 	add(CorruptAnswers, "rule 1", scenarioWithFaults(5*time.Second, oneFault(CorruptAnswers, duration)))
 	add(Replace, "rule 3", scenarioWithFaults(6*time.Second, oneFault(Replace, Span(10*time.Second))))
-	for _, kind := range []Kind{DiscoveryDown, DiscoveryCut, DiscoveryMute, DiscoverySlow, DiscoveryTruncated} {
+	for _, kind := range []Kind{DiscoveryDown, DiscoveryPartitioned, DiscoveryUnresponsive, DiscoverySlow, DiscoveryTruncated} {
 		add(kind, "rule 3", drainDuring(kind))
 	}
 	for _, kind := range []Kind{Reload, ReloadSeries} { // SIGHUP ends a faultyServer
@@ -189,10 +189,10 @@
 	for name, report := range playAll(t, os.Args[0], scenarios) {
 		want := violating[Kind(name)].violation
 		if name == "no fault" {
-			if len(report.Breaches) > 0 || report.Met["stood"] < 50 {
+			if len(report.Violations) > 0 || report.Counts["stood"] < 50 {
 				t.Errorf("%s: %s", name, report)
 			}
-		} else if !slices.ContainsFunc(report.Breaches, func(violation string) bool { return strings.Contains(violation, want) }) {
+		} else if !slices.ContainsFunc(report.Violations, func(violation string) bool { return strings.Contains(violation, want) }) {
 			t.Errorf("%s: no violation with %q\n%s", name, want, report)
 		}
 	}
@@ -209,7 +209,7 @@
 		scenarios[fmt.Sprint("seed ", seed)] = Draw(seed, 12*time.Second)
 	}
 	for name, report := range playAll(t, binary, scenarios) {
-		if len(report.Breaches) > 0 {
+		if len(report.Violations) > 0 {
 			t.Errorf("%s: %s", name, report)
 		}
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"finchlatch/config"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/m3ua"
 	"finchlatch/router"
@@ -24,15 +24,15 @@
 
 // FleetSettings are the size of a fleet, its traffic and the settings of its call servers.
 type FleetSettings struct {
-	Exchanges int
-	Regions   int
-	Rate      float64 // new callers per second in the whole fleet
-	Seed      uint64
-	Classes   []plant.Class
-	Habits    plant.Habits
-	Asks      float64       // share of the tries that start with an ENUM query
-	Release   time.Duration // release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule
-	Log       *slog.Logger  // of the call servers; nil: none
+	Exchanges   int
+	Regions     int
+	Rate        float64 // new callers per second in the whole fleet
+	Seed        uint64
+	Classes     []simenv.Class
+	Habits      simenv.Habits
+	LookUpShare float64       // share of the tries that start with an ENUM query
+	Release     time.Duration // release time of rule 5 in the call servers' settings; 0: the default. A short one breaks the rule
+	Log         *slog.Logger  // of the call servers; nil: none
 
 	// Baseline creates a policy that replaces the decision module, for comparison; nil: the module decides.
 	Baseline func(s logic.Settings, seed int64) (router.Policy, error)
@@ -81,8 +81,8 @@
 type Fleet struct {
 	Settings   FleetSettings
 	Nodes      []*Node
-	Parameters rulecheck.Figures
-	Rec        *rulecheck.Recorder // messages and events at call servers, for the rule checker
+	Parameters rulecheck.Parameters
+	Recorder   *rulecheck.Recorder // messages and events at call servers, for the rule checker
 	Discovery  *Discovery
 	Group      int // circuits between two exchanges
 
@@ -90,8 +90,8 @@
 	accessLinks []*Link          // for each exchange, to its callers and to its lines
 	createdAt   time.Time        // origin of the fleet's clock
 	mu          sync.Mutex
-	outcomes    []plant.Outcome
-	plan        plant.Plan
+	outcomes    []simenv.Outcome
+	plan        simenv.Plan
 	hotNumber   hotNumber
 	background  sync.WaitGroup // faults that are still being carried out
 }
@@ -105,7 +105,7 @@
 
 // NewFleet creates and starts a fleet. There are no calls before StartCallers.
 func NewFleet(settings FleetSettings) (*Fleet, error) {
-	f := &Fleet{Settings: settings, Rec: &rulecheck.Recorder{}, links: map[[2]int]*Link{}, createdAt: time.Now()}
+	f := &Fleet{Settings: settings, Recorder: &rulecheck.Recorder{}, links: map[[2]int]*Link{}, createdAt: time.Now()}
 	if settings.Regions < 1 {
 		f.Settings.Regions = 1
 	}
@@ -143,9 +143,9 @@
 
 // applyPlan dimensions the trunk groups for the planned traffic and sets the parameters of the rule checker.
 func (f *Fleet) applyPlan() {
-	f.plan = plant.Plan{Exchanges: f.Settings.Exchanges, Rate: f.Settings.Rate, Classes: f.Settings.Classes}
+	f.plan = simenv.Plan{Exchanges: f.Settings.Exchanges, Rate: f.Settings.Rate, Classes: f.Settings.Classes}
 	f.Group, f.Parameters = f.plan.GroupSize(), f.plan.Parameters()
-	f.Parameters.AskWithin, f.Parameters.Slack, f.Parameters.Skew = time.Second, 100*time.Millisecond, 30*time.Millisecond
+	f.Parameters.QueryTimeout, f.Parameters.Slack, f.Parameters.TapSkew = time.Second, 100*time.Millisecond, 30*time.Millisecond
 	for i := range f.Settings.Exchanges {
 		f.Parameters.PointCodes[nodeName(i)] = firstPointCode + uint32(i)
 	}
@@ -160,8 +160,8 @@
 // addNode creates an exchange without its call server.
 func (f *Fleet) addNode(i int) error {
 	capacity := f.plan.ProcessorCapacity(f.Group)
-	n := &Node{Name: nodeName(i), Region: plant.Region(i, f.Settings.Exchanges, f.Settings.Regions), fleet: f, index: i,
-		Processor: NewProcessor(plant.NewProcessor[queueKey](f.plan.ServiceTimes(capacity), plant.MaxWait, capacity, f.Parameters), f.Now),
+	n := &Node{Name: nodeName(i), Region: simenv.Region(i, f.Settings.Exchanges, f.Settings.Regions), fleet: f, index: i,
+		Processor: NewProcessor(simenv.NewProcessor[queueKey](f.plan.ServiceTimes(capacity), simenv.MaxWait, capacity, f.Parameters), f.Now),
 		Rate:      f.Settings.Rate / float64(f.Settings.Exchanges)}
 	seed := f.Settings.Seed*1000 + uint64(i)
 	circuits := config.Circuits{First: 1, Count: accessCircuits}.Codes()
@@ -169,9 +169,9 @@
 	n.Callers.Classes, n.Callers.Habits, n.Callers.PickNumber = f.Settings.Classes, f.Settings.Habits, n.pickNumber
 	n.Callers.OnDone = f.addOutcome
 	n.Callers.EnumAddress = n.enumAddress
-	n.Callers.EnableLookUps(f.Settings.Asks)
+	n.Callers.EnableLookUps(f.Settings.LookUpShare)
 	n.Callers.RecordLookUp = func(kind rulecheck.Kind, client string, data []byte) {
-		f.Rec.Add(rulecheck.Record{At: f.Now(), Kind: kind, Exchange: n.Name, Peer: client, Data: data})
+		f.Recorder.Add(rulecheck.Record{At: f.Now(), Kind: kind, Exchange: n.Name, Peer: client, Data: data})
 	}
 	n.Lines = NewLines(firstLinesPointCode+uint32(i), firstPointCode+uint32(i), seed, f.Now)
 	f.Nodes = append(f.Nodes, n)
@@ -184,14 +184,14 @@
 	for i, a := range f.Nodes {
 		for j := i + 1; j < len(f.Nodes); j++ {
 			b := f.Nodes[j]
-			link, err := NewLink(serverEnd(a), serverEnd(b), b.address, plant.SignallingDelay(a.Region, b.Region), f.Rec, f.Now)
+			link, err := NewLink(serverEnd(a), serverEnd(b), b.address, simenv.SignallingDelay(a.Region, b.Region), f.Recorder, f.Now)
 			if err != nil {
 				return err
 			}
 			f.links[[2]int{i, j}] = link
 		}
 		for _, name := range []string{"counters", "lines"} {
-			link, err := NewLink(linkEnd{name: name}, serverEnd(a), a.address, plant.AccessDelay, f.Rec, f.Now)
+			link, err := NewLink(linkEnd{name: name}, serverEnd(a), a.address, simenv.AccessDelay, f.Recorder, f.Now)
 			if err != nil {
 				return err
 			}
@@ -274,7 +274,7 @@
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	s, err := server.New(cfg, log, server.WithList(offices))
+	s, err := server.New(cfg, log, server.WithSnapshot(offices))
 	if err != nil {
 		return err
 	}
@@ -318,7 +318,7 @@
 // Kill stops the call server as a crash would.
 func (n *Node) Kill() {
 	if s := n.markDown(); s != nil {
-		n.fleet.Rec.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
+		n.fleet.Recorder.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
 		s.Kill()
 	}
 }
@@ -330,7 +330,7 @@
 	n.mu.Unlock()
 	_ = s.Shutdown(within)
 	n.markDown()
-	n.fleet.Rec.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
+	n.fleet.Recorder.Add(rulecheck.Record{At: n.fleet.Now(), Kind: rulecheck.Killed, Exchange: n.Name})
 }
 
 // markDown marks the call server as stopped and returns it; nil: it was down already.
@@ -351,9 +351,9 @@
 
 // RestartProcessor restarts the processor of a node, which is cold then.
 func (n *Node) RestartProcessor() {
-	n.Processor.WithCore(func(core *plant.Processor[queueKey], now time.Duration) {
+	n.Processor.WithCore(func(core *simenv.Processor[queueKey], now time.Duration) {
 		core.Restart(now)
-		n.fleet.Rec.Add(rulecheck.Record{At: now, Kind: rulecheck.Started, Exchange: n.Name, Capacity: core.Capacity})
+		n.fleet.Recorder.Add(rulecheck.Record{At: now, Kind: rulecheck.Started, Exchange: n.Name, Capacity: core.Capacity})
 	})
 }
 
@@ -449,25 +449,25 @@
 }
 
 // addOutcome stores the outcome of a caller.
-func (f *Fleet) addOutcome(outcome plant.Outcome) {
+func (f *Fleet) addOutcome(outcome simenv.Outcome) {
 	f.mu.Lock()
 	f.outcomes = append(f.outcomes, outcome)
 	f.mu.Unlock()
 }
 
 // Results returns the outcomes of all callers that are done.
-func (f *Fleet) Results() []plant.Outcome {
+func (f *Fleet) Results() []simenv.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]plant.Outcome(nil), f.outcomes...)
+	return append([]simenv.Outcome(nil), f.outcomes...)
 }
 
 // Report sums up the run.
-func (f *Fleet) Report() plant.Report {
-	r := plant.NewReport(f.Settings.Classes, f.Results(), f.Verdict())
+func (f *Fleet) Report() simenv.Report {
+	r := simenv.NewReport(f.Settings.Classes, f.Results(), f.Verdict())
 	for _, n := range f.Nodes {
 		if n.Processor.Collapsed() {
-			r.Fallen = append(r.Fallen, n.Name)
+			r.Collapsed = append(r.Collapsed, n.Name)
 		}
 	}
 	return r
@@ -475,7 +475,7 @@
 
 // Verdict checks the five rules on all records so far.
 func (f *Fleet) Verdict() rulecheck.Verdict {
-	return rulecheck.Check(f.Parameters, f.Rec.Records(), f.Now())
+	return rulecheck.Check(f.Parameters, f.Recorder.Records(), f.Now())
 }
 
 // Close stops the fleet with all its call servers and connections.
--- a/lab/run.go
+++ b/lab/run.go
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"finchlatch/bound"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 	"finchlatch/logic"
 	"finchlatch/model"
 	"finchlatch/router"
@@ -50,9 +50,9 @@
 	totals := newAccumulator(e)
 	var records []rulecheck.Record
 	sends := 0
-	settings := model.Settings{Exchanges: cell.Exchanges, Regions: e.Regions, Planned: e.Rate * float64(cell.Exchanges), Group: e.Group,
+	settings := model.Settings{Exchanges: cell.Exchanges, Regions: e.Regions, PlannedRate: e.Rate * float64(cell.Exchanges), GroupSize: e.Group,
 		Rate: e.Rate * float64(cell.Exchanges) * cell.Load, Seed: cell.Seed, Classes: e.Classes, Habits: e.Habits, Traffic: e.Traffic,
-		MaxWait: e.MaxWait, Done: totals.add}
+		MaxWait: e.MaxWait, OnDone: totals.add}
 	makeBaseline, err := policyMaker(cell.Policy)
 	if err != nil {
 		return result, err
@@ -65,7 +65,7 @@
 		return logic.New(policySettings, seed)
 	}
 	if e.Rules {
-		settings.Records = func(record rulecheck.Record) { records = append(records, record) }
+		settings.OnRecord = func(record rulecheck.Record) { records = append(records, record) }
 	}
 	fleet, err := model.New(settings)
 	if err != nil {
@@ -78,9 +78,9 @@
 	}
 	result.Wall, result.Events = time.Since(startedAt), fleet.Events()-eventsBefore
 	if e.Rules {
-		verdict := rulecheck.Check(fleet.Figures, records, fleet.Now())
-		if result.Breaches = len(verdict.Breaches); result.Breaches > 0 {
-			result.FirstError = verdict.Breaches[0].String()
+		verdict := rulecheck.Check(fleet.Parameters, records, fleet.Now())
+		if result.Breaches = len(verdict.Violations); result.Breaches > 0 {
+			result.FirstError = verdict.Violations[0].String()
 		}
 	}
 	totals.fill(&result, sends)
@@ -120,11 +120,11 @@
 }
 
 // add takes the outcome of one caller.
-func (a *accumulator) add(outcome plant.Outcome) {
+func (a *accumulator) add(outcome simenv.Outcome) {
 	a.allTries += outcome.Tries
 	class := a.experiment.Classes[outcome.Class]
 	earned, offered := outcome.Worth(class)
-	sinceStart := outcome.Began - a.startedAt
+	sinceStart := outcome.StartedAt - a.startedAt
 	if window := int(sinceStart / time.Second); window >= 0 && window < len(a.windows) {
 		a.windows[window][0] += earned
 		a.windows[window][1] += offered
@@ -136,13 +136,13 @@
 	a.offered[outcome.Class] += offered
 	a.callers++
 	a.tries += outcome.Tries
-	if outcome.Stood && !outcome.Cut {
+	if outcome.Established && !outcome.Dropped {
 		a.established++
 		if outcome.SetUp > class.Aim {
 			a.late++
 		}
 	}
-	if outcome.Stood {
+	if outcome.Established {
 		_ = a.setUpTimes.RecordValue(outcome.SetUp.Microseconds()) // never out of range: callers give up long before the histogram's hour
 	}
 }
@@ -230,7 +230,7 @@
 		network.Classes = append(network.Classes, bound.Class{Worth: class.Worth, Width: float64(class.Width), Hold: class.Hold.Seconds()})
 		var rates [][]float64
 		for from := range size {
-			rates = append(rates, row(func(to int) float64 { return e.Rate * cell.Load * class.Share * fleet.Part(from, to) }))
+			rates = append(rates, row(func(to int) float64 { return e.Rate * cell.Load * class.Share * fleet.TrafficShare(from, to) }))
 		}
 		network.Rate = append(network.Rate, rates)
 	}
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -20,9 +20,9 @@
 	office string // empty: calls are refused
 }
 
-func (p *fakePolicy) List(time.Duration, logic.ListKind, []logic.Office) {}
-func (p *fakePolicy) Report(time.Duration, logic.Report)                 {}
-func (p *fakePolicy) Stands(time.Duration, logic.Outcome)                {}
+func (p *fakePolicy) UpdateOffices(time.Duration, logic.ListKind, []logic.Office) {}
+func (p *fakePolicy) Report(time.Duration, logic.Report)                          {}
+func (p *fakePolicy) Established(time.Duration, logic.Outcome)                    {}
 func (p *fakePolicy) Outcome(_ time.Duration, outcome logic.Outcome) {
 	if !outcome.Over && outcome.Status == logic.Full {
 		p.Refuse(outcome.Call, 0)
@@ -46,7 +46,7 @@
 func (noopHost) Fail(uint64)                        {}
 func (noopHost) Cancel(uint64, int)                 {}
 func (noopHost) Probe(string)                       {}
-func (noopHost) Tell(int, []byte)                   {}
+func (noopHost) SendPeer(int, []byte)               {}
 func (noopHost) Timer(time.Duration, string)        {}
 func (noopHost) Watch(bool)                         {}
 func (noopHost) Log(string)                         {}
@@ -56,13 +56,13 @@
 func newMeter(t *testing.T) (*Meter, *fakePolicy) {
 	t.Helper()
 	m, policy := New(Settings{Home: 1, Classes: classes}, time.Hour, midnight.Add(9*time.Hour)), &fakePolicy{}
-	if _, err := m.Around(noopHost{}, func(h logic.Host) (Policy, error) {
+	if _, err := m.Wrap(noopHost{}, func(h logic.Host) (Policy, error) {
 		policy.Host = h
 		return policy, nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	m.List(time.Hour, logic.ListRestored, []logic.Office{{ID: "a", Exchange: 1}, {ID: "b", Exchange: 2}, {ID: "c", Exchange: 3}})
+	m.UpdateOffices(time.Hour, logic.ListRestored, []logic.Office{{ID: "a", Exchange: 1}, {ID: "b", Exchange: 2}, {ID: "c", Exchange: 3}})
 	m.Report(time.Hour, logic.Report{Office: "b", OK: true, Load: []float64{30, 30}})
 	return m, policy
 }
@@ -76,10 +76,10 @@
 	at := func(offset time.Duration) time.Duration { return time.Hour + offset }
 	policy.office = "b"
 	m.Offered(at(10*seconds), logic.Call{ID: 1, Class: 1, Dest: 2, Number: "55021"})
-	m.Stands(at(11*seconds), logic.Outcome{Call: 1, Office: "b"})
+	m.Established(at(11*seconds), logic.Outcome{Call: 1, Office: "b"})
 	policy.office = "c"
 	m.Offered(at(20*seconds), logic.Call{ID: 2, Dest: 2, Number: "55022"})
-	m.Stands(at(20*seconds), logic.Outcome{Call: 2, Office: "c"})
+	m.Established(at(20*seconds), logic.Outcome{Call: 2, Office: "c"})
 	policy.office = ""
 	m.Offered(at(30*seconds), logic.Call{ID: 3, Dest: 2, Number: "55023"})
 	m.Offered(at(31*seconds), logic.Call{ID: 4, Dest: 2, Number: "55023"}) // the redial
@@ -89,7 +89,7 @@
 	m.Outcome(at(111*seconds), logic.Outcome{Call: 1, Office: "b", Status: logic.Ended, Over: true})
 	m.Outcome(at(140*seconds), logic.Outcome{Call: 6, Office: "b", Status: logic.Full})
 	m.Outcome(at(1000*seconds), logic.Outcome{Call: 2, Office: "c", Status: logic.Ended, Over: true})
-	got := m.Take(at(1000 * seconds))
+	got := m.TakeEnded(at(1000 * seconds))
 	if len(got) != 1 || got[0].Covered != IntervalLength || !got[0].Start.Equal(midnight.Add(9*time.Hour)) {
 		t.Fatalf("%+v", got)
 	}
@@ -109,7 +109,7 @@
 	if len(groups) != 2 || groups[0].To != 2 || groups[0].Usage != 2*101+100 || groups[0].Seized != 3 || groups[0].Circuits != 30 || groups[1].Usage != 880 {
 		t.Errorf("groups %+v", groups)
 	}
-	open := m.Open(at(1000 * seconds))
+	open := m.Current(at(1000 * seconds))
 	if open.Covered != 100*seconds || len(open.Counts) != 1 || open.Counts[0].Usage != 100 || open.Counts[0].Ended != 1 || open.Groups[0].Circuits != 30 {
 		t.Errorf("open %+v", open)
 	}
@@ -118,14 +118,14 @@
 // Checks that setting the clock ends the interval and marks both parts of it. Router time never jumps.
 func TestClockJumps(t *testing.T) {
 	m, _ := newMeter(t)
-	m.Clock(time.Hour+100*seconds, midnight.Add(9*time.Hour+101*seconds)) // drift is ignored
-	m.Clock(time.Hour+200*seconds, midnight.Add(12*time.Hour))
-	got := append(m.Take(time.Hour+300*seconds), m.Open(time.Hour+300*seconds))
+	m.SetClock(time.Hour+100*seconds, midnight.Add(9*time.Hour+101*seconds)) // drift is ignored
+	m.SetClock(time.Hour+200*seconds, midnight.Add(12*time.Hour))
+	got := append(m.TakeEnded(time.Hour+300*seconds), m.Current(time.Hour+300*seconds))
 	if len(got) != 2 || !got[0].Jumped || !got[1].Jumped || got[0].Covered != 200*seconds || got[1].Covered != 100*seconds || got[1].Start.Hour() != 12 {
 		t.Errorf("%+v", got)
 	}
-	m.Clock(time.Hour+301*seconds, midnight) // the clock is set back
-	if x := m.Open(time.Hour + 302*seconds); x.Start.Hour() != 0 || !x.Jumped {
+	m.SetClock(time.Hour+301*seconds, midnight) // the clock is set back
+	if x := m.Current(time.Hour + 302*seconds); x.Start.Hour() != 0 || !x.Jumped {
 		t.Errorf("%+v", x)
 	}
 }
@@ -287,7 +287,7 @@
 	advisor := &Advisor{Classes: classes, Targets: []float64{0.01, 0.01}}
 	advise := func(fresh int) string {
 		interval := Interval{Home: 1, Covered: IntervalLength, Counts: []Count{{To: 2, Tries: fresh, Fresh: fresh}}, Groups: []Group{{To: 2, Circuits: 20, Least: 20}}}
-		out := advisor.Hear(interval)
+		out := advisor.Evaluate(interval)
 		if len(out) == 0 {
 			return ""
 		}
@@ -308,7 +308,7 @@
 	if advise(40) != "" || !strings.Contains(advise(40), "enough again") {
 		t.Error("the report is not withdrawn")
 	}
-	if out := advisor.Hear(Interval{Covered: IntervalLength, Jumped: true}); out != nil {
+	if out := advisor.Evaluate(Interval{Covered: IntervalLength, Jumped: true}); out != nil {
 		t.Errorf("%v", out)
 	}
 }
--- a/model/executors_test.go
+++ b/model/executors_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/internal/standin"
 )
 
@@ -16,9 +16,9 @@
 	}
 	script := newScript("flap")
 	settings := newSettings(5, 45, 11)
-	settings.MaxWait = plant.MaxWait
+	settings.MaxWait = simenv.MaxWait
 	v, f, _ := playAndCheck(t, settings, script)
-	simulated := plant.NewReport(settings.Classes, f.Results(), v)
+	simulated := simenv.NewReport(settings.Classes, f.Results(), v)
 	s, err := standin.NewFleet(standin.FleetSettings{Exchanges: settings.Exchanges, Regions: settings.Regions, Rate: settings.Rate,
 		Seed: settings.Seed, Classes: settings.Classes, Habits: settings.Habits})
 	if err != nil {
@@ -27,8 +27,8 @@
 	defer s.Close()
 	s.Play(script, nil)
 	sockets := s.Report()
-	if len(simulated.Verdict.Breaches)+len(sockets.Verdict.Breaches) > 0 {
-		t.Errorf("violations: %v in simulated time, %v on sockets", simulated.Verdict.Breaches, sockets.Verdict.Breaches)
+	if len(simulated.Verdict.Violations)+len(sockets.Verdict.Violations) > 0 {
+		t.Errorf("violations: %v in simulated time, %v on sockets", simulated.Verdict.Violations, sockets.Verdict.Violations)
 	}
 	modelService, socketService := simulated.Service(), sockets.Service()
 	if math.Abs(modelService-socketService) > 0.25 || modelService < 0.5 || socketService < 0.5 {
--- a/model/scenario.go
+++ b/model/scenario.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"finchlatch/config"
-	"finchlatch/internal/plant"
 	"finchlatch/internal/rulecheck"
+	"finchlatch/internal/simenv"
 )
 
 // Scenario describes a whole short run: a fleet and its fault schedule. The swarm draws and shrinks scenarios, and they are
@@ -22,16 +22,16 @@
 	Planned   float64
 	Seed      uint64
 	MaxWait   time.Duration
-	Classes   []plant.Class
-	Habits    plant.Habits
+	Classes   []simenv.Class
+	Habits    simenv.Habits
 	Traffic   Traffic
-	Script    plant.Script
+	Script    simenv.Script
 }
 
 // ReadScenario reads a scenario in Jsonnet or JSON; name stands for its file in errors.
 func ReadScenario(name, text string) (Scenario, error) {
 	var s Scenario
-	if err := plant.Read(name, text, &s); err != nil {
+	if err := simenv.DecodeJsonnet(name, text, &s); err != nil {
 		return s, err
 	}
 	if len(s.Classes) == 0 {
@@ -54,7 +54,7 @@
 
 // Settings returns the settings of the scenario's fleet.
 func (s Scenario) Settings() Settings {
-	return Settings{Exchanges: s.Exchanges, Regions: s.Regions, Rate: s.Rate, Planned: s.Planned, Seed: s.Seed, MaxWait: s.MaxWait,
+	return Settings{Exchanges: s.Exchanges, Regions: s.Regions, Rate: s.Rate, PlannedRate: s.Planned, Seed: s.Seed, MaxWait: s.MaxWait,
 		Classes: s.Classes, Habits: s.Habits, Traffic: s.Traffic}
 }
 
@@ -76,7 +76,7 @@
 func (s Scenario) Run(inject func(*Settings)) error {
 	settings := s.Settings()
 	var records []rulecheck.Record
-	settings.Records = func(r rulecheck.Record) { records = append(records, r) }
+	settings.OnRecord = func(r rulecheck.Record) { records = append(records, r) }
 	if inject != nil {
 		inject(&settings)
 	}
@@ -89,17 +89,17 @@
 		f.schedule(time.Duration(s.Script.Len)*time.Duration(i+1)/accountingChecks,
 			func() { accountingErr = errors.Join(accountingErr, f.CheckCircuitAccounting()) })
 	}
-	if err := f.Play(s.Script, Quiet); err != nil {
+	if err := f.Play(s.Script, DrainTime); err != nil {
 		return err
 	}
-	verdict := rulecheck.Check(f.Figures, records, f.Now())
-	if len(verdict.Breaches) > 0 {
-		violation := verdict.Breaches[0]
+	verdict := rulecheck.Check(f.Parameters, records, f.Now())
+	if len(verdict.Violations) > 0 {
+		violation := verdict.Violations[0]
 		return &Violation{fmt.Sprintf("rule %d", violation.Rule),
-			fmt.Sprintf("%d breaches, the first: %v", len(verdict.Breaches), violation)}
+			fmt.Sprintf("%d violations, the first: %v", len(verdict.Violations), violation)}
 	}
-	if verdict.Unread > 0 {
-		return &Violation{"unread", fmt.Sprintf("%d messages at the taps cannot be read", verdict.Unread)}
+	if verdict.Undecoded > 0 {
+		return &Violation{"unread", fmt.Sprintf("%d messages at the taps cannot be read", verdict.Undecoded)}
 	}
 	if accountingErr != nil {
 		return &Violation{"books", accountingErr.Error()}
@@ -113,19 +113,19 @@
 // scenarioStream is the stream of the random numbers that a scenario is drawn with.
 const scenarioStream = 99
 
-// Draw draws the scenario of a seed.
-func Draw(seed uint64) Scenario {
+// DrawScenario draws the scenario of a seed.
+func DrawScenario(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
 	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
 	duration := func(low, high float64) time.Duration {
 		return time.Duration(between(low, high) * float64(time.Second)).Round(time.Millisecond)
 	}
-	s := Scenario{Exchanges: 3 + rng.IntN(5), Regions: 1 + rng.IntN(3), Seed: seed, Classes: plant.DefaultClasses(),
-		Habits: plant.Habits{Redials: rng.IntN(4), Pause: duration(0.1, 1), HotPause: 100 * time.Millisecond, CutReturn: duration(0.1, 2),
+	s := Scenario{Exchanges: 3 + rng.IntN(5), Regions: 1 + rng.IntN(3), Seed: seed, Classes: simenv.DefaultClasses(),
+		Habits: simenv.Habits{Redials: rng.IntN(4), Pause: duration(0.1, 1), HotPause: 100 * time.Millisecond, CutReturn: duration(0.1, 2),
 			Overstay: 400 * time.Millisecond}}
 	s.Planned = float64(int(between(5, 20) * float64(s.Exchanges)))
 	s.Rate = s.Planned * []float64{0.7, 1, 1.3, 2, 4}[rng.IntN(5)]
-	s.MaxWait = []time.Duration{0, plant.MaxWait, plant.MaxWait / 4}[rng.IntN(3)]
+	s.MaxWait = []time.Duration{0, simenv.MaxWait, simenv.MaxWait / 4}[rng.IntN(3)]
 	s.Traffic.Spread = []float64{0, 0, 0.7}[rng.IntN(3)]
 	for i := range s.Classes {
 		class := &s.Classes[i]
@@ -133,13 +133,13 @@
 		class.Patience = time.Duration(between(1.3, 3) * float64(class.Aim)).Round(time.Millisecond)
 		class.Deadline, class.Hold = 3*class.Patience, duration(0.3, 3)
 		class.Width = 1 + i*(1+rng.IntN(4))
-		class.Holding = []plant.Holding{plant.Exponential, plant.Constant, plant.Lognormal, plant.Hyper}[rng.IntN(4)]
+		class.Holding = []simenv.Holding{simenv.Exponential, simenv.Constant, simenv.Lognormal, simenv.Hyper}[rng.IntN(4)]
 	}
-	kinds := plant.FaultKinds()
+	kinds := simenv.FaultKinds()
 	length := duration(3, 7)
-	s.Script = plant.Script{Len: config.Span(length)}
+	s.Script = simenv.Script{Len: config.Duration(length)}
 	for range 1 + rng.IntN(5) {
-		s.Script.Steps = append(s.Script.Steps, plant.DrawStep(rng, kinds[rng.IntN(len(kinds))], length))
+		s.Script.Steps = append(s.Script.Steps, simenv.DrawStep(rng, kinds[rng.IntN(len(kinds))], length))
 	}
 	return s
 }
@@ -221,12 +221,12 @@
 		if step.Part > 0.1 {
 			add(func(smaller *Scenario) { smaller.Script.Steps[i].Part /= 2 })
 		}
-		if step.Len > config.Span(200*time.Millisecond) {
+		if step.Len > config.Duration(200*time.Millisecond) {
 			add(func(smaller *Scenario) { smaller.Script.Steps[i].Len /= 2 })
 		}
 	}
 	if next := max(last+time.Second, time.Duration(s.Script.Len)*3/4); next < time.Duration(s.Script.Len)*9/10 {
-		add(func(smaller *Scenario) { smaller.Script.Len = config.Span(next) })
+		add(func(smaller *Scenario) { smaller.Script.Len = config.Duration(next) })
 	}
 	return candidates
 }
--- a/node/config.go
+++ b/node/config.go
@@ -21,7 +21,7 @@
 	Journal  string // address of the discovery service
 	Seed     int64
 	Limits   Limits
-	Known    feed.Known // events of service discovery up to the start
+	Known    feed.Snapshot // events of service discovery up to the start
 	Settings wire.Settings
 }
 
@@ -85,7 +85,7 @@
 		Journal  string          `json:"journal"`
 		Seed     string          `json:"seed"`
 		Limits   Limits          `json:"limits"`
-		Known    *feed.Known     `json:"known"`
+		Known    *feed.Snapshot  `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -120,7 +120,7 @@
 	}
 	cfg.Known = *file.Known
 	for i := range cfg.Known.Entries {
-		if err := cfg.Known.Entries[i].Check(); err != nil {
+		if err := cfg.Known.Entries[i].Validate(); err != nil {
 			return nil, fmt.Errorf("known.entries.%d: %w", i, err)
 		}
 	}
@@ -154,6 +154,6 @@
 // need more than the third that they are specified to use; offices get a third.
 func (c *Config) serverConfig() callserver.Config {
 	free := c.Limits.Sockets - reservedDescriptors
-	return callserver.Config{Settings: c.Settings.Settings, Seed: c.Seed, MaxOpen: c.Settings.MaxOpen,
-		ConnectTimeout: time.Duration(c.Settings.ConnectTimeout), Callers: free * 5 / 9, Offices: free / 3}
+	return callserver.Config{Settings: c.Settings.Settings, Seed: c.Seed, MaxOpenCalls: c.Settings.MaxOpen,
+		ConnectTimeout: time.Duration(c.Settings.ConnectTimeout), MaxCallerConns: free * 5 / 9, MaxOfficeConns: free / 3}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -39,11 +39,11 @@
 	listener        net.Listener
 	discoveryPos    atomic.Uint64 // position in the discovery stream up to which events have been applied
 	discovery       *discoveryClient
-	lingerSlots     link.Places
-	unhandled       link.Places   // connections that are accepted and that the loop has not handled yet
-	acceptStoppedAt time.Duration // Unix time at which the listener was closed by a drain; 0: it is open
-	drainStartedAt  time.Duration // Unix time; 0: no drain has started
-	drainEndsAt     time.Duration // planned end of the drain, Unix time; 0: the core has not been notified of it
+	lingerSlots     link.Semaphore
+	unhandled       link.Semaphore // connections that are accepted and that the loop has not handled yet
+	acceptStoppedAt time.Duration  // Unix time at which the listener was closed by a drain; 0: it is open
+	drainStartedAt  time.Duration  // Unix time; 0: no drain has started
+	drainEndsAt     time.Duration  // planned end of the drain, Unix time; 0: the core has not been notified of it
 }
 
 // input is a message from another goroutine to the event loop.
@@ -82,7 +82,7 @@
 	}
 	n := &Node{cfg: cfg, configPath: path, log: log.With("node", cfg.Name), inputs: make(chan input, inputQueueSize), stop: make(chan struct{}),
 		reloadRequests: make(chan struct{}, 1), drainRequests: make(chan struct{}, 1), endpoints: map[callserver.ConnID]*endpoint{},
-		lingerSlots: make(link.Places, maxLingering), unhandled: make(link.Places, maxUnhandled), startTime: time.Now()}
+		lingerSlots: make(link.Semaphore, maxLingering), unhandled: make(link.Semaphore, maxUnhandled), startTime: time.Now()}
 	n.startUnix = time.Duration(n.startTime.UnixNano())
 	settings := cfg.serverConfig()
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
@@ -96,9 +96,9 @@
 	return n, nil
 }
 
-// Fit adapts the Go runtime of the whole process to the limits of the machine: it sets GOMAXPROCS to the number of cores and
-// the memory limit to three quarters of the memory.
-func (n *Node) Fit() {
+// ApplyLimits adapts the Go runtime of the whole process to the limits of the machine: it sets GOMAXPROCS to the number of
+// cores and the memory limit to three quarters of the memory.
+func (n *Node) ApplyLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.cfg.Limits.Cores))))
 	debug.SetMemoryLimit(int64(n.cfg.Limits.MemoryMB) << 20 * 3 / 4)
 }
@@ -118,8 +118,8 @@
 // Reload makes the Node read its configuration file again.
 func (n *Node) Reload() { notify(n.reloadRequests) }
 
-// Leave begins the drain: new calls are served for a while, every accepted call is answered, and then Run returns.
-func (n *Node) Leave() { notify(n.drainRequests) }
+// Drain begins the drain: new calls are served for a while, every accepted call is answered, and then Run returns.
+func (n *Node) Drain() { notify(n.drainRequests) }
 
 // notify makes a request unless one is pending already.
 func notify(requests chan struct{}) {
@@ -139,7 +139,7 @@
 	n.log.Info("started", "listen", n.listener.Addr().String(), "journal", n.cfg.Journal, "sockets", n.cfg.Limits.Sockets,
 		"memory_mb", n.cfg.Limits.MemoryMB, "cores", n.cfg.Limits.Cores)
 	n.core.Start(n.now(), n.cfg.Known)
-	n.discoveryPos.Store(n.core.Pos())
+	n.discoveryPos.Store(n.core.Position())
 	n.startDiscovery(n.cfg.Journal)
 	n.wg.Add(1)
 	go func() {
--- a/planning/sizing_test.go
+++ b/planning/sizing_test.go
@@ -12,7 +12,7 @@
 	"finchlatch/config"
 	"finchlatch/dimension"
 	"finchlatch/internal/baseline"
-	"finchlatch/internal/plant"
+	"finchlatch/internal/simenv"
 	"finchlatch/measure"
 	"finchlatch/model"
 )
@@ -37,7 +37,7 @@
 	fmt.Fprintf(&text, `{ classes: [{ name: 'narrow', width: 1, hold: '6s', target: %v }, { name: 'wide', width: 2, hold: '6s', target: %v }], less: true, hours: %d, other: 3, exchanges: [`,
 		trial.targets[0], trial.targets[1], max(1, int(trial.length/measure.IntervalLength)))
 	for i := range trial.exchanges {
-		fmt.Fprintf(&text, "{ number: %d, name: 'ex%03d', region: 'r%d' },", i+1, i+1, plant.Region(i, trial.exchanges, 2))
+		fmt.Fprintf(&text, "{ number: %d, name: 'ex%03d', region: 'r%d' },", i+1, i+1, simenv.Region(i, trial.exchanges, 2))
 	}
 	keep := ""
 	if trial.length < measure.IntervalLength { // keeps the incomplete interval of a run shorter than one
@@ -52,15 +52,16 @@
 
 // settings returns the settings of a simulation run.
 func (trial sizingTrial) settings(seed uint64) model.Settings {
-	classes := []plant.Class{{Name: "narrow", Share: 0.85, Category: 10, Width: 1, Worth: 1}, {Name: "wide", Share: 0.15, Category: 11, Width: 2, Worth: 3}}
+	classes := []simenv.Class{{Name: "narrow", Share: 0.85, Category: 10, Width: 1, Worth: 1}, {Name: "wide", Share: 0.15, Category: 11, Width: 2, Worth: 3}}
 	for i := range classes {
 		class := &classes[i]
 		class.Aim, class.Patience, class.Deadline, class.Hold = 1200*time.Millisecond, 3*time.Second, 9*time.Second, 6*time.Second
 	}
-	settings := model.Settings{Exchanges: trial.exchanges, Regions: 2, Rate: trial.rate * float64(trial.exchanges), Seed: seed, Classes: classes, Free: true, Measure: true,
-		Traffic: trial.traffic, Done: func(plant.Outcome) {}}
+	settings := model.Settings{Exchanges: trial.exchanges, Regions: 2, Rate: trial.rate * float64(trial.exchanges), Seed: seed, Classes: classes,
+		NoServiceTimes: true, Measure: true,
+		Traffic: trial.traffic, OnDone: func(simenv.Outcome) {}}
 	if !trial.controller {
-		settings.Baseline = baseline.AdmitAll
+		settings.Baseline = baseline.DirectOnly
 	}
 	return settings
 }
@@ -72,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.Play(plant.Script{Len: config.Span(trial.length)}, 0); err != nil {
+	if err := fleet.Play(simenv.Script{Len: config.Duration(trial.length)}, 0); err != nil {
 		t.Fatal(err)
 	}
 	return fleet.Measured()
@@ -112,7 +113,7 @@
 func (trial sizingTrial) run(t testing.TB, singleWidth bool) (out result) {
 	t.Helper()
 	out.rules = trial.rules(t)
-	traffic, err := out.rules.Measured(trial.play(t, trial.settings(trial.seed)))
+	traffic, err := out.rules.MeasuredTraffic(trial.play(t, trial.settings(trial.seed)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +149,7 @@
 		var intervals []measure.Interval
 		for run := range uint64(max(1, trial.sizedRuns)) {
 			settings := trial.settings(trial.seed + 1000*(run+1))
-			settings.Groups = func(a, b int) int { return sizes[[2]int{a, b}] }
+			settings.GroupSizeOf = func(a, b int) int { return sizes[[2]int{a, b}] }
 			intervals = append(intervals, trial.play(t, settings)...)
 		}
 		return refusalRates(out.rules, intervals)
@@ -315,11 +316,11 @@
 				Counts: []measure.Count{{To: 3 - home, Tries: calls, Fresh: calls, Ended: calls, Hold: 6 * float64(calls), Hold2: 72 * float64(calls)}}, Groups: []measure.Group{{To: 3 - home, Circuits: 9, Least: 9}}})
 		}
 	}
-	traffic, err := r.Measured(intervals)
+	traffic, err := r.MeasuredTraffic(intervals)
 	if err != nil || math.Abs(traffic.Trend.Growth-0.02) > 0.001 || math.Abs(traffic.Pairs[0].Loads[0].Erlangs-2*400*6/900.0*math.Pow(1.02, 35)) > 0.3 {
 		t.Errorf("%+v, %v", traffic, err)
 	}
-	if _, err := r.Measured(intervals[:4]); !errors.Is(err, dimension.ErrTooFewDays) {
+	if _, err := r.MeasuredTraffic(intervals[:4]); !errors.Is(err, dimension.ErrTooFewDays) {
 		t.Errorf("two days: %v", err)
 	}
 }
--- a/router/call.go
+++ b/router/call.go
@@ -53,7 +53,7 @@
 		r.log(slog.LevelWarn, event.Text, 0, slog.String("peer", peer.cfg.Name))
 		return
 	}
-	if event.Kind == trunk.Arrived {
+	if event.Kind == trunk.IncomingCall {
 		r.handleSetup(peer, event.Seizure, event.Message)
 		return
 	}
@@ -107,9 +107,9 @@
 	if call.class = r.categories.Of(call.setup.Category); found && entry.Class >= 0 {
 		call.class = entry.Class
 	}
-	call.destination, call.hopCounter = entry.Exchange, r.cfg.Hops
-	if call.setup.Hops >= 0 {
-		call.hopCounter = call.setup.Hops
+	call.destination, call.hopCounter = entry.Exchange, r.cfg.HopCounter
+	if call.setup.HopCounter >= 0 {
+		call.hopCounter = call.setup.HopCounter
 	}
 	instruction := isup.Unrecognized(call.iam, !found || entry.Exchange != r.ownExchange.Number)
 	location := isup.LocationLocalNetwork
@@ -151,7 +151,7 @@
 // in the IAM and the time since the call was received.
 func (r *Router) remainingPatience(call *call) time.Duration {
 	class := r.cfg.Classes[max(0, call.class)]
-	return class.Patience - call.setup.Elapsed - (r.now - call.receivedAt)
+	return class.Patience - call.setup.PropagationDelay - (r.now - call.receivedAt)
 }
 
 // routeToSubscribers sends a call to the subscriber lines of this exchange. The final answer is due two ticks before the
@@ -181,7 +181,7 @@
 			message.Params = append(message.Params, param)
 		}
 	}
-	message.SetSetup(isup.Setup{Map: circuits, Elapsed: c.setup.Elapsed + now - c.receivedAt, Hops: c.hopCounter - 1})
+	message.SetOptional(isup.Setup{CircuitMap: circuits, PropagationDelay: c.setup.PropagationDelay + now - c.receivedAt, HopCounter: c.hopCounter - 1})
 	return message
 }
 
@@ -191,7 +191,7 @@
 	case isup.ACM, isup.CPG:
 		if !call.established && call.incoming != nil {
 			if message = copyMessage(message); call.acmSent && message.Type == isup.ACM {
-				message = isup.Simple(isup.CPG, 0) // ACM of a later attempt: the caller already has one
+				message = isup.NewSimple(isup.CPG, 0) // ACM of a later attempt: the caller already has one
 			} else if !call.acmSent && message.Type == isup.CPG {
 				return
 			}
@@ -213,16 +213,16 @@
 	answer := copyMessage(message)
 	if !call.acmSent && message.Type == isup.ANM { // an answer without address complete is a connect (Q.764 2.1.7)
 		params := answer.Params
-		answer = isup.Simple(isup.CON, 0)
+		answer = isup.NewSimple(isup.CON, 0)
 		answer.Params = append(answer.Params, params...)
 	} else if call.acmSent && message.Type == isup.CON {
-		answer = isup.Simple(isup.ANM, 0)
+		answer = isup.NewSimple(isup.ANM, 0)
 	}
 	call.answerMessage = answer
 	r.sendOrHold(call.incoming, answer)
-	r.emit(Answer{At: r.now, Call: call.id, Verdict: Stands, Elapsed: r.now - call.receivedAt, Transit: call.transit || !call.managed})
+	r.emit(Answer{At: r.now, Call: call.id, Result: Established, Elapsed: r.now - call.receivedAt, Transit: call.transit || !call.managed})
 	if call.managed {
-		r.controller.Stands(r.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Took: r.now - call.sentAt})
+		r.controller.Established(r.now, logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Elapsed: r.now - call.sentAt})
 	}
 }
 
@@ -230,10 +230,10 @@
 func (r *Router) outgoingEnded(call *call, event trunk.Event) {
 	var info isup.ReleaseInfo
 	switch event.Kind {
-	case trunk.Lost:
+	case trunk.SeizureLost:
 		r.repeatSetup(call)
 		return
-	case trunk.Cut:
+	case trunk.Dropped:
 		info = isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork}
 	case trunk.Released:
 		info = event.Message.Release()
@@ -242,7 +242,7 @@
 	status, note := r.outcomeOf(call, info)
 	if call.established {
 		status, note = logic.Ended, 0
-		if event.Kind == trunk.Cut || info.Cause == isup.CauseTemporaryFailure {
+		if event.Kind == trunk.Dropped || info.Cause == isup.CauseTemporaryFailure {
 			status = logic.Reset
 		}
 		call.outgoing = nil
@@ -257,11 +257,11 @@
 		return
 	}
 	call.outgoing = nil
-	r.rejectCall(call, verdictOf(info.Cause), info)
+	r.rejectCall(call, resultOf(info.Cause), info)
 }
 
-// verdictOf returns the verdict of a call that ended with a cause before it was established.
-func verdictOf(cause isup.Cause) Verdict {
+// resultOf returns the result of a call that ended with a cause before it was established.
+func resultOf(cause isup.Cause) Result {
 	if cause == isup.CauseNoCircuit || cause == isup.CauseCongestion {
 		return Refused
 	}
@@ -328,13 +328,13 @@
 func (r *Router) attemptEnded(call *call, status logic.Status, note int) {
 	call.outgoing = nil
 	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Note: note,
-		Took: r.now - call.sentAt, Over: call.withoutCaller()}
+		Elapsed: r.now - call.sentAt, Over: call.withoutCaller()}
 	if r.debugEnabled() {
 		r.log(slog.LevelDebug, "attempt ended", call.id, slog.Int("attempt", outcome.Attempt), slog.String("office", outcome.Office),
 			slog.String("status", string(status)), slog.Int("note", note))
 	}
 	if peer := r.peersByName[call.office]; peer != nil && peer.cfg.Kind == PeerExchange {
-		outcome.Load = []float64{float64(peer.group.Spare()), float64(peer.group.Total())}
+		outcome.Load = []float64{float64(peer.group.Spare()), float64(peer.group.Unblocked())}
 	}
 	r.deferWork(func() {
 		outcome.Over = outcome.Over || call.withoutCaller()
@@ -347,7 +347,7 @@
 
 // establishedEnded reports the end of an established call to the Controller.
 func (r *Router) establishedEnded(call *call, status logic.Status) {
-	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Took: r.now - call.sentAt,
+	outcome := logic.Outcome{Call: call.id, Attempt: call.attempts - 1, Office: call.office, Status: status, Elapsed: r.now - call.sentAt,
 		Over: true}
 	r.deferWork(func() { r.controller.Outcome(r.now, outcome) })
 }
@@ -361,7 +361,7 @@
 	r.endAdmission(call)
 	call.incoming = nil
 	if !call.established {
-		r.emit(Answer{At: r.now, Call: call.id, Verdict: HungUp, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+		r.emit(Answer{At: r.now, Call: call.id, Result: HungUp, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
 			Transit: call.transit || !call.managed})
 		if call.managed {
 			r.deferWork(func() {
@@ -390,17 +390,17 @@
 }
 
 // rejectCall gives a call that is not established its final answer: REL to the caller.
-func (r *Router) rejectCall(call *call, verdict Verdict, info isup.ReleaseInfo) {
+func (r *Router) rejectCall(call *call, result Result, info isup.ReleaseInfo) {
 	if call.withoutCaller() || call.established {
 		return
 	}
-	if verdict == Refused {
+	if result == Refused {
 		r.reportToShares(call, false)
 	}
-	r.emit(Answer{At: r.now, Call: call.id, Verdict: verdict, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
+	r.emit(Answer{At: r.now, Call: call.id, Result: result, Cause: info.Cause, Elapsed: r.now - call.receivedAt,
 		Transit: call.transit || !call.managed})
 	if r.debugEnabled() {
-		r.log(slog.LevelDebug, "answered", call.id, slog.String("answer", verdict.String()), slog.Int("cause", int(info.Cause)))
+		r.log(slog.LevelDebug, "answered", call.id, slog.String("answer", result.String()), slog.Int("cause", int(info.Cause)))
 	}
 	r.finish(call, info)
 }
--- a/router/client_loss_test.go
+++ b/router/client_loss_test.go
@@ -58,7 +58,7 @@
 			client := n.endpoints["a/counters"]
 			if test.half {
 				id, _ := n.routers["a"].Link("counters", 0)
-				m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+				m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 				b, _ := m.Append(nil)
 				frame := dataFrame(client, b)
 				n.routers["a"].Receive(n.now, id, frame[:len(frame)/2])
@@ -102,7 +102,7 @@
 	n := newTestNetwork(t, 2, 4)
 	a := n.routers["a"]
 	id, _ := a.Link("counters", 0)
-	a.links[id].assoc = m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleSGP, Beat: 300 * time.Millisecond})
+	a.links[id].assoc = m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleSGP, HeartbeatInterval: 300 * time.Millisecond})
 	n.dropClient(-1)
 	n.reconnectClient()
 	n.runUntil(n.now + time.Second)
@@ -123,10 +123,10 @@
 	n.endpoints["b/lines"].onMessage = nil
 	a, client := n.routers["a"], n.endpoints["a/counters"]
 	id, _ := a.Link("counters", 0)
-	m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	m, _ := isup.NewSetup(1, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	b, _ := m.Append(nil)
 	start := n.now
-	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(client, b), Waited: 2 * time.Second})
+	a.Apply(Input{At: n.now, Kind: InReceive, Link: id, Bytes: dataFrame(client, b), Delay: 2 * time.Second})
 	n.deliver("a")
 	n.runUntil(start + 900*time.Millisecond)
 	if got := n.receivedTypes("a", 1); len(got) > 0 {
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -43,7 +43,7 @@
 			case router.Decision:
 				fmt.Println(strings.TrimSpace(fmt.Sprintf("call %d: %v %s", e.Call, e.Action, e.Office)))
 			case router.Answer:
-				fmt.Printf("call %d: %v\n", e.Call, e.Verdict)
+				fmt.Printf("call %d: %v\n", e.Call, e.Result)
 			}
 		}
 		for _, f := range ends {
@@ -80,7 +80,7 @@
 				ASPs: []m3ua.Settings{{Role: m3ua.RoleSGP}}},
 		},
 		Classes: []router.Class{{Category: 10, Patience: 3 * time.Second, Class: logic.Class{Name: "voice", Worth: 1,
-			Aim: time.Second, Deadline: 9 * time.Second, Hold: time.Minute, Width: 1, Safe: true}}},
+			Aim: time.Second, Deadline: 9 * time.Second, Hold: time.Minute, Width: 1, SafeToRepeat: true}}},
 		Numbering: []numbering.Entry{{Prefix: "5501", Exchange: 1, Class: -1}, {Prefix: "5502", Exchange: 2, Class: -1}},
 		Attempts:  5, Tick: 5 * time.Millisecond, Release: 200 * time.Millisecond, DrainGrace: time.Second,
 		TipAfter: 3 * time.Second, Overload: 2, ColdFrom: 0.3, ColdFor: 12 * time.Second, Network: 2,
@@ -106,15 +106,15 @@
 	porto := connect("porto", 102, m3ua.RoleIPSPClient, func(f *farEnd, m *isup.Message) {
 		acknowledgeReset(f, m)
 		if m.Type == isup.IAM {
-			f.send(isup.Simple(isup.ACM, m.CIC))
-			f.send(isup.Simple(isup.ANM, m.CIC))
+			f.send(isup.NewSimple(isup.ACM, m.CIC))
+			f.send(isup.NewSimple(isup.ANM, m.CIC))
 		}
 	})
 	counters := connect("counters", 2001, m3ua.RoleASP, acknowledgeReset)
 	transferBytes(r, now, porto, counters)
 
 	for cic := uint16(1); cic <= 3; cic++ { // three calls for two circuits: the third one waits, and is refused
-		iam, _ := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "55020042", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+		iam, _ := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "55020042", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 		counters.send(iam)
 	}
 	transferBytes(r, now, porto, counters)
--- a/router/failover_test.go
+++ b/router/failover_test.go
@@ -27,7 +27,7 @@
 	if !ok {
 		t.Fatalf("no link %s %d", peer, aspIndex)
 	}
-	return &process{t: t, router: r, linkID: id, pointCode: pointCode, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, Beat: -1})}
+	return &process{t: t, router: r, linkID: id, pointCode: pointCode, now: now, assoc: m3ua.NewAssoc(m3ua.Settings{Role: role, HeartbeatInterval: -1})}
 }
 
 // transferBytes transports bytes between a Router and its processes in both directions until none is left.
@@ -94,7 +94,7 @@
 func newTwoProcessClient(t *testing.T, mode m3ua.Mode) (r *Router, now *time.Duration, first, second, exchange *process) {
 	cfg := testConfig(0, 2, 30)
 	client := slices.IndexFunc(cfg.Peers, func(p Peer) bool { return p.Kind == PeerClient })
-	settings := m3ua.Settings{Role: m3ua.RoleSGP, Beat: -1}
+	settings := m3ua.Settings{Role: m3ua.RoleSGP, HeartbeatInterval: -1}
 	cfg.Peers[client].ASPs, cfg.Peers[client].Mode = []m3ua.Settings{settings, settings}, mode
 	r, err := New(cfg, 3)
 	if err != nil {
@@ -114,7 +114,7 @@
 
 // sendSetup sends the IAM of a call on a circuit.
 func sendSetup(t *testing.T, client *process, cic uint16) {
-	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, Hops: -1})
+	m, err := isup.NewSetup(cic, isup.Setup{Called: isup.Number{Digits: "5521", Nature: 3, Plan: 1}, Category: 10, Width: 1, HopCounter: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,15 +147,15 @@
 		before := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON)
 		for _, m := range exchange.received {
 			if m.Type == isup.IAM {
-				exchange.send(isup.Simple(isup.ACM, m.CIC))
-				exchange.send(isup.Simple(isup.ANM, m.CIC))
+				exchange.send(isup.NewSimple(isup.ACM, m.CIC))
+				exchange.send(isup.NewSimple(isup.ANM, m.CIC))
 			}
 		}
 		transferBytes(r, first, second, exchange)
 		if got := standby.countReceived(isup.ANM) + standby.countReceived(isup.CON) - before; got != 20 {
 			t.Errorf("%v: %d answers after the failover", mode, got)
 		}
-		if calls, open := r.Held(); calls != 20 || open != 0 {
+		if calls, open := r.CallCounts(); calls != 20 || open != 0 {
 			t.Errorf("%v: %d calls, %d without an answer", mode, calls, open)
 		}
 	}
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -64,7 +64,7 @@
 	for {
 		nextDue, nextRouter := until+1, ""
 		for _, name := range n.exchangeNames() {
-			if at, ok := n.routers[name].Next(); ok && at < nextDue {
+			if at, ok := n.routers[name].NextTimer(); ok && at < nextDue {
 				nextDue, nextRouter = at, name
 			}
 		}
@@ -151,7 +151,7 @@
 			r, _ := message.RangeStatus()
 			end.send(isup.NewGroup(isup.GRA, message.CIC, 0, isup.Range{Range: r.Range}))
 		} else if message.Type == isup.RSC {
-			end.send(isup.Simple(isup.RLC, message.CIC))
+			end.send(isup.NewSimple(isup.RLC, message.CIC))
 		} else if end.onMessage != nil {
 			end.onMessage(message)
 		}
@@ -180,9 +180,9 @@
 		Network: 2, LogLevel: slog.LevelDebug,
 		Timers: trunk.Timers{T1: time.Second, T5: 5 * time.Second, T12: time.Second, T13: 5 * time.Second},
 		Classes: []Class{
-			{Class: logic.Class{Name: "one", Worth: 1, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, Safe: true},
+			{Class: logic.Class{Name: "one", Worth: 1, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 1, SafeToRepeat: true},
 				Category: 10, Patience: 3 * time.Second},
-			{Class: logic.Class{Name: "wide", Worth: 3, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 2, Safe: true},
+			{Class: logic.Class{Name: "wide", Worth: 3, Aim: time.Second, Deadline: 9 * time.Second, Hold: 10 * time.Second, Width: 2, SafeToRepeat: true},
 				Category: 11, Patience: 3 * time.Second}}}
 	for i := range count {
 		config.Exchanges = append(config.Exchanges, Exchange{i + 1, exchangeName(i), uint32(101 + i)})
@@ -193,10 +193,10 @@
 				role = m3ua.RoleIPSPClient
 			}
 			config.Peers = append(config.Peers, Peer{Name: exchangeName(i), PointCode: uint32(101 + i), Circuits: trunkCircuits,
-				ASPs: []m3ua.Settings{{Role: role, Beat: -1}}})
+				ASPs: []m3ua.Settings{{Role: role, HeartbeatInterval: -1}}})
 		}
 	}
-	sgp := []m3ua.Settings{{Role: m3ua.RoleSGP, Beat: -1}}
+	sgp := []m3ua.Settings{{Role: m3ua.RoleSGP, HeartbeatInterval: -1}}
 	config.Peers = append(config.Peers,
 		Peer{Name: "counters", Kind: PeerClient, PointCode: uint32(2001 + index), Circuits: clientCircuits, ASPs: sgp},
 		Peer{Name: "lines", Kind: PeerSubscribers, PointCode: uint32(3001 + index), Circuits: clientCircuits, ASPs: sgp})
@@ -246,7 +246,7 @@
 
 // addEndpoint creates the scripted endpoint for a peer of an exchange, and connects it.
 func (n *testNetwork) addEndpoint(exchange string, peer Peer) {
-	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, Beat: -1}), pointCode: peer.PointCode,
+	end := &endpoint{assoc: m3ua.NewAssoc(m3ua.Settings{Role: m3ua.RoleASP, HeartbeatInterval: -1}), pointCode: peer.PointCode,
 		routerPointCode: n.routers[exchange].ownExchange.PointCode}
 	end.send = func(m *isup.Message) {
 		b, err := m.Append(nil)
@@ -260,16 +260,16 @@
 		end.onMessage = func(m *isup.Message) {
 			switch m.Type {
 			case isup.IAM:
-				end.send(isup.Simple(isup.ACM, m.CIC))
-				n.after(20*time.Millisecond, func() { end.send(isup.Simple(isup.ANM, m.CIC)) })
+				end.send(isup.NewSimple(isup.ACM, m.CIC))
+				n.after(20*time.Millisecond, func() { end.send(isup.NewSimple(isup.ANM, m.CIC)) })
 			case isup.REL:
-				end.send(isup.Simple(isup.RLC, m.CIC))
+				end.send(isup.NewSimple(isup.RLC, m.CIC))
 			}
 		}
 	} else {
 		end.onMessage = func(m *isup.Message) {
 			if m.Type == isup.REL {
-				end.send(isup.Simple(isup.RLC, m.CIC))
+				end.send(isup.NewSimple(isup.RLC, m.CIC))
 			}
 		}
 	}
@@ -280,9 +280,9 @@
 
 // offerCall offers a call to an exchange, on a circuit of its counters.
 func (n *testNetwork) offerCall(exchange string, cic uint16, number string, width int) {
-	setup := isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: byte(9 + width), Width: width, Hops: -1}
+	setup := isup.Setup{Called: isup.Number{Digits: number, Nature: 3, Plan: 1}, Category: byte(9 + width), Width: width, HopCounter: -1}
 	if width == 2 {
-		setup.Map = 3 << (cic - 1)
+		setup.CircuitMap = 3 << (cic - 1)
 	}
 	m, err := isup.NewSetup(cic, setup)
 	if err != nil {
@@ -321,7 +321,7 @@
 				return fmt.Errorf("%s: group %s: %+v", name, g.Peer, g)
 			}
 		}
-		if calls, _ := r.Held(); calls != 0 {
+		if calls, _ := r.CallCounts(); calls != 0 {
 			return fmt.Errorf("%s holds %d calls: %+v", name, calls, r.Calls(n.now, 10))
 		}
 	}
@@ -336,7 +336,7 @@
 		case Decision:
 			out = append(out, fmt.Sprintf("%v call %d %v %s %d", e.At, e.Call, e.Action, e.Office, e.Attempt))
 		case Answer:
-			out = append(out, fmt.Sprintf("%v call %d %v %d %v", e.At, e.Call, e.Verdict, e.Cause, e.Elapsed))
+			out = append(out, fmt.Sprintf("%v call %d %v %d %v", e.At, e.Call, e.Result, e.Cause, e.Elapsed))
 		case Log:
 			if e.Level >= slog.LevelError {
 				n.t.Errorf("%s: %s", exchange, e.Text)
--- a/router/peer.go
+++ b/router/peer.go
@@ -51,7 +51,7 @@
 func (r *Router) addPeer(id PeerID, cfg Peer) error {
 	direction := map[PeerKind]trunk.Direction{PeerExchange: trunk.BothWay, PeerClient: trunk.Incoming,
 		PeerSubscribers: trunk.Outgoing}[cfg.Kind]
-	group, err := trunk.New(trunk.Settings{Own: r.ownExchange.PointCode, Peer: cfg.PointCode, Circuits: cfg.Circuits,
+	group, err := trunk.New(trunk.Settings{OwnPointCode: r.ownExchange.PointCode, PeerPointCode: cfg.PointCode, Circuits: cfg.Circuits,
 		Direction: direction, Timers: r.cfg.Timers})
 	if err != nil {
 		return err
@@ -63,9 +63,9 @@
 		}
 	}
 	peer := &peer{id: id, cfg: cfg, group: group, clientIndex: clients, reportedCircuits: [2]int{-1, -1},
-		as: m3ua.NewAS(m3ua.ASSettings{Mode: cfg.Mode, ASPs: len(cfg.ASPs), Needed: cfg.Needed, Recovery: r.cfg.Recovery})}
+		as: m3ua.NewAS(m3ua.ASSettings{Mode: cfg.Mode, ASPs: len(cfg.ASPs), MinActiveASPs: cfg.MinActiveASPs, Recovery: r.cfg.Recovery})}
 	for i, settings := range cfg.ASPs {
-		settings.Key = r.ownExchange.PointCode
+		settings.DestinationPointCode = r.ownExchange.PointCode
 		if len(cfg.ASPs) > 1 {
 			settings.Mode = max(cfg.Mode, m3ua.Override)
 		}
@@ -124,7 +124,7 @@
 // sendNetworkManagement sends a network management message about the own point code to a peer.
 func (r *Router) sendNetworkManagement(peer *peer, kind m3ua.Kind, congestion byte) {
 	for _, link := range peer.links {
-		if link.assoc.Network(kind, r.ownExchange.PointCode, congestion) == nil {
+		if link.assoc.SendNetworkManagement(kind, r.ownExchange.PointCode, congestion) == nil {
 			r.markPending(peer)
 		}
 	}
@@ -160,7 +160,7 @@
 
 // reportCircuits reports the circuits toward an exchange to the Controller when they have changed.
 func (r *Router) reportCircuits(peer *peer) {
-	circuits := [2]int{peer.group.Spare(), peer.group.Total()}
+	circuits := [2]int{peer.group.Spare(), peer.group.Unblocked()}
 	if peer.cfg.Kind != PeerExchange || peer.reportedCircuits == circuits {
 		return
 	}
@@ -215,9 +215,9 @@
 	switch event.Kind {
 	case m3ua.ASOverridden:
 		peer.links[event.ASP].assoc.Overridden()
-	case m3ua.ASShort:
+	case m3ua.ASInsufficient:
 		for _, link := range peer.links {
-			link.assoc.NotifyShort()
+			link.assoc.NotifyInsufficientASPs()
 		}
 	case m3ua.ASChanged:
 		if len(peer.links) > 1 {
@@ -307,7 +307,7 @@
 	if message.Kind == m3ua.DAUD { // only the state of the own point code is known here
 		reply := map[bool]m3ua.Kind{true: m3ua.DRST, false: m3ua.DAVA}[r.draining]
 		if slices.Contains(m3ua.AffectedPointCodes(message), r.ownExchange.PointCode) {
-			_ = link.assoc.Network(reply, r.ownExchange.PointCode, 0)
+			_ = link.assoc.SendNetworkManagement(reply, r.ownExchange.PointCode, 0)
 		}
 		return
 	}
@@ -324,7 +324,7 @@
 		r.log(slog.LevelInfo, "exchange announces its state", 0, slog.String("exchange", affected.cfg.Name),
 			slog.String("message", message.Kind.String()))
 		if office, ok := r.offices[affected.cfg.Name]; ok {
-			r.controller.List(r.now, logic.ListUpdate, []logic.Office{r.effectiveOffice(office)})
+			r.controller.UpdateOffices(r.now, logic.ListUpdate, []logic.Office{r.effectiveOffice(office)})
 		}
 	}
 }
@@ -346,7 +346,7 @@
 func (r *Router) endLostAttempt(call *call, written int64) {
 	leg := call.outgoing
 	if leg.seizure.Reserved() || written >= 0 && leg.endOffset > written {
-		leg.peer.group.Drop(leg.seizure)
+		leg.peer.group.Free(leg.seizure)
 		r.attemptEnded(call, logic.NoConnect, 0)
 		return
 	}
@@ -377,7 +377,7 @@
 // holdMessage keeps a message for a peer that may return. A message above the limit is dropped: its call then ends by
 // the timers of the caller or of the peer.
 func (r *Router) holdMessage(leg *leg, message *isup.Message) {
-	limit := r.cfg.Held
+	limit := r.cfg.MaxHeldMessages
 	if limit == 0 {
 		limit = heldMessagesPerCircuit * leg.peer.group.Size()
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -38,7 +38,7 @@
 	listener       net.Listener     // for M3UA
 	console        net.Listener     // for operators
 	initialOffices []logic.Office   // last known snapshot of service discovery
-	finalAnswers   [4]uint64        // calls by router.Verdict
+	finalAnswers   [4]uint64        // calls by router.Result
 	enumFrontend   *enum.Frontend   // nil: no DNS frontend
 	dnsServers     [2]*dns.Server   // TCP and UDP
 	traffic        *trafficRecorder // nil: no traffic measurement
@@ -60,8 +60,10 @@
 	return func(s *Server) { s.listener, s.console = signalling, console }
 }
 
-// WithList starts the Router with the last known snapshot of service discovery.
-func WithList(offices []logic.Office) Option { return func(s *Server) { s.initialOffices = offices } }
+// WithSnapshot starts the Router with the last known snapshot of service discovery.
+func WithSnapshot(offices []logic.Office) Option {
+	return func(s *Server) { s.initialOffices = offices }
+}
 
 // WithObserver passes every input of the Router and all of its effects to two functions, in order and on the goroutine of
 // the event loop. The functions must not keep the bytes of an input, whose buffer is reused. Either may be nil.
@@ -195,25 +197,25 @@
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	for waiting := true; waiting; {
-		heldCalls := 0
-		if err := s.Do(func(r *router.Router, now time.Duration) { heldCalls, _ = r.Held() }); err != nil {
+		activeCalls := 0
+		if err := s.Do(func(r *router.Router, now time.Duration) { activeCalls, _ = r.CallCounts() }); err != nil {
 			return err
 		}
 		select {
 		case <-timer.C:
 			waiting = false
 		case <-poll.C:
-			waiting = heldCalls > 0
+			waiting = activeCalls > 0
 		}
-		if heldCalls == 0 {
+		if activeCalls == 0 {
 			waiting = false
 		}
 	}
-	err := errors.Join(s.apply(router.Input{Kind: router.InReleaseAll}), s.apply(router.Input{Kind: router.InLeave}))
+	err := errors.Join(s.apply(router.Input{Kind: router.InReleaseAll}), s.apply(router.Input{Kind: router.InCloseAssociations}))
 	s.flushLinks()
 	s.writeTraffic()
 	s.Kill()
-	s.log.Info("ended", "stands", s.finalAnswers[router.Stands], "refused", s.finalAnswers[router.Refused],
+	s.log.Info("ended", "stands", s.finalAnswers[router.Established], "refused", s.finalAnswers[router.Refused],
 		"failed", s.finalAnswers[router.Failed], "hung_up", s.finalAnswers[router.HungUp])
 	return err
 }
@@ -298,7 +300,7 @@
 	s.applyOnLoop(router.Input{At: s.now(), Kind: router.InStart, List: s.initialOffices})
 	s.executeEffects()
 	for {
-		if wakeAt, ok := s.router.Next(); ok {
+		if wakeAt, ok := s.router.NextTimer(); ok {
 			timer.Reset(max(0, wakeAt-s.now()))
 		} else {
 			timer.Reset(maxIdleWait)
@@ -361,12 +363,12 @@
 			s.logLine(effect)
 		case router.Answer:
 			if !effect.Transit {
-				s.finalAnswers[effect.Verdict]++
+				s.finalAnswers[effect.Result]++
 			}
 		case router.Reply:
 			s.executeEnumEffects(s.enumFrontend.Reply(s.now(), effect))
-		case router.Taken:
-			s.enumFrontend.EndLookup(effect.Ask)
+		case router.LeaseUsed:
+			s.enumFrontend.EndLookup(effect.QueryID)
 		}
 	}
 }
@@ -397,16 +399,16 @@
 // accept serves the connections that peers open.
 func (s *Server) accept() {
 	defer s.wg.Done()
-	places := make(link.Places, max(1, s.cfg.MaxConnections))
+	slots := make(link.Semaphore, max(1, s.cfg.MaxConnections))
 	link.Accept(s.listener, func(conn net.Conn) {
-		if !places.Take() {
+		if !slots.TryAcquire() {
 			s.refuse(conn, &m3ua.Fault{Code: m3ua.ErrBlocking, Text: "too many connections"})
 			return
 		}
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			defer places.Leave()
+			defer slots.Release()
 			cancelClose := context.AfterFunc(s.stopContext(), func() { conn.Close() })
 			id, initialBytes, err := s.identify(conn)
 			if !cancelClose() || err != nil {
@@ -422,7 +424,7 @@
 }
 
 // stopContext returns a context that ends with the server.
-func (s *Server) stopContext() context.Context { return link.Context(s.stop) }
+func (s *Server) stopContext() context.Context { return link.ContextFromChannel(s.stop) }
 
 // errorWriteTimeout bounds the time to send an M3UA error to a connection that is refused.
 const errorWriteTimeout = time.Second
@@ -558,7 +560,7 @@
 			receivedAt := s.now()
 			posted := s.post(func(now time.Duration) {
 				if s.links[id] == peerLink {
-					s.applyOnLoop(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: buffer[:n], Waited: now - receivedAt})
+					s.applyOnLoop(router.Input{At: now, Kind: router.InReceive, Link: id, Bytes: buffer[:n], Delay: now - receivedAt})
 				}
 				readBuffers.Put(buffer)
 			})
--- a/trunk/receive.go
+++ b/trunk/receive.go
@@ -23,7 +23,7 @@
 	}
 	if !ok {
 		if message.Type == isup.IAM || message.Type == isup.BLO || message.Type == isup.UBL || message.Type == isup.RSC {
-			g.send(isup.Simple(isup.UCIC, message.CIC)) // Q.764 2.12
+			g.send(isup.NewSimple(isup.UCIC, message.CIC)) // Q.764 2.12
 		}
 		return
 	}
@@ -36,11 +36,11 @@
 	case isup.RLC:
 		g.receiveRLC(message)
 	case isup.RSC:
-		g.send(isup.Simple(isup.RLC, message.CIC))
+		g.send(isup.NewSimple(isup.RLC, message.CIC))
 		g.resetByFarEnd([]int{index})
 	case isup.BLO, isup.UBL:
 		g.setRemoteBlock([]int{index}, isup.Maintenance, message.Type == isup.BLO)
-		g.send(isup.Simple(message.Type+2, message.CIC)) // BLA and UBA follow BLO and UBL by two
+		g.send(isup.NewSimple(message.Type+2, message.CIC)) // BLA and UBA follow BLO and UBL by two
 	case isup.BLA, isup.UBA:
 		g.acknowledge(blockingProcedure, message)
 	default:
@@ -99,13 +99,13 @@
 	for _, seizure := range lost {
 		if !seizure.ended {
 			g.endSeizure(seizure, Idle)
-			g.addEvent(Lost, seizure, nil)
+			g.addEvent(SeizureLost, seizure, nil)
 		}
 	}
 	for _, c := range staleCircuits {
 		g.dropCall(c)
 	}
-	seizure := &Seizure{CIC: message.CIC, circuits: circuits, Map: setup.Map}
+	seizure := &Seizure{CIC: message.CIC, circuits: circuits, CircuitMap: setup.CircuitMap}
 	if g.settings.Direction == Incoming {
 		seizure.callKey = callKeyOf(message)
 	}
@@ -115,7 +115,7 @@
 		}
 		g.setState(index, SeizedIncoming, seizure)
 	}
-	g.addEvent(Arrived, seizure, message)
+	g.addEvent(IncomingCall, seizure, message)
 }
 
 // callKeyOf returns what identifies a call among those of its circuit: the called and the calling number. An IAM on a circuit
@@ -134,7 +134,7 @@
 		return []int{first}, true
 	}
 	cic := g.circuits[first].cic
-	slots := setup.Map
+	slots := setup.CircuitMap
 	if slots == 0 {
 		slots = (1<<width - 1) << (cic%slotsPerSystem - 1)
 	}
@@ -167,7 +167,7 @@
 	if seizure != nil && seizure.CIC != message.CIC {
 		return // a call of several circuits is released on its first circuit
 	}
-	g.send(isup.Simple(isup.RLC, message.CIC))
+	g.send(isup.NewSimple(isup.RLC, message.CIC))
 	if seizure != nil {
 		g.endSeizure(seizure, Idle)
 		g.addEvent(Released, seizure, message)
@@ -196,7 +196,7 @@
 			g.setRemoteBlock([]int{i}, isup.Hardware, false)
 		}
 		if c.localBlock.maintenance {
-			g.send(isup.Simple(isup.BLO, c.cic))
+			g.send(isup.NewSimple(isup.BLO, c.cic))
 		}
 	}
 }
@@ -205,7 +205,7 @@
 func (g *Group) dropCall(circuit *circuit) {
 	if s := circuit.seizure; s != nil {
 		g.endSeizure(s, Idle)
-		g.addEvent(Cut, s, nil)
+		g.addEvent(Dropped, s, nil)
 	}
 }
 
@@ -214,7 +214,7 @@
 	c := &g.circuits[index]
 	if seizure := c.seizure; seizure != nil && seizure.Outgoing && !seizure.backwardReceived {
 		g.endSeizure(seizure, Idle)
-		g.addEvent(Lost, seizure, nil)
+		g.addEvent(SeizureLost, seizure, nil)
 	}
 	g.removeFromProcedures(releaseProcedure, index)
 	g.removeFromProcedures(resetProcedure, index)
@@ -296,6 +296,6 @@
 func (g *Group) dropCallByRelease(now time.Duration, index int) {
 	if seizure := g.circuits[index].seizure; seizure != nil {
 		g.Release(now, seizure, isup.ReleaseInfo{Cause: isup.CauseTemporaryFailure, Location: isup.LocationLocalNetwork})
-		g.addEvent(Cut, seizure, nil)
+		g.addEvent(Dropped, seizure, nil)
 	}
 }
