--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -15,16 +15,16 @@
 	}
 	call.attemptOpen, call.isWaiting, call.target, call.officeID, call.sentAt, call.twoLeg = true, false, exchange,
 		exchange.serving.ID, c.now, twoLeg
-	call.attempts, call.usageClass, call.overtakes = call.attempts+1, call.Class, 0
+	call.attempts, call.usageIndex, call.overtakes = call.attempts+1, call.Class, 0
 	if twoLeg {
-		call.usageClass = len(c.settings.Classes)
+		call.usageIndex = len(c.settings.Classes)
 	}
-	call.tried = append(call.tried, exchange)
+	call.excluded = append(call.excluded, exchange)
 	exchange.free = max(exchange.free-call.Width, -1)
-	exchange.ownInUseByClass[call.usageClass], exchange.ownInUse = exchange.ownInUseByClass[call.usageClass]+call.Width,
-		exchange.ownInUse+call.Width
+	exchange.localInUseByClass[call.usageIndex], exchange.localInUse = exchange.localInUseByClass[call.usageIndex]+call.Width,
+		exchange.localInUse+call.Width
 	exchange.outstanding = append(exchange.outstanding, call)
-	c.outstanding++
+	c.outstandingCount++
 	exchange.tokens--
 	if home := c.exchangeByNumber(c.settings.Home, false); home != nil && home.isCold {
 		home.tokens--
@@ -38,7 +38,7 @@
 
 // removeOutstanding removes the attempt of a call from those without an answer.
 func (c *Controller) removeOutstanding(call *callRecord) {
-	c.outstanding--
+	c.outstandingCount--
 	call.target.outstanding = slices.DeleteFunc(call.target.outstanding, func(other *callRecord) bool { return other == call })
 }
 
@@ -58,12 +58,12 @@
 	if call == nil || call.established {
 		return
 	}
-	call.established, call.answered = true, true
+	call.established, call.finalAnswerGiven = true, true
 	c.removeOutstanding(call)
 	c.recordActivity(call.target)
 	call.dest.signallingSuccessRate += slowSampleWeight * (1 - call.dest.signallingSuccessRate)
-	if number := c.calledNumbers[call.Number]; number != nil {
-		number.busyBackoff, number.firstTryAt = 0, 0
+	if record := c.calledNumbers[call.Number]; record != nil {
+		record.busyBackoff, record.firstTryAt = 0, 0
 	}
 	if !call.twoLeg || call.Transit || c.settings.Pools {
 		c.recordSetUpDelay(call.target, outcome.Elapsed, true)
@@ -82,14 +82,14 @@
 		return
 	}
 	call.attemptOpen = false
-	call.target.ownInUseByClass[call.usageClass], call.target.ownInUse = call.target.ownInUseByClass[call.usageClass]-call.Width,
-		call.target.ownInUse-call.Width
+	call.target.localInUseByClass[call.usageIndex], call.target.localInUse = call.target.localInUseByClass[call.usageIndex]-call.Width,
+		call.target.localInUse-call.Width
 	c.applyReportValues(call.target, outcome.Load)
 	if !call.established {
 		c.removeOutstanding(call)
 		c.recordFailure(call, outcome)
 	}
-	if outcome.Over || call.answered {
+	if outcome.Over || call.finalAnswerGiven {
 		delete(c.calls, call.ID)
 		return
 	}
@@ -101,7 +101,7 @@
 	switch outcome.Status {
 	case TimedOut, Reset, Cancelled:
 		// The release time is waited for (rule 5): until then the circuits of the attempt may still be in use.
-		call.mayHaveRun, call.tried = true, call.tried[:len(call.tried)-1]
+		call.mayHaveTakenEffect, call.excluded = true, call.excluded[:len(call.excluded)-1]
 		call.notBefore = c.now + c.settings.Release + time.Millisecond
 		if !call.Transit && call.notBefore < call.answerBy {
 			c.host.Timer(call.notBefore-c.now, "c"+strconv.FormatUint(call.ID, 10))
@@ -114,12 +114,12 @@
 			return
 		}
 	default:
-		// A signalling fault often affects one set-up and not the next. If an exchange fails most of them quickly, a
-		// refused caller would redial and be established late, so the call is attempted again at once. That is wasted where
-		// no call is established at all.
-		call.mayHaveRun = true
-		if call.signallingFaults++; outcome.Note != NoteBusy && call.dest.signallingSuccessRate > minRate {
-			call.tried = call.tried[:len(call.tried)-1]
+		// A signalling fault often affects one set-up and not the next, so the call is attempted again at once. If it were
+		// refused, its caller would redial, and the call would be established late. Where hardly any set-up to the
+		// destination succeeds, another attempt is in vain.
+		call.mayHaveTakenEffect = true
+		if call.signallingFaults++; outcome.Note != NoteBusy && call.dest.signallingSuccessRate > minProbability {
+			call.excluded = call.excluded[:len(call.excluded)-1]
 			c.route(call)
 			return
 		}
@@ -127,33 +127,34 @@
 	c.giveFinalAnswer(call)
 }
 
-// giveFinalAnswer refuses or fails a call. One that may have taken effect is failed unless another attempt is safe, since a
-// refused caller tries again.
+// giveFinalAnswer refuses or fails a call. It fails one with an open attempt, and one that may have taken effect unless the
+// calls of its class are safe to repeat: a refused caller tries again.
 func (c *Controller) giveFinalAnswer(call *callRecord) {
-	call.answered = true
+	call.finalAnswerGiven = true
 	c.removeOrCancel(call)
-	if call.mayHaveRun && !c.settings.Classes[call.Class].SafeToRepeat || call.attemptOpen {
+	if call.mayHaveTakenEffect && !c.settings.Classes[call.Class].SafeToRepeat || call.attemptOpen {
 		c.host.Fail(call.ID)
 		return
 	}
 	if !call.Transit && call.Number != "" {
-		number := c.numberRecordOf(call)
-		number.class, number.firstTryAt = call.Class, call.firstTryAt
+		record := c.numberRecordOf(call)
+		record.class, record.firstTryAt = call.Class, call.firstTryAt
 	}
 	c.host.Refuse(call.ID, min(c.settings.MaxWait, time.Duration(retryAfterFactor*float64(c.settings.Classes[call.Class].Aim))))
 }
 
-// HungUp is called when the caller has hung up.
+// HungUp is called when the caller of a call has hung up. It needs no final answer then. If the call is established its end
+// follows as an outcome, and HungUp does nothing.
 func (c *Controller) HungUp(now time.Duration, id uint64) {
 	c.advanceClock(now)
 	if call := c.calls[id]; call != nil && !call.established {
-		call.answered = true
+		call.finalAnswerGiven = true
 		c.removeOrCancel(call)
 	}
 }
 
-// removeOrCancel deletes an answered call. If its attempt is open, that is cancelled and the call is kept until the
-// outcome.
+// removeOrCancel deletes a call that needs no final answer any more. If its attempt is open, the call is kept until the
+// outcome, and the attempt is cancelled where Settings.CanCancel is set.
 func (c *Controller) removeOrCancel(call *callRecord) {
 	if !call.attemptOpen {
 		delete(c.calls, call.ID)
@@ -162,8 +163,8 @@
 	}
 }
 
-// Timer is called when a timer that was asked for expires. The mark "p" stands for the periodic work, "w" for another
-// request for the office list, and "c" with a call number for a call whose wait or time is over.
+// Timer is called when a timer that Host.Timer has started expires. Its mark says what is due: "p" the periodic work, "w"
+// another request for the offices, and "c" with a call ID the end of the call's wait or of the time for its final answer.
 func (c *Controller) Timer(now time.Duration, mark string) {
 	c.advanceClock(now)
 	id, err := strconv.ParseUint(strings.TrimPrefix(mark, "c"), 10, 64)
@@ -172,7 +173,7 @@
 		c.runPeriodicWork()
 	case mark == "w":
 		c.host.Watch(true)
-	case err != nil || call == nil || call.answered:
+	case err != nil || call == nil || call.finalAnswerGiven:
 	case now >= call.answerBy:
 		c.giveFinalAnswer(call)
 	case !call.attemptOpen && now >= call.notBefore:
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -73,14 +73,14 @@
 				c.Timer(checker.now, "p")
 			}
 			for id := range checker.calls {
-				if call := checker.calls[id]; !call.attemptOpen && !call.answered {
+				if call := checker.calls[id]; !call.attemptOpen && !call.finalAnswerGiven {
 					call.answerBy = max(call.answerBy, checker.now)
 					c.Timer(checker.now+10*time.Second, fmt.Sprint("c", id))
 				}
 			}
 		}
 		for id, call := range checker.calls {
-			if !call.attemptOpen && !call.answered {
+			if !call.attemptOpen && !call.finalAnswerGiven {
 				t.Errorf("%s: call %d has no answer", name, id)
 			}
 		}
@@ -99,8 +99,9 @@
 	return newFixture(t, settings, 1)
 }
 
-// offerAndAwait offers a call and returns the first action for it with the exchange it was sent to, if any. A call that
-// waits for a circuit waits until its time is over.
+// offerAndAwait offers a call and returns the first action for it, a blank and the exchange it was sent to, as in "send 1". A
+// call that is not sent has no exchange, so that its result ends with the blank, as in "refuse ". If the call waits for a
+// circuit, the time moves on to the end of the wait.
 func (f *fixture) offerAndAwait(class, dest int, number string) string {
 	f.lastID++
 	f.host.calls[f.lastID] = &checkedCall{dest: dest, answerBy: f.host.now + 3*time.Second}
@@ -134,7 +135,7 @@
 		Elapsed: 50 * time.Millisecond})
 }
 
-// endAttempt ends the open attempt of a call.
+// endAttempt ends the open attempt of a call. It reports the attempt as sent at the origin of time.
 func (f *fixture) endAttempt(id uint64, status Status, note int) {
 	call := f.host.calls[id]
 	call.attemptOpen = false
@@ -158,14 +159,14 @@
 	}
 }
 
-func TestDirectOnlyCircuitsAreClosedToTwoLegCallsOnly(t *testing.T) {
+func TestDirectOnlyCircuitsAreClosedToLowestPriorityOnly(t *testing.T) {
 	f := newManualFixture(t, nil)
 	exchange := f.controller.exchangeByNumber(1, false)
 	exchange.directOnly = 4
 	f.report("o1", 4)
 	call := &callRecord{Call: Call{Width: 1}, dest: exchange}
 	if f.controller.hasRoom(exchange, call, true) || !f.controller.hasRoom(exchange, call, false) {
-		t.Error("four direct-only circuits free: they must be closed to two-leg calls and open to direct ones")
+		t.Error("four direct-only circuits free: they must be closed to calls of the lowest priority and open to others")
 	}
 }
 
@@ -187,7 +188,7 @@
 	if got := f.offerAndAwait(0, 1, "m"); got != "send 1" {
 		t.Errorf("fresh call: %q", got)
 	}
-	if got := f.controller.exchangeByNumber(1, false).offeredCalls[0][0]; got != 2 {
+	if got := f.controller.exchangeByNumber(1, false).groupOffered[0][0]; got != 2 {
 		t.Errorf("%v fresh calls counted, want 2", got)
 	}
 }
@@ -229,7 +230,7 @@
 	}
 }
 
-func TestUnsafeCallIsNotRefusedOnceItMayHaveRun(t *testing.T) {
+func TestUnsafeCallIsNotRefusedOnceItMayHaveTakenEffect(t *testing.T) {
 	f := newManualFixture(t, func(settings *Settings) { settings.Classes[0].SafeToRepeat = false })
 	f.offerAndAwait(0, 1, "a")
 	f.endAttempt(1, Faulted, 0)
@@ -238,12 +239,12 @@
 	}
 }
 
-func TestBusyNumberIsTriedOneAtATime(t *testing.T) {
+func TestBusyNumberIsRefusedDuringItsBackoff(t *testing.T) {
 	f := newManualFixture(t, nil)
 	f.offerAndAwait(0, 1, "hot")
 	f.endAttempt(1, Faulted, NoteBusy)
 	if got := f.offerAndAwait(0, 1, "hot"); got != "refuse " {
-		t.Errorf("second call at once: %q", got)
+		t.Errorf("second call, within the backoff: %q", got)
 	}
 	if got := f.offerAndAwait(0, 1, "cool"); got != "send 1" {
 		t.Errorf("another number: %q", got)
@@ -261,12 +262,12 @@
 			t.Fatalf("call went %q", got)
 		}
 	}
-	if f.controller.exchangeByNumber(3, false).ownInUseByClass[2] == 0 {
+	if f.controller.exchangeByNumber(3, false).localInUseByClass[2] == 0 {
 		t.Error("the second choice took nothing")
 	}
 }
 
-func TestOddSettings(t *testing.T) {
+func TestUnusualSettingsBreakNoRule(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no reports":   func(settings *Settings) { settings.ReportFields = nil },
 		"zero release": func(settings *Settings) { settings.Release = 0 },
@@ -302,11 +303,12 @@
 }
 
 // Guards against many calls being sent to an office that is down while service discovery still lists it. The interval
-// between trial attempts must follow the shortest aim: how long an outage of a second is depends on the traffic.
-func TestNoConnectionLeavesSingleTrials(t *testing.T) {
+// between trial attempts must be a multiple of the shortest aim: an outage of one second is long for calls with an aim of
+// 200 ms and short for calls with an aim of several seconds.
+func TestFailedConnectionLeavesOnlyTrialAttempts(t *testing.T) {
 	for _, aim := range []time.Duration{0, time.Second, 200 * time.Millisecond} {
 		f := newManualFixture(t, func(settings *Settings) { settings.Classes[0].Aim, settings.Classes[1].Aim = aim, aim })
-		aim = cmp.Or(aim, time.Second) // none set
+		aim = cmp.Or(aim, time.Second) // the default, where the settings give none
 		interval := time.Duration(firstTrialFactor * float64(aim))
 		f.offerAndAwait(0, 1, "a")
 		f.endAttempt(1, NoConnect, 0)
@@ -364,13 +366,13 @@
 	}
 }
 
-// Guards against a reservation as if calls of the worthiest class held circuits as long as others when theirs are shorter.
+// Guards against reserving too many circuits where calls of the worthiest class hold them for a shorter time than others.
 func TestShortHoldsNeedLessReserve(t *testing.T) {
 	reservedFor := func(hold time.Duration) int {
 		f := newManualFixture(t, func(settings *Settings) { settings.Classes[1].Hold = hold })
 		exchange := f.controller.exchangeByNumber(1, false)
-		exchange.offeredCalls[0][0], exchange.offeredCalls[0][1] = 60, 24
-		f.controller.offeredCalls[0][0], f.controller.offeredCalls[0][1] = 300, 120
+		exchange.groupOffered[0][0], exchange.groupOffered[0][1] = 60, 24
+		f.controller.totalOffered[0][0], f.controller.totalOffered[0][1] = 300, 120
 		f.host.now = f.controller.startedAt + countWindow
 		f.controller.now = f.host.now
 		f.controller.updatePartition(exchange)
@@ -402,7 +404,7 @@
 		return count
 	}
 	if count := advisedCount(f.establish); count < 15 {
-		t.Errorf("advised tandem first in %d of the calls that find room there, want 15 or more", count)
+		t.Errorf("%d of 100 calls were sent to the advised tandem first, want 15 or more", count)
 	}
 	f.report("o3", 30)
 	advisedCount(func(id uint64) { f.endAttempt(id, Full, NoteTurnedBack) })
@@ -420,12 +422,12 @@
 	small.total, small.free = 3, 1
 	f.host.now = f.controller.startedAt + countWindow
 	f.controller.now = f.host.now
-	f.controller.offeredCalls[0][0], f.controller.offeredCalls[0][1] = 180, 20
-	small.offeredCalls[0][1] = 2 // both of the worthiest class
+	f.controller.totalOffered[0][0], f.controller.totalOffered[0][1] = 180, 20
+	small.groupOffered[0][1] = 2 // both of the worthiest class
 	if loads := f.controller.offeredLoads(small); loads[0].erlangs >= loads[1].erlangs {
 		t.Errorf("small group: worthiest %.2f, others %.2f", loads[0].erlangs, loads[1].erlangs)
 	}
-	large.offeredCalls[0][1] = 60
+	large.groupOffered[0][1] = 60
 	if loads := f.controller.offeredLoads(large); loads[0].erlangs < 5*loads[1].erlangs {
 		t.Errorf("large group: worthiest %.2f, others %.2f", loads[0].erlangs, loads[1].erlangs)
 	}
@@ -449,7 +451,7 @@
 			}
 			c.totalCircuits = 150
 			exchange := c.exchangeByNumber(1, true)
-			exchange.total = 2 // of them
+			exchange.total = 2 // of the 150
 			c.now = time.Second
 			c.startSlowStart(exchange, c.now)
 			budget = c.slowStartBudget(exchange) * servers
@@ -528,9 +530,10 @@
 	}
 }
 
-// worstWindow is the greatest load within TipAfter, as a share of what a cold exchange can take, and the attempts sent in
-// it. With a budget N that is N and, for random variation, twice the root of N and two more.
-func (f *slowStartFleet) worstWindow() (share float64, sent int) {
+// maxWindowLoad finds the window of TipAfter in which the attempts sent are the greatest share of those allowed, and returns
+// that share and their number. Allowed are the N attempts that the exchange can take at the end of the window, and
+// 2*sqrt(N) + 2 more for random variation.
+func (f *slowStartFleet) maxWindowLoad() (share float64, sent int) {
 	settings := f.controllers[0].settings
 	for latest, first := 0, 0; latest < len(f.sentAt); latest++ {
 		for f.sentAt[latest]-f.sentAt[first] >= settings.TipAfter {
@@ -539,8 +542,8 @@
 		age := float64(f.sentAt[latest] - f.started)
 		allowed := f.budget * (settings.ColdFrom + (1-settings.ColdFrom)*math.Min(1, age/float64(settings.ColdFor))) /
 			settings.ColdFrom
-		if excess := float64(latest-first+1) / (allowed + 2*math.Sqrt(allowed) + 2); excess > share {
-			share, sent = excess, latest-first+1
+		if windowShare := float64(latest-first+1) / (allowed + 2*math.Sqrt(allowed) + 2); windowShare > share {
+			share, sent = windowShare, latest-first+1
 		}
 	}
 	return share, sent
@@ -562,7 +565,7 @@
 		for _, silence := range []time.Duration{0, time.Second, 3 * time.Second, 6 * time.Second} {
 			f := newSlowStartFleet(t, servers)
 			f.run(silence, 10*time.Second, 20, withinBudget)
-			share, sent := f.worstWindow()
+			share, sent := f.maxWindowLoad()
 			t.Logf("%d call servers, first calls after %v: %d sent in a window, %.2f of the capacity, %d in all, budget %.1f",
 				servers, silence, sent, share, len(f.sentAt), f.budget)
 			if share > 1 {
@@ -579,15 +582,15 @@
 			}
 		}
 		f.run(2*time.Second, 10*time.Second, 20, withinBudget)
-		if share, sent := f.worstWindow(); share > 1 {
+		if share, sent := f.maxWindowLoad(); share > 1 {
 			t.Errorf("%d call servers, seven in ten restarted: %d sent, %.2f of the capacity", servers, sent, share)
 		}
 	}
 	for _, servers := range []int{48, 90} {
 		f := newSlowStartFleet(t, servers)
 		f.run(3*time.Second, 6*time.Second, 20, saveWholeCall)
-		if share, sent := f.worstWindow(); share <= 1 {
-			t.Errorf("the test does not find that %d call servers save up a call each: %d sent, %.2f of the capacity",
+		if share, sent := f.maxWindowLoad(); share <= 1 {
+			t.Errorf("%d call servers that save up a call each: %d sent, %.2f of the capacity, want more than 1",
 				servers, sent, share)
 		}
 	}
@@ -606,27 +609,28 @@
 	}
 	f.host.now += 100 * time.Millisecond
 	f.report("o1", 1)
-	if !f.host.calls[1].attemptOpen || f.host.calls[2].attemptOpen || f.host.calls[2].answered {
-		t.Fatal("one circuit freed: the first call takes it, the others wait")
+	if !f.host.calls[1].attemptOpen || f.host.calls[2].attemptOpen || f.host.calls[2].finalAnswerGiven {
+		t.Fatal("one circuit was freed: the first call must take it and the others must wait")
 	}
 	f.establish(1)
-	f.controller.exchangeByNumber(1, false).free = 1 // as the timer finds it
+	f.controller.exchangeByNumber(1, false).free = 1 // a circuit is free when the timers expire, without a report
 	f.host.now += 650 * time.Millisecond
 	f.controller.Timer(f.host.now, "c2")
 	f.controller.Timer(f.host.now, "c3")
-	if !f.host.calls[2].attemptOpen || !f.host.calls[3].answered {
-		t.Fatal("at the end of the wait: one is sent, the other refused")
+	if !f.host.calls[2].attemptOpen || !f.host.calls[3].finalAnswerGiven {
+		t.Fatal("at the end of the wait with one free circuit: one call must be sent and the other refused")
 	}
 	call := f.host.calls[2]
 	call.attemptOpen, call.notBefore = false, f.host.now+f.host.settings.Release
 	f.controller.Outcome(f.host.now, Outcome{Call: 2, Office: "o1", Status: TimedOut, Load: []float64{5, 30, -1}})
-	if call.attempts != 1 || call.answered || len(f.host.violations) > 0 {
-		t.Errorf("%d attempts, answered %v, %v", call.attempts, call.answered, f.host.violations)
+	if call.attempts != 1 || call.finalAnswerGiven || len(f.host.violations) > 0 {
+		t.Errorf("call that timed out after its wait: %d attempts, final answer given %v, violations %v", call.attempts,
+			call.finalAnswerGiven, f.host.violations)
 	}
 }
 
-// Guards against a call server that takes a pause of its own process for a delay or failure of exchanges.
-func TestOwnPauseDoesNotMakeExchangesUnresponsive(t *testing.T) {
+// Guards against taking a pause in which the process of the call server did not run for a delay or failure of exchanges.
+func TestPauseOfTheProcessDoesNotMakeExchangesUnresponsive(t *testing.T) {
 	f := newManualFixture(t, nil)
 	f.offerAndAwait(0, 1, "a")
 	f.offerAndAwait(0, 2, "b")
@@ -639,20 +643,20 @@
 	}
 	f.controller.Established(f.host.now, Outcome{Call: 1, Office: "o1", Elapsed: 2 * time.Second})
 	if delay := f.controller.expectedDelay(f.controller.exchangeByNumber(1, false)); delay > 100*time.Millisecond {
-		t.Errorf("delay %v from an answer that waited for this process", delay)
+		t.Errorf("expected delay %v after an answer that waited for this process", delay)
 	}
 	f.host.now += 700 * time.Millisecond
-	f.controller.Timer(f.host.now, "none")
+	f.controller.Timer(f.host.now, "none") // "none" is no timer mark: the event only advances the clock
 	f.host.now += 5 * time.Millisecond
 	f.controller.Timer(f.host.now, "none")
 	if !f.controller.detectUnresponsive(f.controller.exchangeByNumber(2, false)) {
-		t.Error("an exchange without answers is not unresponsive while events of others come")
+		t.Error("an exchange without answers is not unresponsive although the process runs again")
 	}
 }
 
 // Guards against shedding all calls because some exchanges have failed: once they are unresponsive, their time-outs must
-// not count as own delay.
-func TestUnresponsiveExchangesDoNotShedOtherCalls(t *testing.T) {
+// not count as local delay.
+func TestCallsToOthersAreNotShedForUnresponsiveExchanges(t *testing.T) {
 	f := newManualFixture(t, nil)
 	var unresponsive []uint64
 	for number := 1; number < 4; number++ {
@@ -661,10 +665,10 @@
 	}
 	for i := 0; i < 4; i++ {
 		f.host.now += 300 * time.Millisecond
-		f.controller.Timer(f.host.now, "none")
+		f.controller.Timer(f.host.now, "none") // advances the clock
 	}
 	for number := 1; number < 4; number++ {
-		f.controller.detectUnresponsive(f.controller.exchangeByNumber(number, false)) // as for the next call to it
+		f.controller.detectUnresponsive(f.controller.exchangeByNumber(number, false)) // marks it, as the next call to it would
 	}
 	f.offerAndAwait(0, 4, "fine")
 	f.establish(f.lastID)
@@ -676,13 +680,13 @@
 			Status: TimedOut, Elapsed: 4 * time.Second})
 	}
 	if got := f.offerAndAwait(0, 5, "other"); got != "send 5" {
-		t.Errorf("call to a live exchange: %q, own delay %v", got, f.controller.ownDelay())
+		t.Errorf("call to an exchange that answers: %q, local delay %v", got, f.controller.localDelay())
 	}
 }
 
-// Guards against one attempt for each exchange while the own processor is slow: with many exchanges that would shed
-// nothing.
-func TestSlowOwnProcessorAllowsOneOutstandingCall(t *testing.T) {
+// Guards against admitting one attempt for each exchange while the processor of this call server is slow: with many
+// exchanges that would shed nothing.
+func TestSlowLocalProcessorAllowsOneOutstandingCall(t *testing.T) {
 	f := newManualFixture(t, nil)
 	for i := 0; i < 40; i++ {
 		f.controller.recordSetUpDelay(f.controller.exchangeByNumber(1+i%5, false), 2*time.Second, true)
@@ -694,7 +698,7 @@
 		t.Errorf("first call: %q", got)
 	}
 	if got := f.offerAndAwait(0, 2, "b"); got != "refuse " {
-		t.Errorf("call to another exchange meanwhile: %q", got)
+		t.Errorf("call to another exchange while the first is outstanding: %q", got)
 	}
 }
 
@@ -704,7 +708,7 @@
 	exchange, call := f.controller.exchangeByNumber(2, false),
 		&callRecord{Call: Call{Width: 1, Dest: 1}, dest: f.controller.exchangeByNumber(1, false)}
 	if !f.controller.usableAsTandem(exchange, call) {
-		t.Fatal("a warm exchange with room is a tandem")
+		t.Fatal("an exchange with free circuits that is not cold is not used as a tandem")
 	}
 	f.controller.startSlowStart(exchange, f.host.now)
 	exchange.tokens = 5
@@ -726,15 +730,15 @@
 	second, _ := New(settings, 2)
 	for _, controller := range []*Controller{first, second} {
 		exchange := controller.exchangeByNumber(1, true)
-		exchange.total, controller.totalCircuits, controller.offeredCalls[0][0], controller.now = 10, 10, 20, time.Minute
+		exchange.total, controller.totalCircuits, controller.totalOffered[0][0], controller.now = 10, 10, 20, time.Minute
 		controller.updatePartition(exchange)
 	}
 	if beyond := settings.Classes[:3][2]; beyond.Worth != 0 || beyond.Width != 0 {
-		t.Errorf("written into the caller's slice: %+v", beyond)
+		t.Errorf("the Controller wrote into the slice of the settings that it was given: %+v", beyond)
 	}
 	settings.Classes[0].Worth, settings.Classes[0].Pools[0] = 99, 99
 	if first.settings.Classes[0].Worth == 99 || first.settings.Classes[0].Pools[0] == 99 {
-		t.Error("the Controller sees what the caller writes later")
+		t.Error("a later change of the settings that were passed to New changes those of the Controller")
 	}
 }
 
@@ -774,10 +778,10 @@
 	}
 }
 
-// Guards against an exchange marked unresponsive for one lost answer when its group was full, so that no later attempt
-// could overtake it.
-func TestOneLostAnswerIsNotUnresponsive(t *testing.T) {
-	for missing := 1; missing <= 2; missing++ { // with two the exchange is unresponsive
+// Guards against refusing calls to an exchange after one lost answer if its group was full, so that no later attempt could
+// overtake the lost one. The exchange is marked unresponsive, but the next call must be sent at once as a trial attempt.
+func TestOneLostAnswerAllowsATrialAtOnce(t *testing.T) {
+	for missing := 1; missing <= 2; missing++ { // with two the next trial attempt must wait
 		f := newManualFixture(t, nil)
 		for i := range missing {
 			if got := f.offerAndAwait(0, 1, fmt.Sprint("lost", i)); got != "send 1" {
@@ -820,7 +824,7 @@
 		t.Fatalf("after one fault: %+v", call)
 	}
 	f.endAttempt(f.lastID, Faulted, NoteBusy) // not a signalling fault
-	if call := f.host.calls[f.lastID]; call.attempts != 2 || !call.answered {
+	if call := f.host.calls[f.lastID]; call.attempts != 2 || !call.finalAnswerGiven {
 		t.Fatalf("a busy number is tried again: %+v", call)
 	}
 	attempts := 0
@@ -834,7 +838,7 @@
 		attempts = f.host.calls[f.lastID].attempts
 	}
 	if attempts != 1 {
-		t.Errorf("%d attempts for a call where none is established", attempts)
+		t.Errorf("%d attempts for a call to an exchange at which none is established", attempts)
 	}
 }
 
@@ -872,18 +876,18 @@
 	}
 }
 
-// Guards against refusing all calls to the own exchange that are offered here while the call server of their callers is
+// Guards against refusing all calls to the home exchange that are offered here while the call server of their callers is
 // away.
-func TestOwnExchangeIsReachedOverATandem(t *testing.T) {
+func TestHomeExchangeIsReachedOverATandem(t *testing.T) {
 	f := newManualFixture(t, nil)
 	for number := 3; number < 6; number++ { // two tandems are left, which are drawn at random
 		f.controller.UpdateOffices(f.host.now, ListUpdate, []Office{{ID: fmt.Sprint("o", number), Exchange: number, State: Gone}})
 	}
 	overTandem := 0
 	for i := range 20 {
-		switch got := f.offerAndAwait(0, 0, fmt.Sprint("own", i)); {
+		switch got := f.offerAndAwait(0, 0, fmt.Sprint("home", i)); {
 		case got == "send 0":
-			t.Fatal("a call was sent directly to the own exchange")
+			t.Fatal("a call was sent directly to the home exchange")
 		case strings.HasPrefix(got, "send "):
 			overTandem++
 			f.establish(f.lastID)
@@ -897,6 +901,6 @@
 	}
 	f.controller.Offered(f.host.now, Call{ID: 999, Dest: 0, Transit: true, Via: -1, TimeLeft: time.Second})
 	if action := f.host.actions[len(f.host.actions)-1]; !strings.HasPrefix(action, "refuse 999") {
-		t.Errorf("a call in transit to the own exchange: %q", action)
+		t.Errorf("a call in transit to the home exchange: %q", action)
 	}
 }
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -47,10 +47,10 @@
 		c.offices[entry.ID] = known
 		exchange.offices = append(exchange.offices, known)
 	} else if known.Exchange != entry.Exchange {
-		from := c.exchangeByNumber(known.Exchange, true)
-		from.offices = slices.DeleteFunc(from.offices, func(office *officeRecord) bool { return office == known })
+		previous := c.exchangeByNumber(known.Exchange, true)
+		previous.offices = slices.DeleteFunc(previous.offices, func(office *officeRecord) bool { return office == known })
 		exchange.offices = append(exchange.offices, known)
-		c.selectOffice(from)
+		c.selectOffice(previous)
 	}
 	known.Office = entry
 	if fresh && entry.Started > 0 && c.now-entry.Started < c.settings.ColdFor {
@@ -61,7 +61,8 @@
 	return exchange
 }
 
-// selectOffice directs new calls to the office of the exchange that started last of those that are ready.
+// selectOffice chooses the office that gets the new calls of an exchange: the one that started last of those that are ready.
+// It begins the slow start that is due for that office.
 func (c *Controller) selectOffice(exchange *exchangeRecord) {
 	var best *officeRecord
 	for _, office := range exchange.offices {
--- a/logic/observations.go
+++ b/logic/observations.go
@@ -10,7 +10,7 @@
 // maxReportValue is the greatest value in a report that is believed.
 const maxReportValue = 1e9
 
-// noteModulus separates the notes from the wait that is added, in multiples of it, to some of them.
+// noteModulus separates a note from the wait that some processors add to it, as a multiple of noteModulus.
 const noteModulus = 16
 
 // numberRecord is what is known of a called number that was busy or whose caller was refused.
@@ -26,7 +26,7 @@
 	busyBackoff time.Duration
 }
 
-// Report applies the state of an own trunk group, and of the processor at its far end if that is reported.
+// Report applies the state of a trunk group, and of the processor at its far end if that is reported.
 func (c *Controller) Report(now time.Duration, report Report) {
 	c.advanceClock(now)
 	if office := c.offices[report.Office]; office != nil && report.OK {
@@ -34,8 +34,8 @@
 	}
 }
 
-// applyReportValues applies the values of a report or outcome. Those that are absent, negative, too great or NaN are
-// unknown, not zero. Then calls that wait for a circuit are served.
+// applyReportValues applies the values of a report or outcome. Those that are absent, negative, too great or NaN are skipped,
+// so that the earlier values stay, and so is a reduction above 1. Then calls that wait for a circuit are served.
 func (c *Controller) applyReportValues(exchange *exchangeRecord, values []float64) {
 	field := func(index int) (float64, bool) {
 		if index < 0 || index >= len(values) || !(values[index] >= 0) || values[index] > maxReportValue {
@@ -56,11 +56,13 @@
 	c.serveWaiting(exchange)
 }
 
-// Peer receives a message of another call server. Its content is ignored: decisions rest on own observations only.
+// Peer receives a message of another call server. Its content is ignored: decisions rest only on what this call
+// server observes itself.
 func (c *Controller) Peer(now time.Duration, from int, data []byte) { c.advanceClock(now) }
 
-// expectedDelay is the set-up delay to expect: the moving average, which decays with time, or the age of the oldest direct
-// attempt that is still queued at the exchange, whichever is longer.
+// expectedDelay is the set-up delay to expect: the moving average, which decays with time, or the age of the oldest attempt
+// that may still be queued at the exchange, whichever is longer. The age doesn't count if that attempt is one leg of a
+// two-leg call, even if there are direct ones behind it.
 func (c *Controller) expectedDelay(exchange *exchangeRecord) time.Duration {
 	delay := time.Duration(float64(exchange.setUpDelay) *
 		math.Exp2(-float64(c.now-exchange.setUpDelayAt)/float64(c.delayHalfLife)))
@@ -70,9 +72,10 @@
 	return delay
 }
 
-// oldestNotOvertaken is the oldest outstanding attempt that was sent no earlier than any answered one. A processor works in
-// the order of arrival, so an older attempt is in no queue any more: its answer is lost or held up. Counted as a queue, one
-// lost answer would have all calls shed.
+// oldestNotOvertaken is the oldest outstanding attempt that was sent no earlier than any direct attempt that was answered. An
+// earlier one is overtaken. A processor works in the order of arrival, so an overtaken attempt has left the queue, and its
+// answer is lost or late on the way. If its age were taken for the delay of a queue, one lost answer would have all calls
+// shed.
 func (e *exchangeRecord) oldestNotOvertaken() *callRecord {
 	if i := slices.IndexFunc(e.outstanding, func(call *callRecord) bool { return call.sentAt >= e.latestAnsweredSentAt }); i >= 0 {
 		return e.outstanding[i]
@@ -80,21 +83,22 @@
 	return nil
 }
 
-// ownDelay is the delay that is common to all answers, most likely that of the own processor. Each quicker answer lowers
-// it. Without answers for two half-lives it is 0.
-func (c *Controller) ownDelay() time.Duration {
-	if c.now-c.ownDelayAt > 2*c.delayHalfLife {
+// localDelay is the delay that is common to all answers, most likely that of the processor of this call server. An answer that
+// took less time sets it at once, one that took more raises it slowly. Without answers for two half-lives it is 0.
+func (c *Controller) localDelay() time.Duration {
+	if c.now-c.localDelayAt > 2*c.delayHalfLife {
 		return 0
 	}
-	return c.ownDelayAverage
+	return c.localDelayAverage
 }
 
-// recordSetUpDelay applies the set-up delay of a direct call, or with direct unset a delay that an answer implies of the
-// exchange alone. The time that the answer may have waited for this call server does not count.
-func (c *Controller) recordSetUpDelay(exchange *exchangeRecord, delay time.Duration, direct bool) {
+// recordSetUpDelay applies a set-up delay to the moving average of an exchange and, with includeLocal, to the local delay. It
+// is unset for delays that say nothing about this call server: time-outs of an unresponsive exchange, and those implied by a
+// full processor. The time that the answer may have waited for this call server does not count.
+func (c *Controller) recordSetUpDelay(exchange *exchangeRecord, delay time.Duration, includeLocal bool) {
 	delay = max(0, delay-(c.now-c.previousBatchAt)+2*c.settings.Tick)
-	if own := c.ownDelay(); direct {
-		c.ownDelayAverage, c.ownDelayAt = min(delay, own+time.Duration(slowSampleWeight*float64(delay-own))), c.now
+	if local := c.localDelay(); includeLocal {
+		c.localDelayAverage, c.localDelayAt = min(delay, local+time.Duration(slowSampleWeight*float64(delay-local))), c.now
 	}
 	previous := c.expectedDelay(exchange)
 	if c.now-exchange.setUpDelayAt > 4*c.delayHalfLife { // too old to average with
@@ -103,8 +107,8 @@
 	exchange.setUpDelay, exchange.setUpDelayAt = previous+time.Duration(fastSampleWeight*float64(delay-previous)), c.now
 }
 
-// recordActivity notes an answer of an exchange. One that was unresponsive for more than four shortest aims gets a slow
-// start, so that the calls of all call servers don't arrive at once.
+// recordActivity notes an answer of an exchange. One that was unresponsive for more than four times the shortest aim gets a
+// slow start, so that the calls of all call servers don't arrive at once.
 func (c *Controller) recordActivity(exchange *exchangeRecord) {
 	if exchange.unresponsive {
 		c.host.Log(fmt.Sprintf("heard exchange=%d", exchange.number))
@@ -116,8 +120,8 @@
 }
 
 // detectUnresponsive reports whether an exchange is unresponsive, and marks it if attempts are outstanding and nothing has
-// come back for far longer than set-ups take. Calls and circuits would pile up behind it, so it gets only single trial
-// attempts at growing intervals.
+// come back for answerTimeout. Calls and circuits would pile up behind it, so it gets only trial attempts at growing
+// intervals.
 func (c *Controller) detectUnresponsive(exchange *exchangeRecord) bool {
 	call := exchange.oldestNotOvertaken()
 	if exchange.unresponsive || call == nil {
@@ -125,22 +129,23 @@
 	}
 	if since := max(call.sentAt, exchange.lastActivity); c.previousBatchAt-since > c.answerTimeout(exchange) {
 		c.markUnresponsive(exchange, since)
-		if len(exchange.outstanding) == 1 { // one answer may be lost, with nothing sent since: the next call is a trial
+		if len(exchange.outstanding) == 1 { // perhaps only this answer is lost: the next call is sent at once, as a trial
 			exchange.trialInterval, exchange.nextTrial = c.answerTimeout(exchange), c.now
 		}
 	}
 	return exchange.unresponsive
 }
 
-// answerTimeout is how long an exchange may give no answer before it counts as unresponsive: at least four times its set-up
-// delay.
+// answerTimeout is how long an exchange with outstanding attempts may give no answer before it counts as unresponsive. It is
+// at least four times the set-up delay of the exchange.
 func (c *Controller) answerTimeout(exchange *exchangeRecord) time.Duration {
 	return max(time.Duration(answerTimeoutFactor*float64(c.shortestAim)), 4*exchange.setUpDelay)
 }
 
-// cancelOvertaken cancels attempts before which several later ones were answered, so that they can be tried again in time.
-// It guards against answers lost on the way or with their connection, and against parts of an exchange that hang. At an
-// exchange that doesn't keep the order of arrival it cancels attempts that would have succeeded.
+// cancelOvertaken cancels outstanding direct attempts if several later ones were answered first and the answer time-out has
+// passed. Their calls can then be attempted again in time. It guards against answers lost on the way or with their
+// connection, and against parts of an exchange that hang. At an exchange that doesn't answer in the order of arrival it
+// cancels attempts that would have succeeded.
 func (c *Controller) cancelOvertaken(answered *callRecord) {
 	answered.target.latestAnsweredSentAt = max(answered.target.latestAnsweredSentAt, answered.sentAt)
 	for _, call := range answered.target.outstanding {
@@ -150,7 +155,7 @@
 		if call.overtakes++; call.overtakes == overtakeLimit && c.now-call.sentAt > c.answerTimeout(answered.target) {
 			c.host.Cancel(call.ID, call.attempts-1)
 		} else if call.overtakes == overtakeLimit {
-			call.overtakes--
+			call.overtakes-- // the time-out has not passed yet: the next answer is checked for the same limit
 		}
 	}
 }
@@ -181,12 +186,12 @@
 		call.dest.tandemWeights = map[int]float64{}
 	}
 	call.dest.tandemWeights[call.target.number] = math.Min(1,
-		math.Max(minRate, c.tandemWeight(call.dest, call.target)*factor))
+		math.Max(minProbability, c.tandemWeight(call.dest, call.target)*factor))
 	rate := &c.tandemSuccessRate
 	if call.target.number == call.Via {
 		rate = &c.adviceSuccessRate
 	}
-	*rate = math.Max(minRate, (1-slowSampleWeight)**rate)
+	*rate = math.Max(minProbability, (1-slowSampleWeight)**rate)
 	if factor > 1 {
 		*rate += slowSampleWeight
 	}
@@ -198,21 +203,21 @@
 	overTandem := call.twoLeg && !call.Transit
 	note := outcome.Note
 	if note > NoteBeyondFull || note%noteModulus == NoteProcessor {
-		note %= noteModulus // the rest is a wait
+		note %= noteModulus // the rest is a wait; NoteBeyondFull has none and would become NoteTurnedBack
 	}
 	switch {
 	case outcome.Status == TimedOut:
 		if !overTandem {
-			// The time-out of an unresponsive exchange says nothing about the own processor.
+			// The time-out of an unresponsive exchange says nothing about the processor of this call server.
 			c.recordSetUpDelay(exchange, outcome.Elapsed, !exchange.unresponsive)
 		}
 	case outcome.Status == NoConnect: // down or unreachable, whatever service discovery says
 		c.markUnresponsive(exchange, c.now)
 	case outcome.Status == Faulted && note == NoteBusy:
 		c.recordActivity(exchange)
-		number := c.numberRecordOf(call) // the backoff before the next call to it doubles
-		number.busyBackoff = min(max(2*number.busyBackoff, minBusyBackoff), maxBusyBackoff)
-		number.busyUntil = c.now + number.busyBackoff
+		record := c.numberRecordOf(call) // the backoff before the next call to it doubles
+		record.busyBackoff = min(max(2*record.busyBackoff, minBusyBackoff), maxBusyBackoff)
+		record.busyUntil = c.now + record.busyBackoff
 	case outcome.Status == Full || outcome.Status == Faulted:
 		c.recordActivity(exchange)
 		if outcome.Status == Faulted {
@@ -233,10 +238,10 @@
 
 // numberRecordOf finds or creates the record of the number that a call is for.
 func (c *Controller) numberRecordOf(call *callRecord) *numberRecord {
-	number := c.calledNumbers[call.Number]
-	if number == nil {
-		number = &numberRecord{}
-		c.calledNumbers[call.Number] = number
+	record := c.calledNumbers[call.Number]
+	if record == nil {
+		record = &numberRecord{}
+		c.calledNumbers[call.Number] = record
 	}
-	return number
+	return record
 }
--- a/logic/partition.go
+++ b/logic/partition.go
@@ -31,25 +31,26 @@
 // Erlang loss system that overflows into the shared circuits, to which Equation 4 applies. A call of several circuits is
 // carried with the probability that as many calls of one circuit would be carried.
 func payoff(circuits int, reserved []int, loads []classLoad) (total float64) {
-	overflow, overflows := 0.0, make([]float64, len(loads))
+	totalOverflow, classOverflows := 0.0, make([]float64, len(loads))
 	for class, load := range loads {
-		overflows[class] = load.erlangs
+		classOverflows[class] = load.erlangs
 		if classCircuits := reserved[class]; classCircuits > 0 {
-			overflows[class] *= erlangB(classCircuits/load.width, load.erlangs/float64(load.width))
+			classOverflows[class] *= erlangB(classCircuits/load.width, load.erlangs/float64(load.width))
 			circuits -= classCircuits
 		}
-		overflow += overflows[class]
+		totalOverflow += classOverflows[class]
 	}
-	carriedShare := 1 - erlangB(circuits, overflow)
+	carriedShare := 1 - erlangB(circuits, totalOverflow)
 	for class, load := range loads {
-		blocked := overflows[class] * (1 - math.Pow(carriedShare, float64(load.width)))
+		blocked := classOverflows[class] * (1 - math.Pow(carriedShare, float64(load.width)))
 		total += (load.erlangs-blocked)*load.worth - blocked*load.penalty
 	}
 	return total
 }
 
-// offeredCounts counts the calls offered in the window, by partition interval and class. The entry after the last class has
-// another meaning in each field of this type.
+// offeredCounts counts the calls offered in the window, by partition interval and class. The entry after the last class counts
+// calls of all classes: in Controller.totalOffered those that are blocked and look for a tandem, in
+// exchangeRecord.groupOffered redials and calls in transit.
 type offeredCounts [countBuckets][]float64
 
 // newOfferedCounts returns counts of zero for a number of classes and the entry after them.
@@ -61,7 +62,7 @@
 	return counts
 }
 
-// total is the number of calls of a class in the window.
+// total is the number of calls in the window in the entry of a class, or in the entry after the last class.
 func (o *offeredCounts) total(class int) (total float64) {
 	for bucket := range o {
 		total += o[bucket][class]
@@ -74,10 +75,10 @@
 	return int((c.now - c.startedAt) / partitionInterval % time.Duration(countBuckets))
 }
 
-// updatePartition chooses the partition of a group that has the greatest pay-off. It keeps the present one unless the gain
-// is clear. In large groups it searches in steps of about a thirty-second of the circuits.
+// updatePartition searches for the partition of a group with the greatest pay-off, in large groups in steps of about a
+// thirty-second of the circuits. It replaces the present partition only if the gain exceeds minPayoffGain.
 func (c *Controller) updatePartition(exchange *exchangeRecord) {
-	circuits := exchange.total - int(exchange.foreignInUse+0.5) // calls of the far end keep theirs
+	circuits := exchange.total - int(exchange.farEndInUse+0.5) // those that calls of the far end hold are left out
 	if exchange.total <= 0 || circuits < 1 {
 		return
 	}
@@ -103,35 +104,36 @@
 	}
 }
 
-// offeredLoads estimates the loads offered to a group by the worthiest class, by other direct calls and by two-leg calls,
-// in this order. The few calls that a small group sees would make its partition follow noise, so its counts are weighted
-// against the traffic mix of all groups.
+// offeredLoads estimates three loads offered to a group: by the first tries of the worthiest class, by those of the other
+// classes, and by redials, calls in transit and calls of other groups that look for a tandem. The few calls that a small
+// group sees would make its partition follow noise, so its counts are weighted against the class mix of all groups. The sum
+// groupCalls is not used.
 func (c *Controller) offeredLoads(exchange *exchangeRecord) []classLoad {
-	loads, twoLegIndex, fleetCalls, groupCalls := []classLoad{{width: max(1, c.settings.Classes[c.topClass].Width)},
+	loads, lowestPriorityIndex, totalCalls, groupCalls := []classLoad{{width: max(1, c.settings.Classes[c.topClass].Width)},
 		{width: 1}, {width: 1}}, len(c.settings.Classes), 0.0, 0.0
 	for index := range c.settings.Classes {
-		fleetCalls += c.offeredCalls.total(index)
-		groupCalls += exchange.offeredCalls.total(index)
+		totalCalls += c.totalOffered.total(index)
+		groupCalls += exchange.groupOffered.total(index)
 	}
 	seconds, hold := math.Min(countWindow.Seconds(), (c.now-c.startedAt).Seconds()), c.meanHold().Seconds()
-	plannedCalls := fleetCalls * float64(exchange.total) / float64(c.totalCircuits)
-	for index := 0; index <= twoLegIndex && fleetCalls > 0 && seconds > 0; index++ {
+	expectedCalls := totalCalls * float64(exchange.total) / float64(c.totalCircuits)
+	for index := 0; index <= lowestPriorityIndex && totalCalls > 0 && seconds > 0; index++ {
 		load, class, calls, width := &loads[1], Class{}, 0.0, c.meanWidth()
-		if index == twoLegIndex { // a blocked call is offered to all groups equally, even if none takes it
+		if index == lowestPriorityIndex { // a blocked call that looks for a tandem counts in equal parts at all groups
 			class.Worth = twoLegWorthFactor * c.classMean(func(class Class) float64 { return class.Worth })
 			load, calls = &loads[2],
-				exchange.offeredCalls.total(index)+c.offeredCalls.total(index)/math.Max(1, float64(len(c.exchanges)-1))
+				exchange.groupOffered.total(index)+c.totalOffered.total(index)/math.Max(1, float64(len(c.exchanges)-1))
 		} else {
 			class = c.settings.Classes[index]
 			width = math.Max(1, float64(class.Width))
-			calls = (exchange.offeredCalls.total(index) + fleetPriorCalls*c.offeredCalls.total(index)/fleetCalls) * plannedCalls /
-				(plannedCalls + fleetPriorCalls)
+			calls = (exchange.groupOffered.total(index) + priorCalls*c.totalOffered.total(index)/totalCalls) * expectedCalls /
+				(expectedCalls + priorCalls)
 		}
 		if index == c.topClass {
 			load = &loads[0]
 		}
 		if class.Hold > 0 && hold > 0 {
-			width *= class.Hold.Seconds() / hold // a call occupies circuits x time
+			width *= class.Hold.Seconds() / hold // a load is circuits times hold time
 		}
 		if erlangs := calls * hold * width / seconds; erlangs > 0 {
 			load.worth = (load.worth*load.erlangs + class.Worth/width*erlangs) / (load.erlangs + erlangs)
@@ -147,8 +149,8 @@
 func (c *Controller) classMean(value func(Class) float64) float64 {
 	sum, weights := 0.0, 0.0
 	for i, class := range c.settings.Classes {
-		sum += (c.offeredCalls.total(i) + 1) * value(class)
-		weights += c.offeredCalls.total(i) + 1
+		sum += (c.totalOffered.total(i) + 1) * value(class)
+		weights += c.totalOffered.total(i) + 1
 	}
 	return sum / weights
 }
@@ -163,21 +165,21 @@
 	return c.classMean(func(class Class) float64 { return math.Max(1, float64(class.Width)) })
 }
 
-// recordOffered finds out whether a call is a redial, and counts it as demand of its class if it is not: counted at each
-// redial, the same demand would raise the reservation with the persistence of the callers. The aim of a redial runs from
-// its first try.
+// recordOffered finds out whether a call is a redial, and counts it as demand of its class if it is not. If each redial
+// counted, the same demand would lead to a greater reservation the more often callers redial. The aim of a redial is counted
+// from its first try. A redial after a dropped call has an aim of its own, since the dropped call was set up.
 func (c *Controller) recordOffered(call *callRecord) {
-	number, bucketClass := c.calledNumbers[call.Number], len(c.settings.Classes)
-	if number != nil && number.firstTryAt > 0 && number.class == call.Class && !call.Transit && !call.WasDropped &&
-		c.now-number.firstTryAt < c.settings.Classes[call.Class].Deadline {
-		call.firstTryAt = number.firstTryAt
+	record, bucketClass := c.calledNumbers[call.Number], len(c.settings.Classes)
+	if record != nil && record.firstTryAt > 0 && record.class == call.Class && !call.Transit && !call.WasDropped &&
+		c.now-record.firstTryAt < c.settings.Classes[call.Class].Deadline {
+		call.firstTryAt = record.firstTryAt
 	} else if !call.Redial && !call.Transit {
 		bucketClass = call.Class
 		if call.dest.total > 0 {
-			c.offeredCalls[c.currentBucket()][bucketClass]++
+			c.totalOffered[c.currentBucket()][bucketClass]++
 		}
 	}
-	call.dest.offeredCalls[c.currentBucket()][bucketClass]++
+	call.dest.groupOffered[c.currentBucket()][bucketClass]++
 }
 
 // wouldBeLate reports whether a call would be established after its aim. Such a call has the lowest priority, so that waves
@@ -190,15 +192,15 @@
 // its next run.
 func (c *Controller) runPeriodicWork() {
 	for _, exchange := range c.exchanges {
-		exchange.foreignInUse += fastSampleWeight *
-			(math.Max(0, float64(exchange.total-max(exchange.free, 0)-exchange.ownInUse)) - exchange.foreignInUse)
+		exchange.farEndInUse += fastSampleWeight *
+			(math.Max(0, float64(exchange.total-max(exchange.free, 0)-exchange.localInUse)) - exchange.farEndInUse)
 		c.updatePartition(exchange)
 		c.removeGoneOffices(exchange)
-		clear(exchange.offeredCalls[c.currentBucket()])
+		clear(exchange.groupOffered[c.currentBucket()])
 	}
-	clear(c.offeredCalls[c.currentBucket()])
-	for calledNumber, number := range c.calledNumbers {
-		if c.now-number.firstTryAt > c.settings.Classes[number.class].Deadline && c.now > number.busyUntil+maxBusyBackoff {
+	clear(c.totalOffered[c.currentBucket()])
+	for calledNumber, record := range c.calledNumbers {
+		if c.now-record.firstTryAt > c.settings.Classes[record.class].Deadline && c.now > record.busyUntil+maxBusyBackoff {
 			delete(c.calledNumbers, calledNumber)
 		}
 	}
@@ -212,12 +214,12 @@
 	if exchange.free < 0 {
 		return true // not reported yet: the outcome of the attempt will show it
 	}
-	free, ownDirect := exchange.free, exchange.ownInUse-exchange.ownInUseByClass[len(c.settings.Classes)]
+	free, localDirect := exchange.free, exchange.localInUse-exchange.localInUseByClass[len(c.settings.Classes)]
 	if lowestPriority || call.Class != c.topClass {
-		free -= max(0, exchange.reserved-exchange.ownInUseByClass[c.topClass])
+		free -= max(0, exchange.reserved-exchange.localInUseByClass[c.topClass])
 	}
 	if lowestPriority {
-		free -= max(0, exchange.directOnly-(ownDirect-min(exchange.reserved, exchange.ownInUseByClass[c.topClass])))
+		free -= max(0, exchange.directOnly-(localDirect-min(exchange.reserved, exchange.localInUseByClass[c.topClass])))
 	}
 	return free >= call.Width
 }
--- a/logic/partition_test.go
+++ b/logic/partition_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// payoffByDirectSum computes the pay-off by the sums of the paper, without recursion.
+// payoffByDirectSum computes the pay-off by the sums of Chen and Chen, without recursion.
 func payoffByDirectSum(circuits int, reserved []int, loads []classLoad) float64 {
 	lossSystem := func(circuits int, erlangs float64) (blocked, carried float64) {
 		sum, weighted, term := 1.0, 0.0, 1.0
@@ -54,7 +54,8 @@
 	return bestReserved, bestDirectOnly, bestPayoff
 }
 
-func TestPaperOptima(t *testing.T) {
+// The optimal partitions are those of examples in the paper of Chen and Chen.
+func TestOptimaOfChenAndChen(t *testing.T) {
 	for _, tt := range []struct {
 		circuits                     int
 		high, low                    classLoad
@@ -71,12 +72,12 @@
 		loads := []classLoad{tt.high, tt.low}
 		reserved, directOnly, payoffValue := bestPartition(tt.circuits, loads)
 		if reserved != tt.reserved || directOnly != tt.directOnly || tt.circuits-reserved-directOnly != tt.shared {
-			t.Errorf("%d circuits, loads %v: optimum (%d,%d,%d), paper (%d,%d,%d)", tt.circuits, loads,
+			t.Errorf("%d circuits, loads %v: optimum (%d,%d,%d), published (%d,%d,%d)", tt.circuits, loads,
 				reserved, tt.circuits-reserved-directOnly, directOnly, tt.reserved, tt.shared, tt.directOnly)
 		}
 		if sharedValue := payoff(tt.circuits, []int{0, 0}, loads); tt.payoff != 0 &&
 			(math.Abs(payoffValue-tt.payoff) > 1 || math.Abs(sharedValue-tt.sharedPayoff) > 1) {
-			t.Errorf("%d circuits, loads %v: pay-off %.1f, all shared %.1f, paper %v and %v", tt.circuits, loads, payoffValue,
+			t.Errorf("%d circuits, loads %v: pay-off %.1f, all shared %.1f, published %v and %v", tt.circuits, loads, payoffValue,
 				sharedValue, tt.payoff, tt.sharedPayoff)
 		}
 	}
@@ -94,13 +95,13 @@
 }
 
 // Guards against a pay-off in which one reserved circuit carries half of a call of two circuits.
-func TestWideCallsNeedWholeReserves(t *testing.T) {
+func TestReservedCircuitsMustFitWholeCalls(t *testing.T) {
 	loads := []classLoad{{1, 3, 3, 2}, {4, 1, 1, 1}}
 	if oneReserved, noneReserved := payoff(5, []int{1, 0}, loads), payoff(5, []int{0, 0}, loads); oneReserved >= noneReserved {
-		t.Errorf("one reserved circuit for calls of two: %.3f, none %.3f", oneReserved, noneReserved)
+		t.Errorf("pay-off %.3f with one circuit reserved for calls of two circuits, not less than %.3f with none", oneReserved, noneReserved)
 	}
 	narrow := []classLoad{{1, 3, 3, 1}, {4, 1, 1, 1}}
 	if payoff(5, []int{0, 0}, loads) >= payoff(5, []int{0, 0}, narrow) {
-		t.Error("a call of two circuits is carried as often as one of one circuit")
+		t.Error("the pay-off with calls of two circuits is not less than with calls of one circuit")
 	}
 }
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -42,15 +42,16 @@
 	}
 }
 
-// enqueue has a blocked call wait for a circuit of its direct group that is freed in time for its aim, once, unless the
-// call may have run, its number is busy or load is being shed. The caller, if refused, would redial: that costs another
-// decision, and the call would be established late.
+// enqueue has a blocked call wait for a circuit of its direct group that is freed in time for its aim. A refused caller would
+// redial: that costs another decision, and the call would be established late. The result is false for a call that doesn't
+// wait: one that is in transit, has waited before, may have taken effect or would wait too long. Nor does a call wait if its
+// number was busy, the size of its group is unknown, its destination may not receive it, or load is being shed.
 func (c *Controller) enqueue(call *callRecord) bool {
-	exchange, number := call.dest, c.calledNumbers[call.Number]
+	exchange, record := call.dest, c.calledNumbers[call.Number]
 	wait := call.firstTryAt + time.Duration(circuitWaitFactor*float64(c.settings.Classes[call.Class].Aim)) -
 		c.expectedDelay(exchange) - c.now
-	if call.Transit || call.hasWaited || call.mayHaveRun || wait <= 0 || c.now+wait >= call.answerBy ||
-		number != nil && number.busyBackoff > 0 || exchange.total <= 0 || !c.mayReceive(exchange) ||
+	if call.Transit || call.hasWaited || call.mayHaveTakenEffect || wait <= 0 || c.now+wait >= call.answerBy ||
+		record != nil && record.busyBackoff > 0 || exchange.total <= 0 || !c.mayReceive(exchange) ||
 		c.shouldShed(exchange, call, true) {
 		return false
 	}
@@ -63,65 +64,68 @@
 	return true
 }
 
-// serveWaiting gives free circuits to the calls that wait for one, worthiest first, and removes calls that were sent or
-// answered.
+// serveWaiting routes the calls that wait for a circuit and can be sent now, worthiest first, and removes calls that were sent
+// or have their final answer.
 func (c *Controller) serveWaiting(exchange *exchangeRecord) {
 	exchange.waitingCalls = slices.DeleteFunc(exchange.waitingCalls, func(call *callRecord) bool {
-		call.isWaiting = call.isWaiting && !call.answered
+		call.isWaiting = call.isWaiting && !call.finalAnswerGiven
 		if call.isWaiting && c.hasRoom(exchange, call, false) && c.mayReceive(exchange) &&
 			!c.shouldShed(exchange, call, false) {
-			c.route(call) // not over a tandem, since the call has waited; the limit of attempts holds
+			c.route(call) // takes no tandem after a wait, and applies the limit of attempts
 		}
-		return !call.isWaiting || call.answered
+		return !call.isWaiting || call.finalAnswerGiven
 	})
 }
 
 // selectRoute returns the exchange that a call may be sent to now, or nil, and whether the attempt is one leg of a two-leg
 // call.
 func (c *Controller) selectRoute(call *callRecord) (*exchangeRecord, bool) {
-	number, home := c.calledNumbers[call.Number], c.exchangeByNumber(c.settings.Home, false)
+	record, home := c.calledNumbers[call.Number], c.exchangeByNumber(c.settings.Home, false)
 	switch {
-	// A busy number: one call at a time finds out whether a line is free; others would load the processors for nothing.
-	case !call.Transit && number != nil && c.now < number.busyUntil:
+	// A busy number: calls to it are refused until the backoff is over, since they would load the processors for nothing.
+	// Then they are sent again, until the next busy answer.
+	case !call.Transit && record != nil && c.now < record.busyUntil:
 	case c.settings.MaxAttempts > 0 && call.attempts >= c.settings.MaxAttempts ||
-		call.mayHaveRun && !c.settings.Classes[call.Class].SafeToRepeat:
-	// A call to the own exchange is offered here while the call server of that is away. It can't be sent there directly,
-	// but over a tandem; otherwise all such calls would be refused. The price is two circuits for each, where circuits are
-	// short.
+		call.mayHaveTakenEffect && !c.settings.Classes[call.Class].SafeToRepeat:
+	// A call to the home exchange is offered here while the call server of its caller is away. It can't be sent there
+	// directly, but over a tandem; otherwise all such calls would be refused. The price is two circuits for each call, which
+	// matters where circuits are short.
 	case call.dest == home && !c.settings.Pools && !call.Transit && !call.hasWaited && !c.wouldBeLate(call) &&
 		c.slowStartAllows(home):
 		return c.selectTandem(call), true
-	// The own processor takes part in every call, so its slow start limits all of them.
+	// The processor of the home exchange takes part in every call, so its slow start limits all of them.
 	case !c.mayReceive(call.dest) || home != nil && !c.settings.Pools && !c.slowStartAllows(home) ||
 		c.shouldShed(call.dest, call, false):
 	case call.mayTry(c, call.dest) && c.hasRoom(call.dest, call, call.Transit || c.wouldBeLate(call)):
-		// Signalling faults are as likely from a tandem as from here, but the call server there has attempts of its own.
+		// A set-up from a tandem meets as many signalling faults as one from here, but the call server of the tandem makes
+		// several attempts of its own.
 		if call.signallingFaults >= directFaultLimit && !call.Transit && !c.wouldBeLate(call) {
 			if tandem := c.selectTandem(call); tandem != nil {
 				return tandem, true
 			}
 		}
 		return call.dest, call.Transit
-	case !call.Transit && !call.hasWaited && !c.wouldBeLate(call) && !(number != nil && number.busyBackoff > 0):
+	case !call.Transit && !call.hasWaited && !c.wouldBeLate(call) && !(record != nil && record.busyBackoff > 0):
 		return c.selectTandem(call), true
 	}
 	return nil, false
 }
 
-// mayTry reports whether a call may be sent to an exchange: one that was not tried before and, of pools, one that serves
-// its class.
+// mayTry reports whether a call may be sent to an exchange: one that is not excluded by its earlier attempts and, of pools, one
+// that serves its class.
 func (r *callRecord) mayTry(controller *Controller, exchange *exchangeRecord) bool {
 	pools := controller.settings.Classes[r.Class].Pools
-	return !slices.Contains(r.tried, exchange) &&
+	return !slices.Contains(r.excluded, exchange) &&
 		(!controller.settings.Pools || len(pools) == 0 || slices.Contains(pools, exchange.number))
 }
 
-// selectTandem draws a tandem, or a pool of second choice, by the tandem weights; nil: none. A tandem that a routing centre
-// advises is preferred as often as advised tandems have succeeded: the centre knows the state of the second leg.
+// selectTandem draws a tandem, or a pool of second choice, by the tandem weights; nil: none. A usable tandem that the routing
+// centre advises is taken instead with a probability equal to the success rate of advised tandems: the centre knows the state
+// of the second leg.
 func (c *Controller) selectTandem(call *callRecord) *exchangeRecord {
-	// A call to the own exchange is not blocked by a full group, so it doesn't count.
+	// A call to the home exchange is not blocked by a full group, so it doesn't count.
 	if call.attempts == 0 && (c.settings.Pools || call.dest.number != c.settings.Home) {
-		c.offeredCalls[c.currentBucket()][len(c.settings.Classes)]++
+		c.totalOffered[c.currentBucket()][len(c.settings.Classes)]++
 	}
 	if !c.settings.Pools && c.shouldShed(call.dest, call, true) {
 		return nil
@@ -134,12 +138,12 @@
 		return nil
 	}
 	var best *exchangeRecord
-	// Each draw takes every tandem with the same probability and accepts it with its weight as the probability. A two-leg
-	// attempt that fails costs three processors for nothing, so fewer are drawn the lower the success rate and the longer
-	// the own delay.
-	spareShare := 1 - float64(c.ownDelay())/(shedDelayFactor*float64(c.settings.Classes[call.Class].Aim))
-	draws := min(maxTandemDraws, float64(len(c.exchanges))) * c.tandemSuccessRate * spareShare
-	// A call with signalling faults fails at its destination, not at the tandem, so weights don't apply. A call to the own
+	// Each draw picks one of all exchanges and, if that is usable as a tandem, accepts it with a probability equal to its
+	// tandem weight. Of those accepted the one with the most free circuits is taken. A two-leg attempt that fails costs three processors for nothing. The
+	// lower the success rate and the longer the local delay, the fewer draws there are.
+	delayMargin := 1 - float64(c.localDelay())/(shedDelayFactor*float64(c.settings.Classes[call.Class].Aim))
+	draws := min(maxTandemDraws, float64(len(c.exchanges))) * c.tandemSuccessRate * delayMargin
+	// A call with signalling faults fails at its destination, not at the tandem, so weights don't apply. A call to the home
 	// exchange has no other route from here.
 	if call.signallingFaults > 0 || call.dest.number == c.settings.Home && !c.settings.Pools {
 		draws = maxTandemDraws
@@ -162,11 +166,11 @@
 func (c *Controller) twoLegTooCostly(call *callRecord) bool {
 	offered, class := 0.0, c.settings.Classes[call.Class]
 	for i := range c.settings.Classes {
-		offered += c.offeredCalls.total(i)
+		offered += c.totalOffered.total(i)
 	}
-	blocked := c.offeredCalls.total(len(c.settings.Classes)) / math.Max(offered, fleetPriorCalls)
-	mean := c.classMean(func(class Class) float64 { return class.Worth }) / c.meanWidth()
-	return blocked*mean > twoLegWorthFactor*class.Worth/math.Max(1, float64(class.Width))
+	blockedShare := c.totalOffered.total(len(c.settings.Classes)) / math.Max(offered, priorCalls)
+	circuitWorth := c.classMean(func(class Class) float64 { return class.Worth }) / c.meanWidth()
+	return blockedShare*circuitWorth > twoLegWorthFactor*class.Worth/math.Max(1, float64(class.Width))
 }
 
 // usableAsTandem reports whether a tandem can take a call now, as far as is known here. An exchange in its slow start is no
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -16,7 +16,7 @@
 	calls          map[uint64]*checkedCall
 	offices        map[string]*checkedOffice
 	timers         []timerRequest
-	openAttempts   []uint64 // calls with an open attempt, in the order of sending
+	openAttempts   []uint64 // IDs of the calls with an open attempt, in the order of sending
 	actions        []string // all actions so far, as text
 	violations     []string
 	lastRetryAfter time.Duration // of the latest refusal
@@ -24,15 +24,15 @@
 
 // checkedCall is what the checker knows of a call.
 type checkedCall struct {
-	dest        int // number of the destination exchange
-	transit     bool
-	answerBy    time.Duration // last moment for its final answer
-	attempts    int
-	attemptOpen bool // an attempt was sent whose outcome is still to come
-	answered    bool // the final answer was given
-	established bool
-	office      string        // where the latest attempt went
-	notBefore   time.Duration // end of the release time
+	dest             int // number of the destination exchange
+	transit          bool
+	answerBy         time.Duration // last moment for its final answer
+	attempts         int
+	attemptOpen      bool // an attempt was sent whose outcome is still to come
+	finalAnswerGiven bool // the call was refused or failed
+	established      bool
+	office           string        // where the latest attempt went
+	notBefore        time.Duration // end of the release time
 }
 
 // checkedOffice is what the checker knows of an office.
@@ -70,8 +70,8 @@
 		return
 	}
 	switch {
-	case call.answered || call.established:
-		h.reportViolation("send of call %d after its end", id)
+	case call.finalAnswerGiven || call.established:
+		h.reportViolation("send of call %d, which is established or has its final answer", id)
 	case call.attemptOpen:
 		h.reportViolation("call %d has two open attempts", id)
 	case h.now < call.notBefore:
@@ -79,9 +79,9 @@
 	case office.stoppedAt >= 0:
 		h.reportViolation("send to %s, which drains or is gone", officeID)
 	case office.exchange == h.settings.Home:
-		h.reportViolation("send to the own exchange")
+		h.reportViolation("send to the home exchange")
 	case call.transit && office.exchange != call.dest:
-		h.reportViolation("call %d in transit sent past its destination", id)
+		h.reportViolation("call %d in transit sent to another exchange than its destination", id)
 	case call.attempts >= h.settings.MaxAttempts:
 		h.reportViolation("call %d has too many attempts", id)
 	}
@@ -92,8 +92,9 @@
 	h.checkSlowStartBudget(officeID, office)
 }
 
-// checkSlowStartBudget checks that the attempts sent in any window of TipAfter stay within this call server's share of the
-// capacity that the groups of the test imply.
+// checkSlowStartBudget checks that the attempts sent in the first TipAfter after the start of an office stay within this call
+// server's share of the capacity that the groups of the test imply. One attempt more is allowed, since a share may be less
+// than a call.
 func (h *ruleChecker) checkSlowStartBudget(name string, office *checkedOffice) {
 	if office.coldSince < 0 || h.now-office.coldSince >= h.settings.TipAfter {
 		return
@@ -114,14 +115,14 @@
 func (h *ruleChecker) recordAnswer(id uint64, action string) {
 	h.recordAction("%s %d", action, id)
 	call := h.calls[id]
-	if call == nil || call.answered || call.established {
-		h.reportViolation("%s of call %d, for which no answer is due", action, id)
+	if call == nil || call.finalAnswerGiven || call.established {
+		h.reportViolation("%s of call %d, which is unknown, established or has its final answer", action, id)
 		return
 	}
 	if h.now > call.answerBy {
-		h.reportViolation("%s of call %d after its time", action, id)
+		h.reportViolation("%s of call %d after the last moment for it", action, id)
 	}
-	call.answered = true
+	call.finalAnswerGiven = true
 }
 
 func (h *ruleChecker) Refuse(id uint64, wait time.Duration) {
@@ -141,9 +142,9 @@
 // checkOverdue reports calls that have no final answer in time.
 func (h *ruleChecker) checkOverdue() {
 	for id, call := range h.calls {
-		if !call.answered && !call.established && h.now > call.answerBy {
+		if !call.finalAnswerGiven && !call.established && h.now > call.answerBy {
 			h.reportViolation("call %d has no answer in time", id)
-			call.answered = true
+			call.finalAnswerGiven = true
 		}
 	}
 }
@@ -166,11 +167,11 @@
 
 // fixture is a Controller with a checker of its actions, and produces events for it.
 type fixture struct {
-	host           *ruleChecker
-	controller     *Controller
-	rng            *rand.Rand
-	lastID         uint64 // number of the latest call
-	lastGeneration int    // number of the latest office that took the place of another
+	host             *ruleChecker
+	controller       *Controller
+	rng              *rand.Rand
+	lastID           uint64 // ID of the latest call
+	replacementCount int    // offices replaced so far; the count makes the IDs of new ones unique
 }
 
 func newFixture(t *testing.T, settings Settings, seed int64) *fixture {
@@ -255,14 +256,14 @@
 	id := checker.openAttempts[index]
 	call := checker.calls[id]
 	outcome := Outcome{Call: id, Attempt: call.attempts - 1, Office: call.office, Elapsed: 50 * time.Millisecond}
-	if !call.established && !call.answered && f.rng.Intn(2) == 0 {
+	if !call.established && !call.finalAnswerGiven && f.rng.Intn(2) == 0 {
 		call.established = true
 		f.controller.Established(checker.now, outcome)
 		return
 	}
 	checker.openAttempts = append(checker.openAttempts[:index], checker.openAttempts[index+1:]...)
 	outcome.Status, outcome.Over = Ended, true
-	if !call.established && !call.answered {
+	if !call.established && !call.finalAnswerGiven {
 		outcome.Status = []Status{Faulted, Full, TimedOut, NoConnect, Reset, Cancelled, NotSent}[f.rng.Intn(7)]
 		outcome.Note, outcome.Over = f.rng.Intn(5), false
 		if outcome.Status == TimedOut || outcome.Status == Reset || outcome.Status == Cancelled {
@@ -279,7 +280,8 @@
 	f.replaceOffice(f.rng.Intn(f.host.settings.Instances))
 }
 
-// replaceOffice announces the office of an exchange as draining or gone, and lists a new one in its place.
+// replaceOffice announces the office of an exchange as draining or gone, depending on its ID, and lists a new one in its
+// place.
 func (f *fixture) replaceOffice(number int) {
 	for id, office := range f.host.offices {
 		if office.exchange == number && office.stoppedAt < 0 {
@@ -288,8 +290,8 @@
 			if len(id)%2 == 0 {
 				state = Gone
 			}
-			f.lastGeneration++
-			freshID := fmt.Sprintf("o%d-%d", number, f.lastGeneration)
+			f.replacementCount++
+			freshID := fmt.Sprintf("o%d-%d", number, f.replacementCount)
 			f.host.offices[freshID] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: f.host.now}
 			f.controller.UpdateOffices(f.host.now, ListUpdate, []Office{{ID: id, Exchange: number, State: state},
 				{ID: freshID, Exchange: number, Started: f.host.now}})
@@ -330,7 +332,7 @@
 					f.replaceOffice(f.rng.Intn(settings.Instances))
 				}
 			}
-			if i%1500 == 1499 { // answers may be late that fall due in the pause, no others
+			if i%1500 == 1499 { // answers that are due during the pause may come right after it
 				for _, call := range f.host.calls {
 					call.answerBy = max(call.answerBy, f.host.now+2*time.Second+20*time.Millisecond)
 				}
@@ -346,16 +348,16 @@
 // The checker must find each kind of violation.
 func TestCheckerFindsViolations(t *testing.T) {
 	for name, violate := range map[string]func(checker *ruleChecker){
-		"two open":  func(checker *ruleChecker) { checker.Send(1, "o1", 0); checker.Send(1, "o1", 0) },
-		"two ends":  func(checker *ruleChecker) { checker.Refuse(1, 0); checker.Fail(1) },
-		"late":      func(checker *ruleChecker) { checker.now = time.Hour; checker.checkOverdue() },
-		"drained":   func(checker *ruleChecker) { checker.offices["o1"].stoppedAt = 0; checker.Send(1, "o1", 0) },
-		"release":   func(checker *ruleChecker) { checker.calls[1].notBefore = time.Hour; checker.Send(1, "o1", 0) },
-		"self":      func(checker *ruleChecker) { checker.Send(1, "o0", 0) },
-		"transit":   func(checker *ruleChecker) { checker.calls[1].transit = true; checker.Send(1, "o2", 0) },
-		"attempts":  func(checker *ruleChecker) { checker.calls[1].attempts = 3; checker.Send(1, "o1", 0) },
-		"after end": func(checker *ruleChecker) { checker.Fail(1); checker.Send(1, "o1", 0) },
-		"cold": func(checker *ruleChecker) {
+		"second attempt while one is open": func(checker *ruleChecker) { checker.Send(1, "o1", 0); checker.Send(1, "o1", 0) },
+		"second final answer":              func(checker *ruleChecker) { checker.Refuse(1, 0); checker.Fail(1) },
+		"no answer in time":                func(checker *ruleChecker) { checker.now = time.Hour; checker.checkOverdue() },
+		"attempt to a draining office":     func(checker *ruleChecker) { checker.offices["o1"].stoppedAt = 0; checker.Send(1, "o1", 0) },
+		"attempt within the release time":  func(checker *ruleChecker) { checker.calls[1].notBefore = time.Hour; checker.Send(1, "o1", 0) },
+		"attempt to the home exchange":     func(checker *ruleChecker) { checker.Send(1, "o0", 0) },
+		"transit to another exchange":      func(checker *ruleChecker) { checker.calls[1].transit = true; checker.Send(1, "o2", 0) },
+		"too many attempts":                func(checker *ruleChecker) { checker.calls[1].attempts = 3; checker.Send(1, "o1", 0) },
+		"attempt after the final answer":   func(checker *ruleChecker) { checker.Fail(1); checker.Send(1, "o1", 0) },
+		"slow-start budget exceeded": func(checker *ruleChecker) {
 			checker.offices["o1"].coldSince = 0
 			for id := uint64(1); id < 30; id++ {
 				checker.calls[id] = &checkedCall{dest: 1, answerBy: time.Second}
@@ -369,7 +371,7 @@
 			checker.offices[fmt.Sprintf("o%d", number)] = &checkedOffice{exchange: number, stoppedAt: -1, coldSince: -1}
 		}
 		if violate(checker); len(checker.violations) == 0 {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: the checker finds no violation", name)
 		}
 	}
 }
@@ -402,9 +404,9 @@
 		})
 		f.report("o1", 0)
 		for range 60 {
-			clear(f.controller.offeredCalls[f.controller.currentBucket()])
-			f.controller.offeredCalls[f.controller.currentBucket()][0],
-				f.controller.offeredCalls[f.controller.currentBucket()][len(f.controller.settings.Classes)] = 1000, 1000*blocked
+			clear(f.controller.totalOffered[f.controller.currentBucket()])
+			f.controller.totalOffered[f.controller.currentBucket()][0],
+				f.controller.totalOffered[f.controller.currentBucket()][len(f.controller.settings.Classes)] = 1000, 1000*blocked
 			f.controller.tandemSuccessRate, f.controller.adviceSuccessRate = 1, 1
 			f.lastID++
 			f.host.calls[f.lastID] = &checkedCall{dest: 1, answerBy: f.host.now + 3*time.Second}
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -52,10 +52,10 @@
 				now += 20 * time.Millisecond
 				id := uint64(i + 1)
 				c.Offered(now, Call{ID: id, Dest: 1 + rng.Intn(n-1), Via: -1, TimeLeft: 3 * time.Second, Number: fmt.Sprint(i % 5000)})
-				for _, out := range host.sent {
-					if call := c.calls[out]; call != nil {
-						c.Established(now, Outcome{Call: out, Attempt: call.attempts - 1, Office: call.officeID, Elapsed: 40 * time.Millisecond})
-						c.Outcome(now, Outcome{Call: out, Attempt: call.attempts - 1, Office: call.officeID, Status: Ended, Over: true,
+				for _, sentID := range host.sent {
+					if call := c.calls[sentID]; call != nil {
+						c.Established(now, Outcome{Call: sentID, Attempt: call.attempts - 1, Office: call.officeID, Elapsed: 40 * time.Millisecond})
+						c.Outcome(now, Outcome{Call: sentID, Attempt: call.attempts - 1, Office: call.officeID, Status: Ended, Over: true,
 							Load: []float64{float64(call.target.number % 3), 3, -1}})
 					}
 				}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// validate returns an error that names the first invalid setting. Negated comparisons reject NaN, too. Instances below 1 is
-// read as 1.
-func validate(settings *Settings) error {
+// validateAndNormalize returns an error that names the first invalid setting. Negated comparisons reject NaN, too. In valid
+// settings it raises Instances to 1 if it is less.
+func validateAndNormalize(settings *Settings) error {
 	if settings.Host == nil {
 		return fmt.Errorf("settings: Host is missing")
 	}
@@ -20,7 +20,7 @@
 			return fmt.Errorf("settings: Classes: %s has a negative value", class.Name)
 		}
 		if !(class.Worth <= 1e9) || !(class.LateShare >= 0 && class.LateShare <= 1) {
-			return fmt.Errorf("settings: Classes: %s has Worth %v, LateShare %v", class.Name, class.Worth, class.LateShare)
+			return fmt.Errorf("settings: Classes: %s has Worth %v and LateShare %v, not at most 1e9 and between 0 and 1", class.Name, class.Worth, class.LateShare)
 		}
 	}
 	for _, duration := range []struct {
@@ -33,10 +33,10 @@
 		}
 	}
 	if !(settings.ColdFrom >= 0 && settings.ColdFrom <= 1) {
-		return fmt.Errorf("settings: ColdFrom is %v, not a share", settings.ColdFrom)
+		return fmt.Errorf("settings: ColdFrom is %v, not between 0 and 1", settings.ColdFrom)
 	}
 	if !(settings.Overload >= 0) || math.IsInf(settings.Overload, 0) {
-		return fmt.Errorf("settings: Overload is %v", settings.Overload)
+		return fmt.Errorf("settings: Overload is %v, not a finite number of at least 0", settings.Overload)
 	}
 	if settings.MaxAttempts < 0 {
 		return fmt.Errorf("settings: MaxAttempts is negative")
