--- a/liveness/detector_test.go
+++ b/liveness/detector_test.go
@@ -7,7 +7,8 @@
 
 const ms = time.Millisecond
 
-// runChecks calls Check whenever a check is due, until a time, and passes the actions to a function.
+// runChecks calls Check whenever a check is due, from one time until before another, and passes the actions other than None to
+// a function.
 func runChecks(d *Detector, from, until time.Duration, handle func(now time.Duration, action Action)) {
 	for now := from; now < until; {
 		action, next := d.Check(now)
@@ -21,9 +22,9 @@
 	}
 }
 
-// An office that becomes unreachable is suspected first and probed often, and fails in time for the reports to its callers,
-// not earlier.
-func TestUnreachableOfficeFailsInTime(t *testing.T) {
+// An office that becomes unreachable is suspected first and probed often. It is declared failed in time for the reports to its
+// callers, not earlier.
+func TestUnreachableOfficeIsDeclaredFailedInTime(t *testing.T) {
 	for _, interval := range []time.Duration{50 * ms, 400 * ms, 1100 * ms} { // between activities while it is reachable
 		d := &Detector{}
 		d.RecordDial(1000 * ms)
@@ -47,16 +48,16 @@
 				d.RecordDialFailure()
 			case Fail:
 				if failedAt > 0 {
-					t.Error("the office fails twice")
+					t.Error("the office is declared failed twice")
 				}
 				failedAt = now
 			}
 		})
 		if failedAt-lastActivity != FailAfter {
-			t.Errorf("activity every %v: the office fails %v after the last", interval, failedAt-lastActivity)
+			t.Errorf("activity every %v: the office is declared failed %v after the last", interval, failedAt-lastActivity)
 		}
 		if !suspected || requests < 8 {
-			t.Errorf("activity every %v: suspected %v, %d heartbeats and probes before it failed", interval, suspected, requests)
+			t.Errorf("activity every %v: suspected %v, %d heartbeats and probes before it was declared failed", interval, suspected, requests)
 		}
 	}
 	if EndReportLimit-FailAfter < 200*ms {
@@ -79,7 +80,7 @@
 		runChecks(d, 1, 20*time.Second, func(now time.Duration, action Action) {
 			switch {
 			case action == Fail:
-				t.Errorf("partition at %v for %v: the office fails at %v", begin, longest, now)
+				t.Errorf("partition at %v for %v: the office is declared failed at %v", begin, longest, now)
 			case now < begin || now >= end:
 				d.RecordActivity(now)
 			case action == Probe:
@@ -100,7 +101,7 @@
 	runChecks(d, 1, time.Minute, func(now time.Duration, action Action) {
 		switch action {
 		case Fail:
-			t.Fatalf("the office fails at %v", now)
+			t.Fatalf("the office is declared failed at %v", now)
 		case Probe:
 			probes++
 			d.RecordDial(now)
@@ -112,14 +113,14 @@
 	}
 }
 
-// An office doesn't fail, however long the silence, unless a connection doesn't come up.
+// An office is not declared failed, however long the silence, unless a dialled connection doesn't come up.
 func TestSilenceAloneIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
 	d.RecordActivity(1)
 	runChecks(d, 1, time.Minute, func(now time.Duration, action Action) {
 		if action == Fail {
-			t.Fatalf("the office fails at %v, and no connection was tried", now)
+			t.Fatalf("the office is declared failed at %v, and no connection was dialled", now)
 		}
 	})
 }
@@ -132,16 +133,16 @@
 	for now := time.Duration(1); now < FailAfter+500*ms; {
 		action, next := d.Check(now)
 		if action == Fail {
-			t.Fatalf("the office fails at %v", now)
+			t.Fatalf("the office is declared failed at %v", now)
 		}
-		if now >= FailAfter-400*ms && !d.connectionTried {
+		if now >= FailAfter-400*ms && !d.dialled {
 			d.RecordDial(now) // for the first time, and shortly before the limit
 		}
 		now = next
 	}
 }
 
-// After a pause of this process activity may wait unread: the office is probed once more before it fails.
+// After a pause of this process activity may wait unread: the office is probed once more before it is declared failed.
 func TestPauseOfTheProcessIsNoFailure(t *testing.T) {
 	d := &Detector{}
 	d.Watch(1)
@@ -153,19 +154,19 @@
 	resumed := firstCheck + time.Minute
 	action, next := d.Check(resumed)
 	if action != Probe || next > resumed+probeInterval {
-		t.Fatalf("after a pause: %v, next check %v later", action, next-resumed)
+		t.Fatalf("after a pause: action %d, want 2 (Probe); next check %v later", action, next-resumed)
 	}
 	d.RecordActivity(resumed + 10*ms)
 	if action, _ = d.Check(next); action == Fail {
-		t.Fatal("the office fails in spite of activity")
+		t.Fatal("the office is declared failed in spite of activity")
 	}
 	if action, next = d.Check(next + time.Minute); action == Fail {
-		t.Fatal("the office fails at once after a second pause")
+		t.Fatal("the office is declared failed at once after a second pause")
 	}
 	d.RecordDial(next)
 	d.RecordDialFailure()
 	if action, _ = d.Check(next); action != Fail {
-		t.Fatalf("no activity after the pause either: %v", action)
+		t.Fatalf("no activity after the pause either: action %d, want 3 (Fail)", action)
 	}
 }
 
@@ -178,7 +179,7 @@
 	}
 	d.Watch(6000 * ms)
 	if action, _ := d.Check(6000 * ms); action != Fail {
-		t.Errorf("unreachable for 5 s: %v", action)
+		t.Errorf("unreachable for 5 s: action %d, want 3 (Fail)", action)
 	}
 	d = &Detector{}
 	d.RecordDial(1000 * ms)
@@ -193,11 +194,11 @@
 		}
 	})
 	if failedAt != 1000*ms+firstContactTimeout {
-		t.Errorf("the office fails at %v", failedAt)
+		t.Errorf("the office is declared failed at %v, not firstContactTimeout after its first dial", failedAt)
 	}
 }
 
-// A watch that begins long after the last activity doesn't fail the office without a heartbeat.
+// When a watch begins long after the last activity, the office is not declared failed before it was sent a heartbeat.
 func TestLateWatchSendsHeartbeatFirst(t *testing.T) {
 	d := &Detector{}
 	d.RecordActivity(1000 * ms)
@@ -205,18 +206,19 @@
 	d.RecordDialFailure()
 	d.Watch(time.Minute)
 	if action, next := d.Check(time.Minute); action == Fail || next > time.Minute+HeartbeatAfter {
-		t.Errorf("%v, next check at %v", action, next)
+		t.Errorf("at the start of the watch: action %d, want any but 3 (Fail); next check at %v", action, next)
 	}
 }
 
-// Activity after a failure is reported with the state Failed.
-func TestReturnAfterAFailure(t *testing.T) {
+// Activity of an office that was declared failed is reported with the state Failed as the previous one, and the office is
+// alive.
+func TestActivityOfAFailedOffice(t *testing.T) {
 	d := &Detector{state: Failed, hasActivity: true}
 	if action, _ := d.Check(time.Hour); action != None {
-		t.Errorf("a failed office: %v", action)
+		t.Errorf("a failed office: action %d, want 0 (None)", action)
 	}
 	if previous := d.RecordActivity(time.Hour); previous != Failed || d.State() != Alive {
-		t.Errorf("was %v, is %v", previous, d.State())
+		t.Errorf("activity of a failed office: the state was %v, want failed, and is %v, want alive", previous, d.State())
 	}
 }
 
@@ -226,7 +228,7 @@
 		lost       bool
 	}{{0, 0, false}, {1, 0, true}, {1, 1, false}, {10, 0, true}, {10, 4, true}, {10, 5, false}, {10, 30, false}} {
 		if CallsLost(tt.held, tt.used) != tt.lost {
-			t.Errorf("%d held, %d used: %v", tt.held, tt.used, !tt.lost)
+			t.Errorf("%d circuits held, %d used: CallsLost returns %v", tt.held, tt.used, !tt.lost)
 		}
 	}
 }
@@ -240,7 +242,7 @@
 	return d
 }
 
-// A network partition that ends for a moment lets delayed bytes through, and the office fails at that moment. It must fail
+// A network partition that ends lets delayed bytes through, and the office crashes at that moment. It must be declared failed
 // in time all the same.
 func TestStaleBytesAreNotConfirmedActivity(t *testing.T) {
 	const lastActivity = time.Second
@@ -265,7 +267,7 @@
 		}
 	})
 	if firstBytes != 1 || failedAt-lastActivity != FailAfter {
-		t.Errorf("unconfirmed activity begins %d times and the office fails %v after its last activity",
+		t.Errorf("unconfirmed activity begins %d times and the office is declared failed %v after its last activity",
 			firstBytes, failedAt-lastActivity)
 	}
 }
@@ -285,11 +287,11 @@
 			}
 		})
 		if d.State() != Suspected || !d.RecordBytes(5*time.Second) || d.State() != Suspected || !d.HasUnconfirmedActivity() {
-			t.Fatalf("%s: %v before the confirmation", name, d.State())
+			t.Fatalf("%s: state %v before the confirmation", name, d.State())
 		}
 		confirm(d, 5*time.Second)
 		if d.State() != Alive || d.HasUnconfirmedActivity() {
-			t.Errorf("%s: %v", name, d.State())
+			t.Errorf("%s: state %v after the confirmation, or activity still unconfirmed", name, d.State())
 		}
 	}
 }
@@ -319,10 +321,10 @@
 			}
 		})
 		if alive && failedAt != 0 {
-			t.Errorf("the office fails %v after its last activity, and is alive", failedAt-lastActivity)
+			t.Errorf("the office is declared failed %v after its last activity, and is alive", failedAt-lastActivity)
 		}
 		if elapsed := failedAt - lastActivity; !alive && (elapsed <= FailAfter || elapsed > EndReportLimit-200*ms) {
-			t.Errorf("the office fails %v after its last activity", elapsed)
+			t.Errorf("the office is declared failed %v after its last activity", elapsed)
 		}
 	}
 }
--- a/liveness/dropped.go
+++ b/liveness/dropped.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// DropWindow is how far apart the releases of calls that one cause drops may arrive: offices and their connections differ in
-// distance.
+// DropWindow is the longest time between the arrivals of the releases of calls that the same failure drops. They don't arrive
+// together, since they come over connections and from offices at different distances.
 const DropWindow = 100 * time.Millisecond
 
-// DropTracker records when established calls were last dropped. An office reports a dropped call and a set-up that failed on
-// its way with the same cause. If the answer to a set-up was lost, its call was established, and its drop looks like a failed
-// set-up. The two are distinguished by time: a failure drops many calls together, while set-ups fail one by one.
+// DropTracker records when an established call was last dropped. It tells a dropped call from a failed set-up where the answer
+// to the set-up was lost: the call was established without this call server knowing it, and an office releases both with the
+// same cause. The time distinguishes them: a failure drops many calls together, while set-ups fail one by one.
 type DropTracker struct {
-	lastAt time.Duration // when a call was last dropped
-	seen   bool          // a call was dropped
+	lastAt   time.Duration // when a call was last dropped
+	recorded bool          // a call has been dropped, so that lastAt is valid
 }
 
 // Record notes that an established call was dropped.
-func (t *DropTracker) Record(now time.Duration) { t.lastAt, t.seen = now, true }
+func (t *DropTracker) Record(now time.Duration) { t.lastAt, t.recorded = now, true }
 
-// Near reports whether the latest drop was within DropWindow of a time.
+// Near reports whether the latest drop was no more than DropWindow before or after a time.
 func (t *DropTracker) Near(at time.Duration) bool {
-	return t.seen && t.lastAt >= at-DropWindow && t.lastAt <= at+DropWindow
+	return t.recorded && t.lastAt >= at-DropWindow && t.lastAt <= at+DropWindow
 }
