--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,10 +1,11 @@
 // Package ingress controls overload by client: while the call server refuses more than a small part of its calls, it limits
-// how many calls of each client are passed on to the decision module, so that a client that floods does not take the
-// capacity that others need. It has no clock and does no I/O: events and the time go in, decisions come out.
+// how many calls of each client are passed on to the decision module (package logic), so that a client that floods does not
+// take the capacity that others need. It has no clock and does no I/O: events and the time go in, decisions come out.
 //
 // The share of a client is max-min fair (water filling): a client that offers no more than an equal part of what the call
-// server carries is not limited, and what these clients leave is divided equally among the others. Within the share of a
-// client, calls of higher worth go first. While hardly any call is refused, no call is held back.
+// server carries is not limited, and what these clients leave is divided equally among the others; weights make the parts
+// unequal. Each client that is limited has a token bucket, a part of which is kept for its calls of the highest worth. Other
+// calls are treated alike. While hardly any call is refused, no call is held back.
 package ingress
 
 import (
@@ -16,26 +17,26 @@
 
 // Parameters of the control loop. They are ratios and durations and do not depend on the volume of the traffic.
 const (
-	rateWindow        = 2 * time.Second // time constant of the rates: a few hold times of set-ups, short compared with a flood
-	updateInterval    = 200 * time.Millisecond
+	rateWindow        = 2 * time.Second        // time constant of the rates: several set-ups long, short compared with a flood
+	updateInterval    = 200 * time.Millisecond // time between two updates of the shares
 	startRefusalRatio = 0.10                   // shares apply once more than this part of the answers are refusals
-	highRefusalRatio  = 0.06                   // the admitted rate falls above this part of refusals and rises below half of it
-	endRefusalRatio   = 0.03                   // shares end below this part of refusals, once no more is offered than admitted
+	highRefusalRatio  = 0.06                   // the admitted rate falls above this part of refusals among the answers and rises below half of it
+	endRefusalRatio   = 0.03                   // shares end below this part of refusals among the answers, once less is offered than admitted
 	increaseFactor    = 1.04                   // of the admitted rate per updateInterval: 22% a second, to find free capacity
 	decreaseFactor    = 0.97                   // of the admitted rate per updateInterval: 14% a second, never below the carried rate
 	bucketDuration    = 500 * time.Millisecond // a full token bucket holds the calls of this time
 	topWorthReserve   = 0.5                    // part of its bucket that a client keeps for its calls of the highest worth
-	minShare          = 0.5                    // calls per second that every client may have
+	minShareRate      = 0.5                    // calls per second that every client may have at least
 )
 
 // Level is a congestion level, as carried in the automatic congestion level (Q.763 3.4) and in SCON (RFC 4666 3.4.4).
 type Level byte
 
-// Congestion levels: no congestion, a client over its share, a client far over its share.
+// The congestion levels.
 const (
-	Clear Level = iota
-	Over
-	FarOver
+	Clear   Level = iota // no shares apply, or the client offers no more than its share
+	Over                 // the client offers more than its share
+	FarOver              // it offers more than farOverFactor times its share, or has MaxCalls calls
 )
 
 // farOverFactor is the multiple of its share above which a client is far over it.
@@ -43,7 +44,7 @@
 
 // Settings of a Controller.
 type Settings struct {
-	Weights       []float64 // weight of each client in the division of the capacity; 0 counts as 1
+	Weights       []float64 // weight of each client in the division of the capacity; any but a positive number counts as 1
 	DisableShares bool      // no shares: only MaxCalls applies
 	MaxCalls      int       // calls that one client may have at the same time; 0: no limit
 	TopWorth      float64   // worth of the class with the highest worth
@@ -60,27 +61,30 @@
 	admitRate   float64 // calls per second that are admitted while shares apply
 }
 
+// clientState is what is known of a client, and its limits.
 type clientState struct {
 	weight      float64
 	offered     rate
-	share       float64       // calls per second it may have while shares apply
+	shareRate   float64       // calls per second that it may have while shares apply
 	tokens      float64       // calls left in its token bucket
 	refilledAt  time.Duration // when tokens was last updated
 	activeCalls int           // admitted calls that have not ended
 	level       Level
 }
 
-// rate is an exponentially decaying count of events, from which the events per second over the window follow.
+// rate measures events per second by a count that decays exponentially with time constant rateWindow.
 type rate struct {
 	count     float64
 	updatedAt time.Duration
 }
 
+// add counts events at the present time.
 func (r *rate) add(now time.Duration, events float64) {
 	r.decay(now)
 	r.count += events
 }
 
+// decay reduces the count by the time since it was last updated.
 func (r *rate) decay(now time.Duration) {
 	if elapsed := now - r.updatedAt; elapsed > 0 {
 		r.count *= math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
@@ -88,6 +92,7 @@
 	}
 }
 
+// perSecond is the present rate.
 func (r *rate) perSecond(now time.Duration) float64 {
 	r.decay(now)
 	return r.count / rateWindow.Seconds()
@@ -105,7 +110,8 @@
 	return controller
 }
 
-// Offer decides whether a call of a client is admitted. An admitted call counts as active until Ended.
+// Offer decides whether a call of a client is admitted, and returns the congestion level to be signalled to the client. An
+// admitted call counts as active until Ended.
 func (c *Controller) Offer(now time.Duration, clientIndex int, worth float64) (admit bool, level Level) {
 	client := &c.clients[clientIndex]
 	client.offered.add(now, 1)
@@ -122,8 +128,8 @@
 
 // takeToken takes a token from a client's bucket, if it may. Calls below the top worth leave part of the bucket.
 func (c *clientState) takeToken(now time.Duration, topWorth bool) bool {
-	size := math.Max(1, c.share*bucketDuration.Seconds())
-	c.tokens = math.Min(size, c.tokens+c.share*(now-c.refilledAt).Seconds())
+	size := math.Max(1, c.shareRate*bucketDuration.Seconds())
+	c.tokens = math.Min(size, c.tokens+c.shareRate*(now-c.refilledAt).Seconds())
 	c.refilledAt = now
 	needed := 1.0
 	if !topWorth && size > 2 {
@@ -159,10 +165,11 @@
 func (c *Controller) Sharing() bool { return c.sharing }
 
 // Share returns the rate that a client may have while shares apply, in calls per second.
-func (c *Controller) Share(clientIndex int) float64 { return c.clients[clientIndex].share }
+func (c *Controller) Share(clientIndex int) float64 { return c.clients[clientIndex].shareRate }
 
-// update starts, renews or ends the shares, once per updateInterval. The admitted rate follows the refusals of the decision
-// module: if it followed the carried rate it would fall further and further, since no bucket is ever used up completely.
+// update starts, renews or ends the shares, once per updateInterval. While shares apply the admitted rate rises and falls with
+// the refusals of the decision module. If it were set to the carried rate, it would fall further with each update: clients
+// never use up their buckets completely, so always less is carried than admitted.
 func (c *Controller) update(now time.Duration) {
 	if now < c.nextUpdate {
 		return
@@ -210,13 +217,13 @@
 		client := &c.clients[i]
 		fairShare := capacity * client.weight / weights
 		offered := client.offered.perSecond(now)
-		client.share = math.Max(minShare, fairShare)
+		client.shareRate = math.Max(minShareRate, fairShare)
 		capacity -= math.Min(offered, fairShare)
 		weights -= client.weight
 		switch {
-		case !c.sharing || offered <= client.share:
+		case !c.sharing || offered <= client.shareRate:
 			client.level = Clear
-		case offered > farOverFactor*client.share:
+		case offered > farOverFactor*client.shareRate:
 			client.level = FarOver
 		default:
 			client.level = Over
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -53,7 +53,8 @@
 	return New(Settings{Weights: make([]float64, clients), TopWorth: 3})
 }
 
-func TestAFloodDoesNotTakeTheOthersCalls(t *testing.T) {
+// A client that floods gets no more than the others leave, and they lose few of their calls.
+func TestFloodingClientDoesNotDisplaceOthers(t *testing.T) {
 	controller := newController(5)
 	established, offered := simulate(controller, []float64{10, 10, 10, 10, 100}, 60, time.Minute, 1)
 	establishedAlone, offeredAlone := simulate(New(Settings{Weights: make([]float64, 1)}), []float64{140}, 60, time.Minute, 1) // a single client has no shares
@@ -69,7 +70,7 @@
 		t.Errorf("the flooding client has %.1f calls per second, 20 are left for it", floodRate)
 	}
 	if controller.Level(4) != FarOver || controller.Level(0) != Clear {
-		t.Errorf("levels %d and %d", controller.Level(4), controller.Level(0))
+		t.Errorf("congestion level %d of the flooding client and %d of client 0, want 2 and 0", controller.Level(4), controller.Level(0))
 	}
 	establishedUnlimited, offeredUnlimited := simulate(newController(5), []float64{10, 10, 10, 10, 100}, 1e9, time.Minute, 1)
 	for i := range establishedUnlimited {
@@ -79,7 +80,8 @@
 	}
 }
 
-func TestWorthierCallsGoFirst(t *testing.T) {
+// Part of the token bucket of a client is kept for its calls of the highest worth.
+func TestTopWorthCallsAreAdmittedMoreOften(t *testing.T) {
 	established, offered := simulate(newController(2), []float64{20, 80}, 50, time.Minute, 2)
 	lowWorthRatio, topWorthRatio := established[1][0]/offered[1][0], established[1][1]/offered[1][1]
 	if topWorthRatio < 1.3*lowWorthRatio {
@@ -106,7 +108,8 @@
 	}
 }
 
-func TestMaxMin(t *testing.T) {
+// A client that offers less than its part leaves the rest to the others, by their weights.
+func TestSharesAreMaxMinFair(t *testing.T) {
 	controller := New(Settings{Weights: []float64{1, 1, 2}})
 	for range 1000 { // 5, 50 and 100 calls per second, until the rates have settled
 		now := controller.clients[0].offered.updatedAt + 100*time.Millisecond
@@ -126,7 +129,7 @@
 	controller := New(Settings{Weights: []float64{1, 1}, MaxCalls: 3})
 	for i := range 5 {
 		if admit, level := controller.Offer(0, 0, 1); admit != (i < 3) || !admit && level != FarOver {
-			t.Errorf("call %d: %v, %d", i, admit, level)
+			t.Errorf("call %d of a client that may have 3: admitted %v, congestion level %d", i, admit, level)
 		}
 	}
 	controller.Ended(0)
@@ -138,11 +141,11 @@
 	}
 }
 
-func TestOddWeights(t *testing.T) {
+func TestInvalidWeightsCountAsOne(t *testing.T) {
 	controller := New(Settings{Weights: []float64{-1, math.NaN(), math.Inf(1), 0}})
 	for i := range 4 {
 		if controller.clients[i].weight != 1 {
-			t.Errorf("weight %d is %v", i, controller.clients[i].weight)
+			t.Errorf("weight of client %d is %v, want 1", i, controller.clients[i].weight)
 		}
 	}
 }
