--- a/config/config_test.go
+++ b/config/config_test.go
@@ -67,7 +67,7 @@
 		{"exchange: 'b', class", "exchange: 'q', class", `numbers[1].exchange: "q"`},
 		{"class: 'one'", "class: 'two'", `numbers[1].class: "two"`},
 		{"prefix: '551'", "prefix: '55x'", "55x"},
-		{"prefix: '551'", "prefix: '552'", "stands twice"},
+		{"prefix: '551'", "prefix: '552'", "listed twice"},
 		{"asp_id: 7", "asps: [7, 7]", "peers[1].asp_id: 7 is used by another process too"},
 		{"asp_id: 7", "asps: [7], asp_id: 8", "peers[1].asps: only clients"},
 		{"asp_id: 7", "asps: [7, 8], needed: 3", "peers[1].needed: 3 of 2 processes"},
--- a/numbering/table.go
+++ b/numbering/table.go
@@ -9,9 +9,9 @@
 
 // Entry assigns the numbers that start with Prefix to an exchange.
 type Entry struct {
-	Prefix   string
-	Exchange int // number of the destination exchange
-	Class    int // class of every call to these numbers; -1: the calling party's category selects it
+	Prefix   string // 1 to 15 digits
+	Exchange int    // number of the destination exchange
+	Class    int    // index of the class of every call to these numbers; -1: the calling party's category selects it
 }
 
 // Table is an immutable set of entries for lookup by longest prefix.
@@ -41,7 +41,7 @@
 			n = n.next[d-'0']
 		}
 		if n.entry != nil {
-			return nil, fmt.Errorf("numbering: entry %d: prefix %q stands twice", i, e.Prefix)
+			return nil, fmt.Errorf("numbering: entry %d: prefix %q is listed twice", i, e.Prefix)
 		}
 		n.entry = &e
 		t.count++
@@ -52,7 +52,8 @@
 // Len returns the number of entries.
 func (t *Table) Len() int { return t.count }
 
-// Find returns the entry with the longest prefix of a number, or false if the number is not allocated.
+// Find returns the entry with the longest prefix of a number, or false if the number is not allocated. Only the digits before
+// the first other character count, so that "55x1" finds the same entry as "55".
 func (t *Table) Find(number string) (Entry, bool) {
 	n, best := &t.root, (*Entry)(nil)
 	for i := 0; i < len(number); i++ {
@@ -73,10 +74,10 @@
 	return *best, true
 }
 
-// Categories maps calling party's categories (Q.763 3.11) to classes.
+// Categories maps calling party's categories (Q.763 3.11) to indexes of classes.
 type Categories map[byte]int
 
-// Of returns the class of a category, or -1 if it has none.
+// Of returns the index of the class of a category, or -1 if it has none.
 func (c Categories) Of(category byte) int {
 	if class, ok := c[category]; ok {
 		return class
