--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -44,7 +44,7 @@
 
 // Settings of a Controller.
 type Settings struct {
-	Weights       []float64 // weight of each client in the division of the capacity; any but a positive number counts as 1
+	Weights       []float64 // weight of each client in the division of the capacity; any but a finite positive number counts as 1
 	DisableShares bool      // no shares: only MaxCalls applies
 	MaxCalls      int       // calls that one client may have at the same time; 0: no limit
 	TopWorth      float64   // worth of the class with the highest worth
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -40,8 +40,9 @@
 	tandemSuccessFactor = 1.2
 	// tandemFailureFactor multiplies the weight of a tandem that sent a call back or had a full processor.
 	tandemFailureFactor = 0.3
-	// minProbability is the lower limit of tandem weights and of the success rates of tandems, so that every tandem is tried now
-	// and then. After a signalling fault a call is attempted again while the success rate of its destination is above it.
+	// minProbability is the lower limit of tandem weights and of the success rates of tandems. These are the probabilities with
+	// which tandems are used, so that every tandem is tried now and then. After a signalling fault a call is
+	// attempted again while the success rate of its destination is above it.
 	minProbability = 0.05
 	// slowSampleWeight is the weight of a new sample in the moving averages of success rates and of the local delay.
 	slowSampleWeight = 0.1
