--- a/isup/params.go
+++ b/isup/params.go
@@ -176,7 +176,7 @@
 	forwardISDNAccess        = 0x01 // forward call indicators, second octet: the originating access is ISDN
 )
 
-// NewSetup returns an IAM. Width is encoded as the transmission medium requirement; PropagationDelay, CircuitMap and
+// NewSetup returns an IAM with the parameters of setup. Width is encoded as the transmission medium requirement; PropagationDelay, CircuitMap and
 // HopCounter as optional parameters. It fails if the called number is invalid or if no transmission medium requirement exists
 // for the width.
 func NewSetup(cic uint16, setup Setup) (*Message, error) {
--- a/router/call.go
+++ b/router/call.go
@@ -43,7 +43,7 @@
 	call      *call
 	peer      *peer
 	seizure   *trunk.Seizure
-	link      *link // connection that the latest message was sent on
+	link      *link // link that the latest message was sent on
 	endOffset int64 // offset in the byte stream of link after that message
 }
 
--- a/router/client_loss_test.go
+++ b/router/client_loss_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestClientDropsAtEachStep breaks the counters' connection at each step of a set-up and restores it within and after
-// the recovery time. In the end the counters must have received one final answer, or none if the circuit is free.
+// the recovery time. In the end the counters must have received one final answer, or none while their circuit is free.
 func TestClientDropsAtEachStep(t *testing.T) {
 	const ringTime = 20 * time.Millisecond
 	type outcome struct{ withinRecovery, afterRecovery []isup.Type }
--- a/router/config.go
+++ b/router/config.go
@@ -32,7 +32,7 @@
 	Patience time.Duration // how long a caller waits for the answer to one set-up
 }
 
-// Exchange describes one exchange of the fleet, which includes the Router's own exchange.
+// Exchange describes one exchange of the fleet, which includes the one that the Router serves.
 type Exchange struct {
 	Number    int    // number that numbering entries refer to
 	Name      string // office ID in package logic
--- a/router/effects.go
+++ b/router/effects.go
@@ -27,7 +27,7 @@
 // Close is a request to close a connection.
 type Close struct {
 	Link LinkID
-	Err  error // why
+	Err  error // why it must be closed
 }
 
 // Log is a record for the operators. Call is 0 if it is not about a single call.
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// The association is lost between the reply and the set-up: the attempt never ran, and the caller gets a final answer in
-// time.
+// The association is lost between the reply and the set-up: the attempt ends without an IAM, and the caller gets a final
+// answer in time.
 func TestAssociationLostUnderALease(t *testing.T) {
 	n := newENUMNetwork(t, 2, 4)
 	n.query("a", 1, "5521")
--- a/router/peer.go
+++ b/router/peer.go
@@ -408,7 +408,7 @@
 	r.markPending(leg.peer)
 }
 
-// recordSendPosition records on which connection and up to which byte the messages of a leg have been sent.
+// recordSendPosition records on which link and up to which byte the messages of a leg have been sent.
 func (r *Router) recordSendPosition(leg *leg) {
 	if asps := leg.peer.as.Route(int(leg.seizure.CIC)); len(asps) > 0 {
 		leg.link = leg.peer.links[asps[0]]
--- a/router/router.go
+++ b/router/router.go
@@ -30,7 +30,7 @@
 	lastCallID       uint64
 	offices          map[string]logic.Office
 	exchangeNumbers  map[string]int      // exchange numbers by name
-	clientShares     *ingress.Controller // fair shares of the clients
+	clientShares     *ingress.Controller // limits the calls of each client to its fair share under overload
 	leasedCalls      map[string]*call    // calls with an unused lease, by routing number
 	enumClients      map[string]*enumClient
 	routingRand      *rand.Rand
