--- a/callserver/attempts.go
+++ b/callserver/attempts.go
@@ -18,7 +18,7 @@
 		s.sendSetUp(conn, call)
 	} else {
 		remote.waitingCalls = append(remote.waitingCalls, call)
-		remote.redialAt = 0
+		remote.reconnectAt = 0
 	}
 	s.ensureIdleConn(remote)
 }
@@ -27,7 +27,7 @@
 func (s *Server) sendSetUp(conn *officeConn, call *activeCall) {
 	call.conn, call.setUpSent = conn, true
 	s.armConnCheck(conn.remote)
-	conn.outstanding = append(conn.outstanding, call)
+	conn.outstandingCalls = append(conn.outstandingCalls, call)
 	remainingMs := max(1, int((call.attemptDeadline-s.now)/time.Millisecond))
 	s.sendToOffice(conn, &office.Message{Type: office.SetUp, Call: call.wireID, Class: call.className,
 		TimeLeftMs: remainingMs, Number: call.calledNumber, Description: call.description})
@@ -42,7 +42,7 @@
 		s.officeConns[call.conn.id] != call.conn {
 		return false
 	}
-	return cause != office.CauseTemporary || slices.Contains(call.unconfirmedConns, conn.id) && s.now-call.answeredAt < connLossDelay
+	return cause != office.CauseTemporary || slices.Contains(call.releasedConns, conn.id) && s.now-call.answeredAt < connLossDelay
 }
 
 // statusByCause maps the cause of a release before the answer to the status of the attempt; other causes mean Reset.
--- a/callserver/callers.go
+++ b/callserver/callers.go
@@ -24,7 +24,7 @@
 	lastUsed           time.Duration // when it last carried a call; 0: never; usedWithoutCall: only other messages
 	carriedEstablished bool          // it carried a call that was established
 	unfinishedSince    time.Duration // when the incomplete message at its end began; 0: none
-	unconfirmedByes    unconfirmedReleases
+	unansweredByes     unacknowledgedReleases
 	lastActivity       time.Duration // when bytes last came
 }
 
@@ -33,7 +33,7 @@
 	callerMessageTimeout = 2 * time.Second        // for the first complete message, and for the rest of one that has begun
 	callerRecheckDelay   = 50 * time.Millisecond  // of a connection with an unfinished message and open calls
 	firstMessageGrace    = 100 * time.Millisecond // a new connection without a message ranks above one that carried no call
-	maxLegValue          = 1 << 16                // exclusive, for exchange numbers and widths
+	legValueLimit        = 1 << 16                // exclusive, for exchange numbers and widths
 )
 
 // usedWithoutCall is the value of callerConn.lastUsed on a connection that has carried messages but no call.
@@ -43,13 +43,13 @@
 func (s *Server) callerAccepted(id ConnID, remoteAddr string) {
 	caller := &callerConn{id: id, remoteAddr: remoteAddr, acceptedAt: s.now}
 	s.callerConns[id] = caller
-	s.armTimer(callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(id)})
+	s.armTimer(callerMessageTimeout, timer{kind: timerCheckCallerConn, targetID: uint64(id)})
 	if len(s.callerConns) > s.cfg.MaxCallerConns {
 		evicted := s.evictionCandidate(caller)
 		if evicted == nil {
 			evicted = caller
 		}
-		s.closeCaller(evicted, "too many connections")
+		s.closeCallerConn(evicted, "too many connections")
 	}
 }
 
@@ -87,27 +87,27 @@
 	return 0
 }
 
-// checkCaller closes a connection that has sent nothing or has not completed a message in time.
-func (s *Server) checkCaller(id ConnID) {
+// checkCallerConn closes a connection that has sent nothing or has not completed a message in time.
+func (s *Server) checkCallerConn(id ConnID) {
 	caller := s.callerConns[id]
 	if caller == nil {
 		return
 	}
 	switch {
 	case caller.lastUsed == 0 && caller.unfinishedSince == 0:
-		s.closeCaller(caller, "no message received")
+		s.closeCallerConn(caller, "no message received")
 	// The open calls may be of other callers; they are answered first.
 	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout && caller.openCalls > 0:
-		s.armTimer(callerRecheckDelay, timer{kind: timerCheckCaller, id: uint64(id)})
+		s.armTimer(callerRecheckDelay, timer{kind: timerCheckCallerConn, targetID: uint64(id)})
 	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout:
-		s.closeCaller(caller, "message not completed")
+		s.closeCallerConn(caller, "message not completed")
 	case caller.unfinishedSince > 0:
-		s.timers.Arm(caller.unfinishedSince+callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(id)})
+		s.timers.Arm(caller.unfinishedSince+callerMessageTimeout, timer{kind: timerCheckCallerConn, targetID: uint64(id)})
 	}
 }
 
-// closeCaller closes a connection and ends its open calls.
-func (s *Server) closeCaller(caller *callerConn, why string) {
+// closeCallerConn closes a connection and ends its open calls.
+func (s *Server) closeCallerConn(caller *callerConn, why string) {
 	s.log(slog.LevelDebug, "caller's connection closed", slog.String("from", caller.remoteAddr), slog.String("why", why))
 	s.emit(Close{Conn: caller.id})
 	s.callerConnEnded(caller)
@@ -117,14 +117,14 @@
 // with it are sent again.
 func (s *Server) callerConnEnded(caller *callerConn) {
 	delete(s.callerConns, caller.id)
-	for _, r := range caller.unconfirmedByes.takeLost(s.now) {
+	for _, r := range caller.unansweredByes.takeLost(s.now) {
 		s.releaseToCaller(r.call, r.cause)
 	}
 	if caller.openCalls == 0 {
 		return
 	}
 	for _, call := range s.callsInOrder() {
-		if call.caller == caller && call.state == callSettingUp {
+		if call.callerConn == caller && call.state == callSettingUp {
 			s.callerHungUp(call)
 		}
 	}
@@ -137,7 +137,7 @@
 	for s.callerConns[caller.id] == caller {
 		msg, err := caller.framer.Next()
 		if err != nil {
-			s.rejectMalformed(caller, err)
+			s.rejectAndClose(caller, err)
 			return
 		}
 		if msg == nil {
@@ -148,14 +148,14 @@
 	}
 	if s.callerConns[caller.id] == caller && caller.framer.Buffered() > 0 && caller.unfinishedSince == 0 {
 		caller.unfinishedSince = s.now
-		s.armTimer(callerMessageTimeout, timer{kind: timerCheckCaller, id: uint64(caller.id)})
+		s.armTimer(callerMessageTimeout, timer{kind: timerCheckCallerConn, targetID: uint64(caller.id)})
 	}
 }
 
-// rejectMalformed answers a message that cannot be parsed and closes the connection, as the bytes that follow it cannot be
+// rejectAndClose answers a message that cannot be parsed and closes the connection, as the bytes that follow it cannot be
 // framed reliably.
-func (s *Server) rejectMalformed(caller *callerConn, err error) {
-	s.totals.Malformed++
+func (s *Server) rejectAndClose(caller *callerConn, err error) {
+	s.totals.RejectedMessages++
 	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", caller.remoteAddr), slog.String("err", err.Error()))
 	var fault *sip.Fault
 	if errors.As(err, &fault) && (fault.Head == nil || fault.Head.Status == 0) {
@@ -177,8 +177,8 @@
 	s.trace("from caller", msg.Method, caller.remoteAddr, caller.id, msg.CallID, msg.Status)
 	if msg.Status > 0 { // the response to a BYE
 		if id, err := parseCallID(msg.CallID); err == nil {
-			caller.unconfirmedByes.confirm(id)
-			s.byesConfirmed = true
+			caller.unansweredByes.acknowledge(id)
+			s.byesAnswered = true
 		}
 		return
 	}
@@ -215,7 +215,7 @@
 func (s *Server) handleInvite(caller *callerConn, msg *sip.Message) {
 	invite, err := s.parseInvite(msg)
 	if err != nil {
-		s.refuseMessage(caller, msg, 400, err.Error())
+		s.rejectMessage(caller, msg, 400, err.Error())
 		return
 	}
 	if invite.officeID != "" {
@@ -233,31 +233,31 @@
 // another connection. On one connection the answers could not be distinguished: a copy is ignored as a retransmission (RFC 3261
 // section 17.2.1), and two different set-ups are refused by one answer.
 func (s *Server) handleDuplicateInvite(caller *callerConn, existing *activeCall, invite invitation) {
-	if existing.caller != caller || existing.state != callSettingUp {
-		s.refuseMessage(caller, invite.msg, 482, "Call-ID is in use")
+	if existing.callerConn != caller || existing.state != callSettingUp {
+		s.rejectMessage(caller, invite.msg, 482, "Call-ID is in use")
 		return
 	}
 	if existing.calledNumber == invite.calledNumber && bytes.Equal(existing.description, invite.description) {
 		return
 	}
 	s.callerHungUp(existing)
-	s.refuseMessage(caller, invite.msg, 482, "two set-ups with one Call-ID")
+	s.rejectMessage(caller, invite.msg, 482, "two set-ups with one Call-ID")
 }
 
-// refuseMessage answers a well-formed message with invalid content. The connection stays open if it carries open calls or
+// rejectMessage answers a well-formed message with invalid content. The connection stays open if it carries open calls or
 // has carried an established one, as those may be of other callers.
-func (s *Server) refuseMessage(caller *callerConn, msg *sip.Message, status int, why string) {
+func (s *Server) rejectMessage(caller *callerConn, msg *sip.Message, status int, why string) {
 	if caller.openCalls == 0 && !caller.carriedEstablished {
-		s.rejectMalformed(caller, &sip.Fault{Status: status, Text: why, Head: msg})
+		s.rejectAndClose(caller, &sip.Fault{Status: status, Text: why, Head: msg})
 		return
 	}
-	s.totals.Malformed++
+	s.totals.RejectedMessages++
 	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", caller.remoteAddr), slog.String("err", why))
 	s.respond(caller, sip.HeadOf(msg), status, 0, nil)
 }
 
-// callNamedIn returns the call that a message of a caller names, or nil.
-func (s *Server) callNamedIn(msg *sip.Message) *activeCall {
+// lookUpCall returns the call that a message of a caller names, or nil.
+func (s *Server) lookUpCall(msg *sip.Message) *activeCall {
 	id, err := parseCallID(msg.CallID)
 	if err != nil {
 		return nil
@@ -267,8 +267,8 @@
 
 // handleCancel handles a CANCEL. It is accepted only on the connection of the set-up.
 func (s *Server) handleCancel(caller *callerConn, msg *sip.Message) {
-	call := s.callNamedIn(msg)
-	if call == nil || call.caller != caller {
+	call := s.lookUpCall(msg)
+	if call == nil || call.callerConn != caller {
 		s.respond(caller, sip.HeadOf(msg), 481, 0, nil)
 		return
 	}
@@ -283,7 +283,7 @@
 
 // handleBye handles the release of an established call, on any connection.
 func (s *Server) handleBye(caller *callerConn, msg *sip.Message) {
-	call := s.callNamedIn(msg)
+	call := s.lookUpCall(msg)
 	if call == nil || call.state == callSettingUp {
 		s.respond(caller, sip.HeadOf(msg), 481, 0, nil)
 		return
--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -21,36 +21,36 @@
 
 // activeCall is a call that is being set up or established.
 type activeCall struct {
-	id               uint64      // the Controller's ID; 0: adopted, unknown to the Controller
-	wireID           uint64      // ID toward callers and offices
-	callID           string      // wireID as it is written in the Call-ID header
-	inviteHead       sip.Head    // of the INVITE, for the final answer
-	caller           *callerConn // connection that the call came on, or was last named on
-	state            callState
-	className        string
-	calledNumber     string
-	description      []byte
-	attempts         int           // number of attempts so far
-	remote           *remoteOffice // of the current attempt, or where the call is established
-	conn             *officeConn   // of the current attempt, once it has one
-	previousConns    []ConnID      // of earlier attempts
-	unconfirmedConns []ConnID      // those of previousConns on which the office has not confirmed the end of the attempt
-	answeredAt       time.Duration
-	sentAt           time.Duration // when the Controller asked for the attempt
-	attemptDeadline  time.Duration
-	width            int           // number of circuits
-	setUpFailedAt    time.Duration // when an attempt failed with the temporary-failure cause
-	attemptActive    bool          // an attempt is outstanding or waits for a connection, or the call is established
-	setUpSent        bool          // the set-up of the attempt has been handed to the connection
-	releaseSent      bool          // the release of the attempt has been handed to the connection
-	offeredAt        time.Duration
-	lastStatus       logic.Status // of the latest attempt that has ended, for the log
-	lastNote         int          // likewise
+	id              uint64      // the Controller's ID; 0: adopted, unknown to the Controller
+	wireID          uint64      // ID toward callers and offices
+	callID          string      // wireID as it is written in the Call-ID header
+	inviteHead      sip.Head    // of the INVITE, for the final answer
+	callerConn      *callerConn // connection that the call came on, or was last named on
+	state           callState
+	className       string
+	calledNumber    string
+	description     []byte
+	attempts        int           // number of attempts so far
+	remote          *remoteOffice // of the current attempt, or where the call is established
+	conn            *officeConn   // of the current attempt, once it has one
+	previousConns   []ConnID      // of earlier attempts
+	releasedConns   []ConnID      // those of previousConns on which the office has not confirmed the end of the attempt
+	answeredAt      time.Duration
+	sentAt          time.Duration // when the Controller asked for the attempt
+	attemptDeadline time.Duration
+	width           int           // number of circuits
+	setUpFailedAt   time.Duration // when an attempt failed with the temporary-failure cause
+	awaitsOutcome   bool          // an attempt is outstanding or waits for a connection, or the call is established
+	setUpSent       bool          // the set-up of the attempt has been handed to the connection
+	releaseSent     bool          // the release of the attempt has been handed to the connection
+	offeredAt       time.Duration
+	lastStatus      logic.Status // of the latest attempt that has ended, for the log
+	lastNote        int          // likewise
 }
 
 // outstanding reports whether an attempt has neither been answered nor ended.
-func (c *activeCall) outstanding() bool {
-	return c.attemptActive && !c.releaseSent && c.state == callSettingUp
+func (c *activeCall) attemptOutstanding() bool {
+	return c.awaitsOutcome && !c.releaseSent && c.state == callSettingUp
 }
 
 // callsInOrder returns the calls in the order in which they arrived.
@@ -67,7 +67,7 @@
 func (s *Server) offerCall(caller *callerConn, invite invitation) {
 	s.totals.Offered++
 	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, inviteHead: sip.HeadOf(invite.msg),
-		caller: caller, className: invite.className, calledNumber: invite.calledNumber, description: invite.description}
+		callerConn: caller, className: invite.className, calledNumber: invite.calledNumber, description: invite.description}
 	// During shutdown only transit calls are accepted: they arrive for as long as this process runs, and no other call server
 	// can use this exchange as a tandem without it.
 	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpenCalls > 0 && s.openCalls >= s.cfg.MaxOpenCalls {
@@ -75,12 +75,12 @@
 		s.totals.Refused++
 		return
 	}
-	s.lastCallID++
-	call.id, call.offeredAt, call.width = s.lastCallID, s.now, invite.offer.Width
+	s.lastID++
+	call.id, call.offeredAt, call.width = s.lastID, s.now, invite.offer.Width
 	if call.width <= 0 && invite.classIndex >= 0 {
 		call.width = s.cfg.Settings.Classes[invite.classIndex].Width
 	}
-	s.calls[call.id], s.callsByWireID[call.wireID] = call, call
+	s.callsByID[call.id], s.callsByWireID[call.wireID] = call, call
 	caller.openCalls++
 	s.openCalls++
 	invite.offer.ID, invite.offer.Class, invite.offer.Number, invite.offer.TimeLeft =
@@ -94,7 +94,7 @@
 // callerHungUp handles a caller that hung up before the answer.
 func (s *Server) callerHungUp(call *activeCall) {
 	s.totals.HungUp++
-	if hungUpAt := s.now - s.inputDelay; call.attemptActive && call.sentAt > hungUpAt {
+	if hungUpAt := s.now - s.inputDelay; call.awaitsOutcome && call.sentAt > hungUpAt {
 		s.totals.SentAfterHangUp++
 		s.log(slog.LevelWarn, "attempt started after its caller hung up",
 			slog.String("call", call.callID), slog.Duration("after", call.sentAt-hungUpAt))
@@ -107,14 +107,14 @@
 	s.markAnswered(call)
 	s.controller.HungUp(s.now, call.id)
 	s.cancelUnsentAttempt(call)
-	s.forgetIfOver(call)
+	s.removeIfOver(call)
 }
 
 // cancelUnsentAttempt ends the attempt of a call that needs no answer any more, if its set-up has not been sent: nothing may
 // be sent for the call now (rule 1). The office does not know the attempt, so nothing has to be released, and this also
 // applies where attempts cannot be cancelled. A set-up that is stuck on a blocked connection is discarded with it.
 func (s *Server) cancelUnsentAttempt(call *activeCall) {
-	if !call.outstanding() {
+	if !call.attemptOutstanding() {
 		return
 	}
 	if !call.setUpSent {
@@ -129,29 +129,29 @@
 
 // markAnswered records that a call has had its final answer or needs none.
 func (s *Server) markAnswered(call *activeCall) {
-	call.caller.openCalls--
+	call.callerConn.openCalls--
 	s.openCalls--
-	call.caller.lastUsed = s.now
+	call.callerConn.lastUsed = s.now
 	delete(s.callsByWireID, call.wireID)
 }
 
-// forgetIfOver removes a call that has had its final answer and has no active attempt.
-func (s *Server) forgetIfOver(call *activeCall) {
-	if s.callsByWireID[call.wireID] != call && !call.attemptActive {
-		delete(s.calls, call.id)
+// removeIfOver removes a call that has had its final answer and has no active attempt.
+func (s *Server) removeIfOver(call *activeCall) {
+	if s.callsByWireID[call.wireID] != call && !call.awaitsOutcome {
+		delete(s.callsByID, call.id)
 	}
 }
 
-// refuseCall gives a final answer other than success.
-func (s *Server) refuseCall(call *activeCall, status, retryAfter int) {
+// sendNegativeAnswer gives a final answer other than success.
+func (s *Server) sendNegativeAnswer(call *activeCall, status, retryAfter int) {
 	if s.callsByWireID[call.wireID] != call || call.state != callSettingUp {
 		return
 	}
-	s.respond(call.caller, call.inviteHead, status, retryAfter, nil)
+	s.respond(call.callerConn, call.inviteHead, status, retryAfter, nil)
 	s.markAnswered(call)
 	s.deferWork(func() {
 		s.cancelUnsentAttempt(call)
-		s.forgetIfOver(call)
+		s.removeIfOver(call)
 	})
 }
 
@@ -159,11 +159,11 @@
 func (s *Server) establishCall(call *activeCall, msg *office.Message) {
 	s.totals.Established++
 	s.detachAttempt(call)
-	call.state, call.attemptActive, call.answeredAt = callEstablished, true, s.now
-	call.caller.openCalls--
+	call.state, call.awaitsOutcome, call.answeredAt = callEstablished, true, s.now
+	call.callerConn.openCalls--
 	s.openCalls--
-	call.caller.lastUsed, call.caller.carriedEstablished = s.now, true
-	s.respond(call.caller, call.inviteHead, 200, 0, msg.Description)
+	call.callerConn.lastUsed, call.callerConn.carriedEstablished = s.now, true
+	s.respond(call.callerConn, call.inviteHead, 200, 0, msg.Description)
 	call.inviteHead, call.description = sip.Head{}, nil
 	s.addEstablished(call.remote)
 	call.remote.counts.established++
@@ -176,7 +176,7 @@
 // detachAttempt removes an attempt from its connection, or from those that wait for one.
 func (s *Server) detachAttempt(call *activeCall) {
 	if call.conn != nil {
-		call.conn.outstanding = slices.DeleteFunc(call.conn.outstanding, func(other *activeCall) bool { return other == call })
+		call.conn.outstandingCalls = slices.DeleteFunc(call.conn.outstandingCalls, func(other *activeCall) bool { return other == call })
 	}
 	call.remote.waitingCalls = slices.DeleteFunc(call.remote.waitingCalls, func(other *activeCall) bool { return other == call })
 }
@@ -187,13 +187,13 @@
 	if call.conn != nil && call.setUpSent {
 		if call.previousConns = append(call.previousConns, call.conn.id); outcome.Status == logic.TimedOut ||
 			outcome.Status == logic.Cancelled {
-			call.unconfirmedConns = append(call.unconfirmedConns, call.conn.id)
+			call.releasedConns = append(call.releasedConns, call.conn.id)
 		}
 	}
 	remote, conn, sentAt := call.remote, call.conn, call.sentAt
 	noActivity := call.setUpSent && conn.lastActivity <= call.sentAt &&
 		(outcome.Status == logic.TimedOut || outcome.Status == logic.Cancelled)
-	call.attemptActive, call.conn, call.setUpSent, call.releaseSent = false, nil, false, false
+	call.awaitsOutcome, call.conn, call.setUpSent, call.releaseSent = false, nil, false, false
 	remote.counts.add(outcome.Status)
 	call.lastStatus, call.lastNote = outcome.Status, outcome.Note
 	outcome.Call, outcome.Attempt, outcome.Office, outcome.Elapsed, outcome.Over = call.id, call.attempts-1, remote.id,
@@ -201,7 +201,7 @@
 	s.log(slog.LevelDebug, "attempt ended", slog.String("call", call.callID), slog.String("office", remote.id),
 		slog.String("status", string(outcome.Status)), slog.Int("note", outcome.Note), slog.Duration("took", outcome.Elapsed))
 	s.controller.Outcome(s.now, outcome)
-	s.forgetIfOver(call)
+	s.removeIfOver(call)
 	if noActivity {
 		s.suspectConnsSince(conn, sentAt)
 	}
@@ -211,8 +211,8 @@
 func (s *Server) removeEstablished(call *activeCall, outcome logic.Outcome) {
 	call.remote.establishedCalls--
 	delete(s.callsByWireID, call.wireID)
-	delete(s.calls, call.id)
-	call.attemptActive = false
+	delete(s.callsByID, call.id)
+	call.awaitsOutcome = false
 	if call.id == 0 {
 		s.adoptedCalls--
 		return
@@ -222,10 +222,10 @@
 	s.controller.Outcome(s.now, outcome)
 }
 
-// endedBeforeAnswer handles the end of a call that was established at its office while its caller still waits: the answer was
+// callEndedBeforeAnswer handles the end of a call that was established at its office while its caller still waits: the answer was
 // lost or arrives after the end. The caller is answered now; another attempt would set up a call that has already run.
-func (s *Server) endedBeforeAnswer(call *activeCall, conn *officeConn, load []float64) {
-	s.failLostAnswer(call)
+func (s *Server) callEndedBeforeAnswer(call *activeCall, conn *officeConn, load []float64) {
+	s.failEndedCall(call)
 	if conn.findAttempt(call.wireID) != call { // released on another connection, or after the attempt was given up
 		s.endUnanswered(call)
 		return
@@ -235,11 +235,11 @@
 	s.retireConn(conn)
 }
 
-// failLostAnswer gives the final answer of a call that is over and whose answer from the office was lost.
-func (s *Server) failLostAnswer(call *activeCall) {
+// failEndedCall gives the final answer of a call that is over and whose answer from the office was lost.
+func (s *Server) failEndedCall(call *activeCall) {
 	s.log(slog.LevelInfo, "call ended before its answer arrived", slog.String("call", call.callID), slog.String("office", call.remote.id))
 	s.totals.Failed++
-	s.respond(call.caller, call.inviteHead, 500, 0, nil)
+	s.respond(call.callerConn, call.inviteHead, 500, 0, nil)
 }
 
 // endEstablished ends an established call and releases it toward its caller.
@@ -262,10 +262,10 @@
 	}
 	s.sendToOffice(call.conn, &office.Message{Type: office.Release, Call: call.wireID, Cause: office.CauseNormal, HasCause: true})
 	call.releaseSent = true
-	if len(s.afterConfirm) == 0 {
+	if len(s.afterWritten) == 0 {
 		s.emit(Confirm{})
 	}
-	s.afterConfirm = append(s.afterConfirm, func() {
+	s.afterWritten = append(s.afterWritten, func() {
 		if conn := call.conn; conn.writeBlocked && s.officeConns[conn.id] == conn { // what is queued on it must not be sent any more
 			s.abortConn(conn, "writes are blocked ahead of the release of an attempt")
 		}
@@ -278,7 +278,7 @@
 	caller.lastUsed, caller.carriedEstablished = s.now, true
 	if existing := s.callsByWireID[invite.wireID]; existing != nil {
 		if existing.state == callEstablished {
-			existing.caller = caller
+			existing.callerConn = caller
 		}
 		return
 	}
@@ -287,14 +287,14 @@
 		return
 	}
 	s.adoptedCalls++
-	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, caller: caller, state: callEstablished,
+	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, callerConn: caller, state: callEstablished,
 		className: invite.className, calledNumber: invite.calledNumber, width: invite.offer.Width}
 	s.callsByWireID[call.wireID] = call
 	call.remote = s.offices[invite.officeID]
 	if call.remote == nil {
 		call.remote = &remoteOffice{id: invite.officeID} // not named by service discovery yet
 		call.remote.establishedCalls++
-		s.armTimer(adoptedOfficeTimeout, timer{kind: timerCheckAdopted, id: call.wireID})
+		s.armTimer(adoptedOfficeTimeout, timer{kind: timerCheckAdopted, targetID: call.wireID})
 	} else {
 		s.addEstablished(call.remote)
 		s.markAdoptedUnverified(call.remote)
--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -54,26 +54,26 @@
 	callerConns        map[ConnID]*callerConn
 	officeConns        map[ConnID]*officeConn
 	halfClosedConns    int                      // number of officeConns that are half-closed and not lingering
-	calls              map[uint64]*activeCall   // by the Controller's ID
+	callsByID          map[uint64]*activeCall   // by the Controller's ID
 	callsByWireID      map[uint64]*activeCall   // open and established calls
 	openCalls          int                      // calls without a final answer
-	lastCallID         uint64                   // the last ID given to a call, a probe or a heartbeat
+	lastID             uint64                   // the last ID given to a call, a probe or a heartbeat
 	endsAt             time.Duration            // when this process ends; 0: not known
 	recentDrops        liveness.DropTracker     // when established calls were last dropped
 	failedSetUps       []*activeCall            // set-ups that recently failed with the temporary-failure cause
 	unclaimed          unclaimedReleases        // releases of calls that no caller has named yet
 	announcedStarts    map[string]time.Duration // start times of offices by address, from the events being applied
-	byesConfirmed      bool                     // callers have been seen to respond to BYE
+	byesAnswered       bool                     // callers have been seen to respond to BYE
 	adoptedCalls       int                      // established calls of an earlier process that callers named again
 	offices            map[string]*remoteOffice // by ID
-	probes             map[uint64]*probe        // by probe ID
+	healthChecks       map[uint64]*healthCheck  // by probe ID
 	pendingReleases    []release                // no caller connection could carry them yet
 	position           uint64                   // in the stream of service discovery events
 	startedAt          time.Duration
 	discoveryChangedAt time.Duration // when service discovery last reported a change
 	ready              bool          // a health check has been passed
 	deferred           []func()      // runs after the current input
-	afterConfirm       []func()      // ends of attempts, to run once their releases have been written
+	afterWritten       []func()      // ends of attempts, to run once their releases have been written
 	effects            []Effect      // not yet returned by Effects
 	returnedEffects    []Effect      // returned by the last call of Effects
 	totals             totals
@@ -81,20 +81,20 @@
 
 // totals counts calls by how they were answered, and messages that were rejected.
 type totals struct {
-	Offered         uint64
-	Established     uint64 // answered by an office
-	Refused         uint64
-	Failed          uint64
-	HungUp          uint64
-	Malformed       uint64 // messages of callers that were rejected
-	SentAfterHangUp uint64 // part of HungUp: an attempt had started after the caller hung up
+	Offered          uint64
+	Established      uint64 // answered by an office
+	Refused          uint64
+	Failed           uint64
+	HungUp           uint64
+	RejectedMessages uint64 // messages of callers that were rejected
+	SentAfterHangUp  uint64 // part of HungUp: an attempt had started after the caller hung up
 }
 
 // timer identifies what is due. Which fields are set depends on kind.
 type timer struct {
 	kind           timerKind
 	controllerMark string // given by the Controller
-	id             uint64 // of a call, a connection or a probe
+	targetID       uint64 // of a call, a connection or a probe
 	arg            int    // attempt number, count of messages, or ID of a caller connection
 	officeID       string
 }
@@ -105,14 +105,14 @@
 const (
 	timerController        timerKind = iota // set by the Controller
 	timerAttemptTimeout                     // an attempt has no answer
-	timerCheckCaller                        // a caller connection should have delivered a complete message
+	timerCheckCallerConn                    // a caller connection should have delivered a complete message
 	timerUnfinishedMessage                  // a message of an office should be complete
-	timerRedial                             // try again to connect to an office
+	timerReconnect                          // try again to connect to an office
 	timerHalfClosed                         // the office should have closed a half-closed connection
 	timerCheckConns                         // check for dead connections to an office
 	timerDrainGrace                         // unsent set-ups to a draining office must not be sent any more
-	timerProbeTimeout
-	timerHealthCheck      // of an office
+	timerHealthCheckTimeout
+	timerCheckLiveness    // of an office
 	timerVerifyCalls      // compare the calls of an office with its circuits in use
 	timerRepeatBye        // a caller should have responded to a BYE
 	timerSuccessorTimeout // service discovery should have named the successor of an office that is gone
@@ -126,10 +126,10 @@
 		classIndex:    map[string]int{},
 		callerConns:   map[ConnID]*callerConn{},
 		officeConns:   map[ConnID]*officeConn{},
-		calls:         map[uint64]*activeCall{},
+		callsByID:     map[uint64]*activeCall{},
 		callsByWireID: map[uint64]*activeCall{},
 		offices:       map[string]*remoteOffice{},
-		probes:        map[uint64]*probe{},
+		healthChecks:  map[uint64]*healthCheck{},
 	}
 	for i, class := range cfg.Settings.Classes {
 		if _, duplicate := s.classIndex[class.Name]; duplicate {
@@ -173,7 +173,7 @@
 		s.inputDelay = 0
 	case InWriteBlocked:
 		s.setWriteBlocked(in.Conn, in.Blocked)
-	case InShutdown:
+	case InDrain:
 		s.endsAt = in.EndsAt
 	case InDiscovery:
 		s.announcedStarts = announcedStartTimes(in.Events)
@@ -182,7 +182,7 @@
 		}
 		s.announcedStarts = nil
 	case InWritten:
-		s.deferred, s.afterConfirm = append(s.deferred, s.afterConfirm...), nil
+		s.deferred, s.afterWritten = append(s.deferred, s.afterWritten...), nil
 	case InTimer:
 		for _, t, ok := s.timers.Pop(s.now); ok; _, t, ok = s.timers.Pop(s.now) {
 			s.fireTimer(t)
@@ -258,33 +258,33 @@
 	case timerController:
 		s.controller.Timer(s.now, t.controllerMark)
 	case timerAttemptTimeout:
-		if call := s.calls[t.id]; call != nil && call.outstanding() && call.attempts-1 == t.arg {
+		if call := s.callsByID[t.targetID]; call != nil && call.attemptOutstanding() && call.attempts-1 == t.arg {
 			s.releaseAttempt(call, logic.TimedOut)
 		}
-	case timerCheckCaller:
-		s.checkCaller(ConnID(t.id))
+	case timerCheckCallerConn:
+		s.checkCallerConn(ConnID(t.targetID))
 	case timerUnfinishedMessage:
-		s.checkUnfinishedMessage(ConnID(t.id), t.arg)
+		s.checkUnfinishedMessage(ConnID(t.targetID), t.arg)
 	case timerHalfClosed:
-		s.halfCloseExpired(ConnID(t.id))
-	case timerRedial:
-		s.redial(t.officeID)
+		s.halfCloseExpired(ConnID(t.targetID))
+	case timerReconnect:
+		s.reconnect(t.officeID)
 	case timerCheckConns:
 		s.checkConns(t.officeID)
 	case timerDrainGrace:
 		s.drainGraceExpired(t.officeID)
-	case timerProbeTimeout:
-		s.finishProbe(t.id, logic.Report{})
-	case timerHealthCheck:
-		s.checkHealth(t.officeID)
+	case timerHealthCheckTimeout:
+		s.finishHealthCheck(t.targetID, logic.Report{})
+	case timerCheckLiveness:
+		s.checkLiveness(t.officeID)
 	case timerVerifyCalls:
 		s.verifyCalls(t.officeID)
 	case timerRepeatBye:
-		s.repeatBye(ConnID(t.arg), t.id)
+		s.repeatBye(ConnID(t.arg), t.targetID)
 	case timerSuccessorTimeout:
 		s.successorTimedOut(t.officeID)
 	case timerCheckAdopted:
-		s.checkAdopted(t.id)
+		s.checkAdopted(t.targetID)
 	}
 }
 
--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -415,7 +415,7 @@
 			}
 			h.advance(2 * time.Second)
 			requireMessages(t, "later messages to the caller", h.takeCallerMessages(caller))
-			if h.server.calls[1] != nil || h.server.callsByWireID[7] != nil {
+			if h.server.callsByID[1] != nil || h.server.callsByWireID[7] != nil {
 				t.Error("the call has not been removed")
 			}
 		})
@@ -433,7 +433,7 @@
 	h.advance(700 * time.Millisecond)
 	h.officeSends(conn, releaseMsg(7, office.CauseNormal, ""))
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "500")
-	if len(h.server.calls) != 0 || len(h.server.callsByWireID) != 0 || len(h.server.officeConns[conn].outstanding) != 0 {
+	if len(h.server.callsByID) != 0 || len(h.server.callsByWireID) != 0 || len(h.server.officeConns[conn].outstandingCalls) != 0 {
 		t.Error("the call has not been removed")
 	}
 	h.officeSends(conn, answerMsg(7)) // after the end of the call
@@ -514,7 +514,7 @@
 		t.Helper()
 		before := len(h.halfClosed)
 		for range 50 {
-			h.server.connLost(remote)
+			h.server.guardAgainstLostRelease(remote)
 			h.collectEffects()
 			if len(h.halfClosed) > before {
 				return
@@ -541,7 +541,7 @@
 	limit := h.server.cfg.MaxOfficeConns / halfClosedDivisor
 	for range 4 * limit {
 		h.connect("10.0.0.1:5080")
-		h.server.connLost(remote)
+		h.server.guardAgainstLostRelease(remote)
 		h.collectEffects()
 	}
 	if h.server.halfClosedConns != limit {
@@ -621,7 +621,7 @@
 
 // Hundreds of connections a second that carry only health checks must not evict those that carried calls: a release would find
 // no caller connection, and the caller would learn of it too late or never.
-func TestHealthChecksDoNotEvictConnectionsOfCalls(t *testing.T) {
+func TestOptionsRequestsDoNotEvictConnectionsOfCalls(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
@@ -667,7 +667,7 @@
 	}
 }
 
-func TestSetUpsUnderOneID(t *testing.T) {
+func TestSetUpsWithTheSameCallID(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
@@ -800,7 +800,7 @@
 				t.Fatal("the connection stays open")
 			}
 			requireMessages(t, "messages to the caller", h.takeCallerMessages(caller))
-			if call := h.server.callsByWireID[7]; call == nil || call.attemptActive {
+			if call := h.server.callsByWireID[7]; call == nil || call.awaitsOutcome {
 				t.Fatal("the attempt was not ended")
 			}
 		})
@@ -821,7 +821,7 @@
 	}
 }
 
-func TestOfficesAreIDsAndNotAddresses(t *testing.T) {
+func TestOfficesAreIdentifiedByIDNotByAddress(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
@@ -854,7 +854,7 @@
 	}
 }
 
-func TestAttemptOnARefusedConnectionHasNotRun(t *testing.T) {
+func TestAttemptOnARefusedConnectionHasNoEffect(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.Settings.MaxAttempts = 1 })
 	caller := h.acceptCaller()
 	h.callerSends(caller, invite(7, "dest:1;width:1"))
@@ -867,12 +867,12 @@
 		}
 	}
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "503")
-	if open, _ := h.server.CallCounts(); open != 0 || len(h.server.calls) != 0 {
-		t.Fatalf("%d open calls, %d not removed", open, len(h.server.calls))
+	if open, _ := h.server.CallCounts(); open != 0 || len(h.server.callsByID) != 0 {
+		t.Fatalf("%d open calls, %d not removed", open, len(h.server.callsByID))
 	}
 }
 
-func TestTimeOutsAndHangUps(t *testing.T) {
+func TestAttemptTimeoutAndCancel(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
@@ -897,8 +897,8 @@
 	requireMessages(t, "CANCEL by another caller", h.takeCallerMessages(caller), "481")
 	h.callerSends(otherCaller, request("CANCEL", 8))
 	requireMessages(t, "CANCEL by the caller", h.takeCallerMessages(otherCaller), "200")
-	if got := h.takeOfficeMessages(secondConn); len(got) != 1 || got[0].Type != office.Release || len(h.server.calls) != 0 {
-		t.Fatalf("messages to the office: %v; %d calls not removed", got, len(h.server.calls))
+	if got := h.takeOfficeMessages(secondConn); len(got) != 1 || got[0].Type != office.Release || len(h.server.callsByID) != 0 {
+		t.Fatalf("messages to the office: %v; %d calls not removed", got, len(h.server.callsByID))
 	}
 }
 
@@ -954,8 +954,8 @@
 				h.connect("10.0.0.1:5080")
 				h.advance(5 * time.Second)
 				h.connect("10.0.0.1:5080")
-				if got := countMessages(h, office.SetUp); got != 0 || len(h.server.calls) != 0 {
-					t.Errorf("%d set-ups after the caller hung up, %d calls not removed", got, len(h.server.calls))
+				if got := countMessages(h, office.SetUp); got != 0 || len(h.server.callsByID) != 0 {
+					t.Errorf("%d set-ups after the caller hung up, %d calls not removed", got, len(h.server.callsByID))
 				}
 			})
 			t.Run(stageName+" is over, "+hangUpName, func(t *testing.T) {
@@ -1000,7 +1000,7 @@
 		"caller closes":  {trigger: func(h *harness, _, caller ConnID) { h.apply(Input{Kind: InClosed, Conn: caller}) }, hungUp: true},
 	}
 	timeOut := func(h *harness) {
-		h.server.fireTimer(timer{kind: timerAttemptTimeout, id: 1, arg: 0})
+		h.server.fireTimer(timer{kind: timerAttemptTimeout, targetID: 1, arg: 0})
 		h.server.runDeferred()
 		h.collectEffects()
 	}
@@ -1054,7 +1054,7 @@
 }
 
 // Events come in every form that service discovery can give them. Exactly the offices that they name must be known.
-func TestDiscoveryEventsOfEveryForm(t *testing.T) {
+func TestSnapshotsUpdatesAndGaps(t *testing.T) {
 	servingS1, servingS2, deletedS1 := member("s-1", 1, feed.Serving), member("s-2", 2, feed.Serving), member("s-1", 1, feed.Deleted)
 	drainingS1 := member("s-1", 1, feed.Draining)
 	ownOffice := member("s-0", 0, feed.Serving)
@@ -1118,13 +1118,13 @@
 			}
 		}
 	}
-	healthCheck := Input{At: h.now, Kind: InReceive, Conn: caller, Bytes: []byte(request("OPTIONS", 1))}
-	collectLogs(func() { h.server.Apply(healthCheck) })
+	optionsInput := Input{At: h.now, Kind: InReceive, Conn: caller, Bytes: []byte(request("OPTIONS", 1))}
+	collectLogs(func() { h.server.Apply(optionsInput) })
 	if got := lines["ready"]; got["after"] != "1s" || got["offices"] != "3" {
 		t.Errorf("log line \"ready\": %v", got)
 	}
 	delete(lines, "ready")
-	collectLogs(func() { h.server.Apply(healthCheck) })
+	collectLogs(func() { h.server.Apply(optionsInput) })
 	if got := lines["ready"]; got != nil {
 		t.Error("\"ready\" is logged a second time")
 	}
@@ -1224,13 +1224,13 @@
 
 // Calls that a process accepts during shutdown must be over before it is killed, but it has to accept transit calls, or its
 // exchange could not serve as a tandem all that time.
-func TestCallsAcceptedDuringShutdownEndInTime(t *testing.T) {
+func TestCallsAcceptedDuringADrainEndInTime(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
 	h.callerSends(caller, invite(1, "dest:1;width:1"))
 	end := h.now + 500*time.Millisecond
-	h.apply(Input{Kind: InShutdown, EndsAt: end})
+	h.apply(Input{Kind: InDrain, EndsAt: end})
 	h.callerSends(caller, invite(2, "dest:1;width:1;transit:1")) // its office does not answer
 	h.callerSends(caller, invite(3, "dest:1;width:1;transit:1"))
 	h.connect("10.0.0.1:5080")
@@ -1249,7 +1249,7 @@
 // Connections of a host that has vanished stay open here: they must not be used any more, or each trial attempt after its return
 // would go to one of them. Unknown clients may set a timer of years, or name established calls that do not exist: the deadline
 // of the class and the limit on adopted calls hold.
-func TestUnresponsiveHostAndExcessivePatience(t *testing.T) {
+func TestUnresponsiveOfficeLongTimersAndAdoptedCallLimit(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.MaxOpenCalls = 3 })
 	for id := uint64(1); id <= 3; id++ {
 		h.connect("10.0.0.1:5080")
@@ -1318,9 +1318,9 @@
 	if n := len(h.server.offices); n > 4 {
 		t.Errorf("%d offices have not been removed", n)
 	}
-	if len(h.server.calls)+len(h.server.callsByWireID)+len(h.server.callerConns)+len(h.server.pendingReleases) != 0 ||
+	if len(h.server.callsByID)+len(h.server.callsByWireID)+len(h.server.callerConns)+len(h.server.pendingReleases) != 0 ||
 		len(h.server.officeConns) > 10 {
-		t.Errorf("not removed: %d calls, %d IDs, %d callers, %d releases, %d connections", len(h.server.calls),
+		t.Errorf("not removed: %d calls, %d IDs, %d callers, %d releases, %d connections", len(h.server.callsByID),
 			len(h.server.callsByWireID), len(h.server.callerConns), len(h.server.pendingReleases), len(h.server.officeConns))
 	}
 }
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -12,22 +12,22 @@
 
 // officeConn is one connection to an office.
 type officeConn struct {
-	id            ConnID
-	remote        *remoteOffice
-	framer        office.Framer
-	up            bool
-	writeBlocked  bool // TCP accepts no more bytes for now
-	halfClosed    bool // closed for writing; what is under way is still read
-	halfClosedAt  time.Duration
-	lingering     bool                // half-closed and read on while its office may be unreachable
-	suspect       bool                // an answer on it is missing: no new attempts, closed once none is outstanding
-	outstanding   []*activeCall       // calls with an attempt on it
-	openedAt      time.Duration       // when it was dialled; once up, when it came up
-	lastActivity  time.Duration       // when bytes last came; 0: never
-	messageCount  int                 // messages received
-	stateReported bool                // the office has reported its group state on this connection
-	circuitsInUse int                 // in the first such report
-	unconfirmed   unconfirmedReleases // releases sent on it
+	id               ConnID
+	remote           *remoteOffice
+	framer           office.Framer
+	up               bool
+	writeBlocked     bool // TCP accepts no more bytes for now
+	halfClosed       bool // closed for writing; what is under way is still read
+	halfClosedAt     time.Duration
+	retained         bool                   // half-closed and read on while its office may be unreachable
+	suspect          bool                   // an answer on it is missing: no new attempts, closed once none is outstanding
+	outstandingCalls []*activeCall          // calls with an attempt on it
+	upOrDialledAt    time.Duration          // when it was dialled; once up, when it came up
+	lastActivity     time.Duration          // when bytes last came; 0: never
+	messageCount     int                    // messages received
+	stateReported    bool                   // the office has reported its group state on this connection
+	circuitsInUse    int                    // in the first such report
+	unacknowledged   unacknowledgedReleases // releases sent on it
 }
 
 // leastLoadedConn returns the usable connection with the fewest outstanding attempts, or nil.
@@ -35,7 +35,7 @@
 	var best *officeConn
 	for _, conn := range r.conns {
 		if conn.up && !conn.writeBlocked && !conn.suspect && !conn.halfClosed && !slices.Contains(excluded, conn.id) &&
-			(best == nil || len(conn.outstanding) < len(best.outstanding)) {
+			(best == nil || len(conn.outstandingCalls) < len(best.outstandingCalls)) {
 			best = conn
 		}
 	}
@@ -59,7 +59,7 @@
 		switch {
 		case !conn.up:
 			counts.dialling++
-		case len(conn.outstanding) == 0 && !conn.suspect && !conn.writeBlocked:
+		case len(conn.outstandingCalls) == 0 && !conn.suspect && !conn.writeBlocked:
 			if counts.idle++; counts.oldestIdle == nil {
 				counts.oldestIdle = conn
 			}
@@ -75,16 +75,16 @@
 	}
 	counts := remote.countConns()
 	if counts.dialling > 0 || counts.idle > 0 && len(remote.waitingCalls) == 0 ||
-		counts.total >= s.maxConnsToOffice()+len(remote.waitingCalls) || s.now < remote.redialAt {
+		counts.total >= s.connLimitPerOffice()+len(remote.waitingCalls) || s.now < remote.reconnectAt {
 		return
 	}
 	s.dialOffice(remote)
 }
 
 func (s *Server) dialOffice(remote *remoteOffice) {
-	s.evictLingeringConn()
+	s.evictRetainedConn()
 	s.lastConnID++
-	conn := &officeConn{id: s.lastConnID, remote: remote, openedAt: s.now}
+	conn := &officeConn{id: s.lastConnID, remote: remote, upOrDialledAt: s.now}
 	remote.conns, s.officeConns[conn.id] = append(remote.conns, conn), conn
 	remote.detector.RecordDial(s.now)
 	s.trace("dial", "", remote.id, conn.id, "", 0)
@@ -99,9 +99,9 @@
 	}
 }
 
-// connLost handles a connection that has ended or become suspect: what its office wrote on it last may be lost.
-func (s *Server) connLost(remote *remoteOffice) {
-	remote.connLostAt = s.now
+// guardAgainstLostRelease handles a connection that has ended or become suspect: what its office wrote on it last may be lost.
+func (s *Server) guardAgainstLostRelease(remote *remoteOffice) {
+	remote.releaseRiskAt = s.now
 	s.openAdditionalConn(remote, false)
 	s.armConnCheck(remote)
 }
@@ -115,11 +115,11 @@
 	remote.connCheckArmed = false
 	outstanding, slow := false, false
 	for _, conn := range remote.conns {
-		for _, call := range conn.outstanding {
+		for _, call := range conn.outstandingCalls {
 			outstanding, slow = true, slow || s.now-call.sentAt >= slowAnswerThreshold
 		}
 	}
-	recentLoss := remote.connLostAt > 0 && s.now-remote.connLostAt <= 2*connCheckInterval
+	recentLoss := remote.releaseRiskAt > 0 && s.now-remote.releaseRiskAt <= 2*connCheckInterval
 	if recentLoss || slow {
 		s.openAdditionalConn(remote, false)
 	}
@@ -135,22 +135,22 @@
 // With force it does so even while others are being dialled and at the limit of connections, as nothing has been received
 // from the office.
 func (s *Server) openAdditionalConn(remote *remoteOffice, force bool) {
-	if remote.establishedCalls == 0 || remote.state == logic.Gone || s.now < remote.redialAt {
+	if remote.establishedCalls == 0 || remote.state == logic.Gone || s.now < remote.reconnectAt {
 		return
 	}
 	counts := remote.countConns()
 	if counts.dialling > 0 && !force || counts.dialling >= maxDialling {
 		return
 	}
-	if counts.total >= s.maxConnsToOffice() && counts.idle < maxIdleConns && !force {
+	if counts.total >= s.connLimitPerOffice() && counts.idle < maxIdleConns && !force {
 		return
 	}
-	s.dialAdditional(remote)
+	s.makeRoomAndDial(remote)
 }
 
-// dialAdditional opens another connection to an office. If the office has enough idle connections or as many connections as
+// makeRoomAndDial opens another connection to an office. If the office has enough idle connections or as many connections as
 // it may, its oldest idle one is half-closed first. If many offices are unreachable at once, descriptors are the limit.
-func (s *Server) dialAdditional(remote *remoteOffice) {
+func (s *Server) makeRoomAndDial(remote *remoteOffice) {
 	counts := remote.countConns()
 	full := len(s.officeConns) >= s.cfg.MaxOfficeConns+s.cfg.MaxOfficeConns/halfClosedDivisor
 	switch {
@@ -158,7 +158,7 @@
 		return
 	case full:
 		s.closeConn(counts.oldestIdle, "replaced by a new connection; no descriptor left to read it on")
-	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.total >= s.maxConnsToOffice():
+	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.total >= s.connLimitPerOffice():
 		s.halfClose(counts.oldestIdle, "replaced by a new connection")
 	}
 	s.dialOffice(remote)
@@ -168,7 +168,7 @@
 func (s *Server) logConn(text string, conn *officeConn, why string) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
 		s.log(slog.LevelDebug, text, slog.String("office", conn.remote.id), slog.Uint64("conn", uint64(conn.id)), slog.String("why", why),
-			slog.Int("open", len(conn.outstanding)), slog.Duration("silent", s.now-max(conn.lastActivity, conn.openedAt)))
+			slog.Int("open", len(conn.outstandingCalls)), slog.Duration("silent", s.now-max(conn.lastActivity, conn.upOrDialledAt)))
 	}
 }
 
@@ -176,12 +176,12 @@
 func (s *Server) closeConn(conn *officeConn, why string) {
 	s.logConn("office's connection closed", conn, why)
 	s.emit(Close{Conn: conn.id})
-	s.removeConn(conn)
+	s.unregisterConnAndOffice(conn)
 }
 
 // redial opens a connection to an office whose backoff is over.
-func (s *Server) redial(id string) {
-	if remote := s.offices[id]; remote != nil && s.now >= remote.redialAt {
+func (s *Server) reconnect(id string) {
+	if remote := s.offices[id]; remote != nil && s.now >= remote.reconnectAt {
 		s.ensureIdleConn(remote)
 	}
 }
@@ -193,11 +193,11 @@
 		s.emit(Close{Conn: id})
 		return
 	}
-	conn.up, conn.openedAt = true, s.now
+	conn.up, conn.upOrDialledAt = true, s.now
 	s.trace("connected", "", conn.remote.id, id, "", 0)
 	remote := conn.remote
 	remote.dialFailures = 0
-	s.noteConnected(remote, conn)
+	s.recordConnected(remote, conn)
 	if remote.unverifiedBefore > 0 {
 		s.armTimer(liveness.PendingReleaseWindow, timer{kind: timerVerifyCalls, officeID: remote.id})
 	}
@@ -218,15 +218,15 @@
 	}
 	remote := conn.remote
 	s.log(slog.LevelInfo, "connection to office failed", slog.String("office", remote.id), slog.Bool("refused", refused))
-	s.removeConn(conn)
+	s.unregisterConnAndOffice(conn)
 	if !refused {
 		remote.detector.RecordDialFailure()
 	}
-	maxDelay := maxRedialDelay
+	maxDelay := maxReconnectDelay
 	if remote.supervised && remote.detector.State() == liveness.Suspected {
-		maxDelay = maxSuspectRedialDelay
+		maxDelay = maxSuspectReconnectDelay
 	}
-	s.scheduleRedial(remote, remote.dialFailures, maxDelay)
+	s.scheduleReconnect(remote, remote.dialFailures, maxDelay)
 	remote.dialFailures++
 	waiting := remote.waitingCalls
 	remote.waitingCalls = nil
@@ -238,21 +238,21 @@
 		s.attemptEnded(call, logic.Outcome{Status: logic.NoConnect})
 	}
 	if refused && !remote.anyConnUp() { // the process has ended, and its calls with it
-		remote.replacedAt = s.now
+		remote.processEndedAt = s.now
 		s.dropEstablishedCalls(remote, s.now, "its office refuses connections")
 	}
 	s.cleanUpGoneOffice(remote)
 }
 
-// removeConn removes a connection, and its office if that is gone.
-func (s *Server) removeConn(conn *officeConn) {
-	s.deleteConn(conn)
+// unregisterConnAndOffice removes a connection, and its office if that is gone.
+func (s *Server) unregisterConnAndOffice(conn *officeConn) {
+	s.unregisterConn(conn)
 	s.cleanUpGoneOffice(conn.remote)
 }
 
-func (s *Server) deleteConn(conn *officeConn) {
+func (s *Server) unregisterConn(conn *officeConn) {
 	delete(s.officeConns, conn.id)
-	if conn.halfClosed && !conn.lingering {
+	if conn.halfClosed && !conn.retained {
 		s.halfClosedConns--
 	}
 	conn.remote.conns = slices.DeleteFunc(conn.remote.conns, func(other *officeConn) bool { return other == conn })
@@ -263,7 +263,7 @@
 func (s *Server) officeConnEnded(conn *officeConn, reset bool, why string) {
 	remote := conn.remote
 	s.logConn("office's connection ended", conn, why)
-	s.removeConn(conn)
+	s.unregisterConnAndOffice(conn)
 	if conn.halfClosed {
 		if reset {
 			s.resendLostReleases(conn)
@@ -272,13 +272,13 @@
 	}
 	s.backOffAfterEarlyClose(conn)
 	s.resendLostReleases(conn)
-	s.noteConnLoss(remote)
-	outstanding := conn.outstanding
-	conn.outstanding = nil
+	s.recordConnEnd(remote)
+	outstanding := conn.outstandingCalls
+	conn.outstandingCalls = nil
 	for _, call := range outstanding {
 		s.attemptEnded(call, logic.Outcome{Status: logic.Reset})
 	}
-	s.connLost(remote)
+	s.guardAgainstLostRelease(remote)
 	s.ensureIdleConn(remote)
 }
 
@@ -289,22 +289,22 @@
 	if conn.lastActivity > 0 {
 		return
 	}
-	s.scheduleRedial(remote, remote.earlyCloses, maxSuspectRedialDelay)
+	s.scheduleReconnect(remote, remote.earlyCloses, maxSuspectReconnectDelay)
 	remote.earlyCloses++
 }
 
-// scheduleRedial arms the next connection to an office, with a backoff that doubles with each consecutive failure.
-func (s *Server) scheduleRedial(remote *remoteOffice, failures int, maxDelay time.Duration) {
-	delay := min(initialRedialDelay<<min(failures, maxRedialDoublings), maxDelay)
-	remote.redialAt = s.now + delay
-	s.armTimer(delay, timer{kind: timerRedial, officeID: remote.id})
+// scheduleReconnect arms the next connection to an office, with a backoff that doubles with each consecutive failure.
+func (s *Server) scheduleReconnect(remote *remoteOffice, failures int, maxDelay time.Duration) {
+	delay := min(initialReconnectDelay<<min(failures, maxReconnectDoublings), maxDelay)
+	remote.reconnectAt = s.now + delay
+	s.armTimer(delay, timer{kind: timerReconnect, officeID: remote.id})
 }
 
 // abortConn closes a connection at once, without sending what is queued on it: it is corrupted, or the queued messages must not
 // be sent any more.
 func (s *Server) abortConn(conn *officeConn, why string) {
 	s.log(slog.LevelInfo, "office's connection closed", slog.String("office", conn.remote.id), slog.String("why", why),
-		slog.Int("open", len(conn.outstanding)))
+		slog.Int("open", len(conn.outstandingCalls)))
 	s.emit(Close{Conn: conn.id, Now: true})
 	s.officeConnEnded(conn, true, why)
 }
@@ -316,7 +316,7 @@
 	remote := conn.remote
 	active := slices.ContainsFunc(remote.conns, func(other *officeConn) bool { return other.lastActivity > sentAt })
 	for _, other := range slices.Clone(remote.conns) {
-		if other == conn || !active && other.up && other.openedAt <= sentAt {
+		if other == conn || !active && other.up && other.upOrDialledAt <= sentAt {
 			other.suspect = true
 			s.retireConn(other)
 		}
@@ -326,9 +326,9 @@
 
 // retireConn half-closes a suspect connection once no attempt is outstanding on it.
 func (s *Server) retireConn(conn *officeConn) {
-	if conn.suspect && !conn.halfClosed && len(conn.outstanding) == 0 && s.officeConns[conn.id] == conn {
+	if conn.suspect && !conn.halfClosed && len(conn.outstandingCalls) == 0 && s.officeConns[conn.id] == conn {
 		s.halfClose(conn, "suspect, and no attempt is outstanding on it")
-		s.connLost(conn.remote)
+		s.guardAgainstLostRelease(conn.remote)
 	}
 }
 
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -15,9 +15,9 @@
 	s.position = snapshot.Pos
 	var offices []logic.Office
 	for i := range snapshot.Entries {
-		for _, listed := range s.applyMembers(&snapshot.Entries[i].Hosts) {
-			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == listed.ID })
-			offices = append(offices, listed)
+		for _, known := range s.applyMembers(&snapshot.Entries[i].Hosts) {
+			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == known.ID })
+			offices = append(offices, known)
 		}
 	}
 	s.controller.UpdateOffices(s.now, logic.ListRestored, offices)
@@ -116,11 +116,11 @@
 func (s *Server) officeRestarted(remote *remoteOffice) {
 	s.dropEstablishedCalls(remote, remote.startedAt, "its office has restarted")
 	for _, conn := range slices.Clone(remote.conns) {
-		if conn.up && conn.openedAt < remote.startedAt {
+		if conn.up && conn.upOrDialledAt < remote.startedAt {
 			s.abortConn(conn, "the office has restarted")
 		}
 	}
-	remote.dialFailures, remote.redialAt = 0, 0
+	remote.dialFailures, remote.reconnectAt = 0, 0
 }
 
 // officeLeaving handles an office that is draining or gone. Nothing may be sent to it once the grace time is over (rule 3).
@@ -174,10 +174,10 @@
 		return
 	}
 	for _, conn := range slices.Clone(remote.conns) {
-		if len(conn.outstanding) == 0 {
+		if len(conn.outstandingCalls) == 0 {
 			s.logConn("office's connection closed", conn, "its office is gone")
 			s.emit(Close{Conn: conn.id})
-			s.deleteConn(conn)
+			s.unregisterConn(conn)
 		}
 	}
 	if len(remote.conns) == 0 && len(remote.waitingCalls) == 0 && remote.establishedCalls == 0 {
@@ -212,7 +212,7 @@
 		slog.Uint64("refused", totals.Refused), slog.Uint64("failed", totals.Failed),
 		slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
 		slog.Duration("list_age", s.now-s.discoveryChangedAt),
-		slog.Uint64("unreadable", totals.Malformed), slog.Int("open", open),
+		slog.Uint64("unreadable", totals.RejectedMessages), slog.Int("open", open),
 		slog.Int("standing", established), slog.Int("pending_releases", len(s.pendingReleases)),
 		slog.Int("callers", len(s.callerConns)), slog.Int("offices", len(s.officeConns)))
 	for _, remote := range s.sortedOffices() {
--- a/callserver/droppedcalls.go
+++ b/callserver/droppedcalls.go
@@ -13,7 +13,7 @@
 // over.
 func (s *Server) setUpFailed(call *activeCall, conn *officeConn, outcome logic.Outcome) {
 	if s.recentDrops.Near(s.now) {
-		s.endedBeforeAnswer(call, conn, outcome.Load)
+		s.callEndedBeforeAnswer(call, conn, outcome.Load)
 		return
 	}
 	s.attemptEnded(call, outcome)
@@ -34,8 +34,8 @@
 	s.failedSetUps = nil
 	for _, call := range candidates {
 		if s.recentDrops.Near(call.setUpFailedAt) && s.callsByWireID[call.wireID] == call && call.state == callSettingUp &&
-			!call.attemptActive {
-			s.failLostAnswer(call)
+			!call.awaitsOutcome {
+			s.failEndedCall(call)
 			s.endUnanswered(call)
 		}
 	}
--- a/callserver/effects.go
+++ b/callserver/effects.go
@@ -81,6 +81,6 @@
 	InWriteBlocked                  // Conn, Blocked: whether TCP has stopped accepting bytes
 	InDiscovery                     // Events: service discovery events
 	InTimer                         // a timer is due
-	InShutdown                      // EndsAt: this process ends then; calls accepted from now on must be over by that time
+	InDrain                         // EndsAt: this process ends then; calls accepted from now on must be over by that time
 	InWritten                       // the effects before a Confirm have been carried out
 )
--- a/callserver/halfclosed.go
+++ b/callserver/halfclosed.go
@@ -16,8 +16,8 @@
 	s.halfClosedConns++
 	s.logConn("office's connection half-closed", conn, why)
 	s.emit(HalfClose{Conn: conn.id})
-	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, id: uint64(conn.id)})
-	if conn.remote.lastLossAt > 0 && s.now-conn.remote.lastLossAt <= correlatedLossWindow {
+	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, targetID: uint64(conn.id)})
+	if conn.remote.correlatedLossEnd > 0 && s.now-conn.remote.correlatedLossEnd <= correlatedLossWindow {
 		// The connection can no longer show that its office's process lives on.
 		s.markUnverifiedUnlessConnSurvived(conn.remote)
 	}
@@ -30,7 +30,7 @@
 		return
 	}
 	if s.mayDeliverReleases(conn) {
-		s.keepLingering(conn)
+		s.retainHalfClosed(conn)
 	} else {
 		s.closeConn(conn, "not closed by its office after the half-close")
 	}
@@ -43,27 +43,27 @@
 func (s *Server) mayDeliverReleases(conn *officeConn) bool {
 	remote := conn.remote
 	lastActivity := s.now - remote.detector.Silence(s.now)
-	noActivity := remote.detector.State() != liveness.Failed && lastActivity <= conn.halfClosedAt+activityLag
-	return remote.supervised && remote.establishedCalls > 0 && noActivity && len(s.officeConns) <= s.cfg.MaxOfficeConns
+	mayBeUnreachable := remote.detector.State() != liveness.Failed && lastActivity <= conn.halfClosedAt+activityLag
+	return remote.supervised && remote.establishedCalls > 0 && mayBeUnreachable && len(s.officeConns) <= s.cfg.MaxOfficeConns
 }
 
-// keepLingering keeps reading a half-closed connection for as long as no new one needs its descriptor.
-func (s *Server) keepLingering(conn *officeConn) {
-	if !conn.lingering {
-		conn.lingering = true
+// retainHalfClosed keeps reading a half-closed connection for as long as no new one needs its descriptor.
+func (s *Server) retainHalfClosed(conn *officeConn) {
+	if !conn.retained {
+		conn.retained = true
 		s.halfClosedConns--
 	}
-	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, id: uint64(conn.id)})
+	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, targetID: uint64(conn.id)})
 }
 
-// evictLingeringConn closes the oldest lingering connection if all descriptors for offices are in use.
-func (s *Server) evictLingeringConn() {
+// evictRetainedConn closes the oldest lingering connection if all descriptors for offices are in use.
+func (s *Server) evictRetainedConn() {
 	if len(s.officeConns) < s.cfg.MaxOfficeConns {
 		return
 	}
 	var oldest *officeConn
 	for _, conn := range s.officeConns {
-		if conn.lingering && (oldest == nil || conn.id < oldest.id) {
+		if conn.retained && (oldest == nil || conn.id < oldest.id) {
 			oldest = conn
 		}
 	}
--- a/callserver/halfclosed_test.go
+++ b/callserver/halfclosed_test.go
@@ -61,22 +61,22 @@
 }
 
 // Half-closed connections that are still read are closed if their descriptors are needed for new connections.
-func TestLingeringConnectionsAreEvicted(t *testing.T) {
+func TestRetainedConnectionsAreEvicted(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = halfClosedDivisor })
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
 	h.establish(caller, 7)
 	h.callerSends(caller, invite(9, "dest:1;width:1"))
-	maxConns, lingered := 0, false
+	maxConns, retained := 0, false
 	for range 50 {
 		h.advanceUnreachable(100 * time.Millisecond)
 		maxConns = max(maxConns, len(h.server.officeConns))
 		for _, conn := range h.server.officeConns {
-			lingered = lingered || conn.lingering
+			retained = retained || conn.retained
 		}
 	}
-	if limit := h.server.cfg.MaxOfficeConns + maxDialling; maxConns > limit || !lingered {
-		t.Errorf("%d connections, want at most %d; one lingered: %v", maxConns, limit, lingered)
+	if limit := h.server.cfg.MaxOfficeConns + maxDialling; maxConns > limit || !retained {
+		t.Errorf("%d connections, want at most %d; one lingered: %v", maxConns, limit, retained)
 	}
 	if h.server.halfClosedConns < 0 {
 		t.Errorf("%d connections are counted as half-closed", h.server.halfClosedConns)
--- a/callserver/handover.go
+++ b/callserver/handover.go
@@ -18,8 +18,8 @@
 // seen to belong to another one.
 func (s *Server) latestProcessEnd(remote *remoteOffice) time.Duration {
 	end := s.now
-	if remote.replacedAt > 0 {
-		end = remote.replacedAt
+	if remote.processEndedAt > 0 {
+		end = remote.processEndedAt
 	}
 	if announced := s.announcedStarts[remote.addr]; announced > remote.startedAt {
 		end = min(end, announced)
@@ -74,8 +74,8 @@
 func (s *Server) moveCalls(from, to *remoteOffice) {
 	s.log(slog.LevelInfo, "calls handed over to the office's successor", slog.String("office", from.id), slog.String("successor", to.id),
 		slog.Int("calls", from.establishedCalls))
-	if from.replacedAt > to.startedAt { // the successor has been replaced since, too
-		to.replacedAt = max(to.replacedAt, from.replacedAt)
+	if from.processEndedAt > to.startedAt { // the successor has been replaced since, too
+		to.processEndedAt = max(to.processEndedAt, from.processEndedAt)
 	}
 	for _, call := range s.callsInOrder() {
 		if call.state == callEstablished && call.remote == from {
--- a/callserver/handover_test.go
+++ b/callserver/handover_test.go
@@ -10,9 +10,9 @@
 
 // successor returns the entry of an office that has the address of s-1. Its start is in Unix milliseconds; 0: not reported.
 func successor(id string, startedAtMs int64) feed.Member {
-	listed := member(id, 1, feed.Serving)
-	listed.UpSince = startedAtMs
-	return listed
+	entry := member(id, 1, feed.Serving)
+	entry.UpSince = startedAtMs
+	return entry
 }
 
 // establishAfterRestart advances the time until a new office starts at the address of s-1, and establishes a call there after
@@ -56,8 +56,8 @@
 			h.advance(3 * time.Second)
 			h.connect("10.0.0.1:5080") // a new process owns the address
 			h.establish(caller, 8)
-			for i, listed := range members {
-				h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(uint64(2+i), false, listed)}})
+			for i, entry := range members {
+				h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(uint64(2+i), false, entry)}})
 				h.advance(10 * time.Millisecond)
 			}
 			requireMessages(t, "messages to the caller of the second call", h.takeCallerMessages(caller))
@@ -108,9 +108,9 @@
 }
 
 // Calls at an office that is gone and for which no successor is named are dropped.
-func TestNoSuccessorIsNamed(t *testing.T) {
+func TestCallsOfAGoneOfficeWithoutASuccessorAreDropped(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
-	h.server.offices["s-1"].replacedAt = startTime - 1
+	h.server.offices["s-1"].processEndedAt = startTime - 1
 	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted))}})
 	requireMessages(t, "messages to the caller at once", h.takeCallerMessages(caller))
 	h.advance(successorTimeout)
@@ -121,7 +121,7 @@
 }
 
 // Service discovery still names an office whose address already belongs to another one: a release from either ends the call.
-func TestAReleaseFromTheOfficeThatHasTheAddress(t *testing.T) {
+func TestReleaseFromANewOfficeAtTheSameAddress(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, successor("s-9", 0))}})
 	conn := h.connect("10.0.0.1:5080")
@@ -145,9 +145,9 @@
 }
 
 // The entry of an office that is gone may carry an address that belongs to another office by now; it must be ignored.
-func TestTheAddressOfAnOfficeThatIsGone(t *testing.T) {
+func TestAddressInADeletedEntryIsIgnored(t *testing.T) {
 	h, _ := newHarnessWithCalls(t, 7)
-	h.server.offices["s-1"].replacedAt = startTime - 1 // so the call is established at the owner of the address
+	h.server.offices["s-1"].processEndedAt = startTime - 1 // so the call is established at the owner of the address
 	goneMember := member("s-1", 1, feed.Deleted)
 	goneMember.Addr = "10.0.0.2:5080"
 	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, goneMember, successor("s-9", 0))}})
--- a/callserver/hangup_test.go
+++ b/callserver/hangup_test.go
@@ -52,8 +52,8 @@
 			if n := h.countSetUps(9); n != 0 {
 				t.Errorf("%s, can cancel %v: %d set-ups after the caller hung up", name, canCancel, n)
 			}
-			if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.calls) != 0 {
-				t.Errorf("%s, can cancel %v: %d open calls, %d established, %d not removed", name, canCancel, open, established, len(h.server.calls))
+			if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.callsByID) != 0 {
+				t.Errorf("%s, can cancel %v: %d open calls, %d established, %d not removed", name, canCancel, open, established, len(h.server.callsByID))
 			}
 		}
 	}
--- a/callserver/invitation.go
+++ b/callserver/invitation.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		number, err := strconv.Atoi(value)
-		if name != "" && (err != nil || number < -1 || number >= maxLegValue) {
+		if name != "" && (err != nil || number < -1 || number >= legValueLimit) {
 			return fmt.Errorf("X-Legs: %.40q", part)
 		}
 		switch name {
--- a/callserver/officeinput.go
+++ b/callserver/officeinput.go
@@ -21,7 +21,7 @@
 func (s *Server) receiveFromOffice(conn *officeConn, data []byte) {
 	conn.lastActivity = s.now
 	conn.remote.earlyCloses = 0
-	s.noteActivity(conn.remote)
+	s.recordBytesFromOffice(conn.remote)
 	conn.framer.Write(data)
 	for s.officeConns[conn.id] == conn {
 		msg, err := conn.framer.Next()
@@ -36,7 +36,7 @@
 		s.handleOfficeMessage(conn, msg)
 	}
 	if s.officeConns[conn.id] == conn && conn.framer.Buffered() > 0 {
-		s.armTimer(unfinishedMessageTimeout, timer{kind: timerUnfinishedMessage, id: uint64(conn.id), arg: conn.messageCount})
+		s.armTimer(unfinishedMessageTimeout, timer{kind: timerUnfinishedMessage, targetID: uint64(conn.id), arg: conn.messageCount})
 	}
 }
 
@@ -59,7 +59,7 @@
 	case office.Release:
 		s.handleRelease(conn, msg)
 	case office.ReleaseComplete:
-		conn.unconfirmed.confirm(msg.Call)
+		conn.unacknowledged.acknowledge(msg.Call)
 	case office.GroupState:
 		load, err := msg.LoadValues(s.cfg.Settings.ReportFields)
 		if err != nil {
@@ -69,15 +69,15 @@
 		conn.recordGroupState(s.cfg.Settings.ReportFields, load)
 		// A change is reported on each connection. Applying a copy that arrives after a new set-up would return the circuit that
 		// the set-up has just taken.
-		if remote := conn.remote; msg.Load == remote.groupState && remote.lastReporter != conn &&
-			s.officeConns[remote.lastReporter.id] == remote.lastReporter {
+		if remote := conn.remote; msg.Load == remote.groupState && remote.groupStateConn != conn &&
+			s.officeConns[remote.groupStateConn.id] == remote.groupStateConn {
 			return
 		}
-		conn.remote.groupState, conn.remote.lastReporter = msg.Load, conn
+		conn.remote.groupState, conn.remote.groupStateConn = msg.Load, conn
 		s.controller.Report(s.now, logic.Report{Office: conn.remote.id, OK: !msg.HasCause || msg.Cause == causeHealthy, Load: load})
 	case office.HealthReport:
 		load, err := msg.LoadValues(s.cfg.Settings.ReportFields)
-		s.finishProbe(msg.Call, logic.Report{OK: err == nil && msg.HasCause && msg.Cause == causeHealthy, Load: load})
+		s.finishHealthCheck(msg.Call, logic.Report{OK: err == nil && msg.HasCause && msg.Cause == causeHealthy, Load: load})
 	}
 }
 
@@ -102,7 +102,7 @@
 
 // findAttempt returns the call with this wire ID that has an attempt on the connection, or nil.
 func (c *officeConn) findAttempt(wireID uint64) *activeCall {
-	for _, call := range c.outstanding {
+	for _, call := range c.outstandingCalls {
 		if call.wireID == wireID {
 			return call
 		}
@@ -119,7 +119,7 @@
 	}
 	call := s.callsByWireID[msg.Call]
 	if call != nil && call.remote == conn.remote && call.state == callSettingUp && msg.HasCause && msg.Cause == office.CauseNormal {
-		s.endedBeforeAnswer(call, conn, load) // only an established call ends with this cause
+		s.callEndedBeforeAnswer(call, conn, load) // only an established call ends with this cause
 		return
 	}
 	if call := conn.findAttempt(msg.Call); call != nil {
--- a/callserver/offices.go
+++ b/callserver/offices.go
@@ -20,20 +20,20 @@
 	earlyCloses      int           // consecutive connections that ended before anything was received on them
 	establishedCalls int
 	groupState       string        // last one reported
-	lastReporter     *officeConn   // connection that reported groupState first
+	groupStateConn   *officeConn   // connection that reported groupState first
 	pendingReleases  []release     // of established calls, for the next connection
-	connLostAt       time.Duration // when a connection last ended or became suspect
+	releaseRiskAt    time.Duration // when a connection last ended or became suspect
 	connCheckArmed   bool          // timerCheckConns is armed
 	dialFailures     int           // consecutive connections that did not come up
-	redialAt         time.Duration // no connection is opened before this
+	reconnectAt      time.Duration // no connection is opened before this
 	counts           officeCounts
 
-	detector         liveness.Detector
-	supervised       bool          // timerHealthCheck is armed
-	unverifiedBefore time.Duration // calls from before this may have ended with an earlier process; 0: none
-	lossStartedAt    time.Duration // first end of a connection in the latest correlated loss
-	lastLossAt       time.Duration // last one in it
-	replacedAt       time.Duration // later calls belong to a process that service discovery may not have named yet; 0: none
+	detector            liveness.Detector
+	supervised          bool          // timerCheckLiveness is armed
+	unverifiedBefore    time.Duration // calls from before this may have ended with an earlier process; 0: none
+	correlatedLossStart time.Duration // first end of a connection in the latest correlated loss
+	correlatedLossEnd   time.Duration // last one in it
+	processEndedAt      time.Duration // later calls belong to a process that service discovery may not have named yet; 0: none
 }
 
 // officeCounts counts the attempts at an office by their outcome.
@@ -71,10 +71,10 @@
 
 // Limits on connections to offices; they do not limit calls.
 const (
-	initialRedialDelay       = 50 * time.Millisecond // doubles with each consecutive failure
-	maxRedialDelay           = time.Second
-	maxRedialDoublings       = 8                      // keeps the shift in range; the delay is at its maximum long before
-	maxSuspectRedialDelay    = 250 * time.Millisecond // to a suspected office: the end of a network partition must be noticed at once
+	initialReconnectDelay    = 50 * time.Millisecond // doubles with each consecutive failure
+	maxReconnectDelay        = time.Second
+	maxReconnectDoublings    = 8                      // keeps the shift in range; the delay is at its maximum long before
+	maxSuspectReconnectDelay = 250 * time.Millisecond // to a suspected office: the end of a network partition must be noticed at once
 	unfinishedMessageTimeout = 250 * time.Millisecond // the rest of a message of up to 16 KiB follows at once or never
 	maxConnsPerOffice        = 24
 	connCheckInterval        = 400 * time.Millisecond // looking for dead connections: a release must be passed on within 1 s
@@ -86,15 +86,15 @@
 	halfClosedDivisor        = 8                      // at most 1/halfClosedDivisor of Config.MaxOfficeConns may be half-closed connections
 )
 
-// maxConnsToOffice returns how many connections an office may have.
-func (s *Server) maxConnsToOffice() int {
-	liveOffices := 1
+// connLimitPerOffice returns how many connections an office may have.
+func (s *Server) connLimitPerOffice() int {
+	shares := 1
 	for _, remote := range s.offices {
 		if remote.state != logic.Gone {
-			liveOffices++
+			shares++
 		}
 	}
-	return min(maxConnsPerOffice, max(1, s.cfg.MaxOfficeConns/liveOffices))
+	return min(maxConnsPerOffice, max(1, s.cfg.MaxOfficeConns/shares))
 }
 
 func (r *remoteOffice) anyConnUp() bool {
--- a/callserver/releases.go
+++ b/callserver/releases.go
@@ -23,13 +23,13 @@
 		s.ensureIdleConn(remote)
 		return
 	}
-	conn.unconfirmed.add(release{sentAt: s.now, wireID: wireID, cause: cause}, conn.lastActivity)
+	conn.unacknowledged.add(release{sentAt: s.now, wireID: wireID, cause: cause}, conn.lastActivity)
 	s.sendToOffice(conn, &office.Message{Type: office.Release, Call: wireID, Cause: cause, HasCause: true})
 }
 
-// unconfirmedReleases holds the releases recently sent on a connection whose receipt has not been confirmed. If the connection
+// unacknowledgedReleases holds the releases recently sent on a connection whose receipt has not been confirmed. If the connection
 // ends they may be lost, and are sent again on another one.
-type unconfirmedReleases []release
+type unacknowledgedReleases []release
 
 // release is the release of an established call toward its caller or its office.
 type release struct {
@@ -44,8 +44,8 @@
 
 // Limits on the releases that are kept: per connection, and per office without a connection.
 const (
-	maxUnconfirmedReleases = 1024
-	maxPendingReleases     = 8192
+	maxUnacknowledgedReleases = 1024
+	maxPendingReleases        = 8192
 )
 
 // queueRelease keeps a release until a connection to its office is up.
@@ -65,29 +65,29 @@
 }
 
 // add keeps a release. Those sent more than connLossDelay before the peer's last activity have arrived.
-func (u *unconfirmedReleases) add(r release, lastActivity time.Duration) {
-	*u = append(slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < lastActivity-connLossDelay }), r)
-	if excess := len(*u) - maxUnconfirmedReleases; excess > 0 {
+func (u *unacknowledgedReleases) add(r release, aliveAt time.Duration) {
+	*u = append(slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < aliveAt-connLossDelay }), r)
+	if excess := len(*u) - maxUnacknowledgedReleases; excess > 0 {
 		*u = slices.Delete(*u, 0, excess)
 	}
 }
 
-func (u *unconfirmedReleases) confirm(wireID uint64) {
+func (u *unacknowledgedReleases) acknowledge(wireID uint64) {
 	*u = slices.DeleteFunc(*u, func(other release) bool { return other.wireID == wireID })
 }
 
 // takeLost removes all releases and returns those that may be lost.
-func (u *unconfirmedReleases) takeLost(lastActivity time.Duration) []release {
-	lost := slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < lastActivity-connLossDelay })
+func (u *unacknowledgedReleases) takeLost(aliveAt time.Duration) []release {
+	lost := slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < aliveAt-connLossDelay })
 	*u = nil
 	return lost
 }
 
-// callerForRelease returns a connection for the release of a call: that of its set-up, or the one that most recently carried
+// callerConnForRelease returns a connection for the release of a call: that of its set-up, or the one that most recently carried
 // calls, with preference for those that carried established ones. It returns nil if there is none.
-func (s *Server) callerForRelease(call *activeCall) *callerConn {
-	if call.caller != nil && s.callerConns[call.caller.id] == call.caller {
-		return call.caller
+func (s *Server) callerConnForRelease(call *activeCall) *callerConn {
+	if call.callerConn != nil && s.callerConns[call.callerConn.id] == call.callerConn {
+		return call.callerConn
 	}
 	var best *callerConn
 	for _, caller := range s.callerConns {
@@ -114,22 +114,22 @@
 
 // releaseToCaller releases an established call toward its caller.
 func (s *Server) releaseToCaller(call *activeCall, cause byte) {
-	caller := s.callerForRelease(call)
+	caller := s.callerConnForRelease(call)
 	if caller == nil {
-		s.logDecision("release waits for a caller connection", call)
+		s.logWithHistory("release waits for a caller connection", call)
 		s.pendingReleases = append(s.pendingReleases, release{call: call, cause: cause})
 		return
 	}
-	caller.unconfirmedByes.add(release{sentAt: s.now, call: call, wireID: call.wireID, cause: cause}, s.now)
+	caller.unansweredByes.add(release{sentAt: s.now, call: call, wireID: call.wireID, cause: cause}, s.now)
 	s.sendBye(caller, call, cause)
-	if s.byesConfirmed {
-		s.armTimer(byeConfirmTimeout, timer{kind: timerRepeatBye, id: call.wireID, arg: int(caller.id)})
+	if s.byesAnswered {
+		s.armTimer(byeResponseTimeout, timer{kind: timerRepeatBye, targetID: call.wireID, arg: int(caller.id)})
 	}
 }
 
-// byeConfirmTimeout is how long a caller may take to respond to a BYE. It leaves time to use another connection: a release must
+// byeResponseTimeout is how long a caller may take to respond to a BYE. It leaves time to use another connection: a release must
 // be passed on within 1 s.
-const byeConfirmTimeout = 350 * time.Millisecond
+const byeResponseTimeout = 350 * time.Millisecond
 
 // repeatBye sends a BYE without a response again on another connection: one that a network partition has cut off stays open
 // and loses what is written on it.
@@ -138,22 +138,22 @@
 	if caller == nil {
 		return // its unconfirmed releases were sent again when it ended
 	}
-	i := slices.IndexFunc(caller.unconfirmedByes, func(r release) bool { return r.wireID == wireID })
+	i := slices.IndexFunc(caller.unansweredByes, func(r release) bool { return r.wireID == wireID })
 	if i < 0 {
 		return
 	}
-	r := caller.unconfirmedByes[i]
-	other := s.latestActiveCaller(r.sentAt)
+	r := caller.unansweredByes[i]
+	other := s.latestActiveCallerConn(r.sentAt)
 	if other == nil {
 		return
 	}
-	caller.unconfirmedByes = slices.Delete(caller.unconfirmedByes, i, i+1)
+	caller.unansweredByes = slices.Delete(caller.unansweredByes, i, i+1)
 	s.sendBye(other, r.call, r.cause)
 }
 
-// latestActiveCaller returns the connection with the latest activity among those that have carried established calls, if that
+// latestActiveCallerConn returns the connection with the latest activity among those that have carried established calls, if that
 // activity is later than since.
-func (s *Server) latestActiveCaller(since time.Duration) (best *callerConn) {
+func (s *Server) latestActiveCallerConn(since time.Duration) (best *callerConn) {
 	for _, caller := range s.callerConns {
 		if caller.carriedEstablished && caller.lastActivity > since &&
 			(best == nil || caller.lastActivity > best.lastActivity ||
@@ -174,7 +174,7 @@
 
 // resendLostReleases sends the releases again that may be lost on a connection to an office.
 func (s *Server) resendLostReleases(conn *officeConn) {
-	for _, r := range conn.unconfirmed.takeLost(conn.lastActivity) {
+	for _, r := range conn.unacknowledged.takeLost(conn.lastActivity) {
 		s.sendRelease(conn.remote, nil, r.wireID, r.cause)
 	}
 }
--- a/callserver/supervision.go
+++ b/callserver/supervision.go
@@ -19,12 +19,12 @@
 	if !remote.supervised {
 		remote.supervised = true
 		remote.detector.Watch(s.now)
-		s.armTimer(0, timer{kind: timerHealthCheck, officeID: remote.id})
+		s.armTimer(0, timer{kind: timerCheckLiveness, officeID: remote.id})
 	}
 }
 
-// checkHealth runs the failure detector of an office while it holds established calls.
-func (s *Server) checkHealth(id string) {
+// checkLiveness runs the failure detector of an office while it holds established calls.
+func (s *Server) checkLiveness(id string) {
 	remote := s.offices[id]
 	if remote == nil {
 		return
@@ -43,11 +43,11 @@
 	case liveness.Heartbeat:
 		s.heartbeatOffice(remote)
 	case liveness.Probe:
-		s.probeOffice(remote)
+		s.heartbeatAllAndDial(remote)
 	case liveness.Fail:
 		s.officeFailed(remote)
 	}
-	s.armTimer(next-s.now, timer{kind: timerHealthCheck, officeID: id})
+	s.armTimer(next-s.now, timer{kind: timerCheckLiveness, officeID: id})
 }
 
 // heartbeatOffice sends a heartbeat, or opens a connection if there is none to send it on.
@@ -59,8 +59,8 @@
 	s.openAdditionalConn(remote, true)
 }
 
-// probeOffice sends a heartbeat on each connection and opens a new one. A host whose process has ended resets its connections.
-func (s *Server) probeOffice(remote *remoteOffice) {
+// heartbeatAllAndDial sends a heartbeat on each connection and opens a new one. A host whose process has ended resets its connections.
+func (s *Server) heartbeatAllAndDial(remote *remoteOffice) {
 	s.heartbeatOnAll(remote)
 	s.openAdditionalConn(remote, true)
 }
@@ -76,62 +76,62 @@
 // sendHeartbeat sends a HealthCheck message with cause 0, which requests no report. The setting limits.probes, which
 // allows the Controller to request reports, does not matter here.
 func (s *Server) sendHeartbeat(conn *officeConn) {
-	s.lastCallID++
-	s.sendToOffice(conn, &office.Message{Type: office.HealthCheck, Call: s.lastCallID, HasCause: true})
+	s.lastID++
+	s.sendToOffice(conn, &office.Message{Type: office.HealthCheck, Call: s.lastID, HasCause: true})
 }
 
-// noteConnected records a new connection as activity. If its office was suspected or failed, the process may be a new one, unless
+// recordConnected records a new connection as activity. If its office was suspected or failed, the process may be a new one, unless
 // bytes have come on older connections.
-func (s *Server) noteConnected(remote *remoteOffice, conn *officeConn) {
-	hadUnconfirmed := remote.detector.HasUnconfirmedActivity()
+func (s *Server) recordConnected(remote *remoteOffice, conn *officeConn) {
+	hadUnconfirmedActivity := remote.detector.HasUnconfirmedActivity()
 	previous := remote.detector.RecordActivity(s.now)
 	if previous == liveness.Alive {
 		return
 	}
-	s.noteAlive(remote, previous)
-	if !hadUnconfirmed {
-		s.markCallsUnverified(remote, conn.openedAt)
+	s.recordAlive(remote, previous)
+	if !hadUnconfirmedActivity {
+		s.markCallsUnverified(remote, conn.upOrDialledAt)
 	}
 }
 
-// noteActivity records bytes of an office as activity. What the office could not send while it was unreachable it sends on the
+// recordBytesFromOffice records bytes of an office as activity. What the office could not send while it was unreachable it sends on the
 // next connection that comes up. Connections that are being dialled were begun in that time and may take long, so another
 // one is opened.
-func (s *Server) noteActivity(remote *remoteOffice) {
+func (s *Server) recordBytesFromOffice(remote *remoteOffice) {
 	previous := remote.detector.State()
 	if remote.detector.RecordBytes(s.now) {
 		s.log(slog.LevelInfo, "unconfirmed activity of a suspected office", slog.String("office", remote.id),
 			slog.Duration("silent", remote.detector.Silence(s.now)), slog.Int("standing", remote.establishedCalls))
-		remote.dialFailures, remote.redialAt = 0, 0
+		remote.dialFailures, remote.reconnectAt = 0, 0
 		s.heartbeatOnAll(remote)
-		s.dialAdditional(remote)
+		s.makeRoomAndDial(remote)
 		return
 	}
 	if previous == liveness.Alive || remote.detector.State() != liveness.Alive {
 		return
 	}
-	s.noteAlive(remote, previous)
+	s.recordAlive(remote, previous)
 	if previous == liveness.Failed {
-		s.dialAdditional(remote)
+		s.makeRoomAndDial(remote)
 	}
 }
 
-// noteAlive records that a suspected or failed office is alive.
-func (s *Server) noteAlive(remote *remoteOffice, previous liveness.State) {
+// recordAlive records that a suspected or failed office is alive.
+func (s *Server) recordAlive(remote *remoteOffice, previous liveness.State) {
 	s.log(slog.LevelInfo, "office alive", slog.String("office", remote.id),
 		slog.String("was", previous.String()), slog.Int("standing", remote.establishedCalls))
-	remote.dialFailures, remote.redialAt = 0, 0
+	remote.dialFailures, remote.reconnectAt = 0, 0
 }
 
 // correlatedLossWindow is how far apart the connections of one process end when it ends.
 const correlatedLossWindow = 100 * time.Millisecond
 
-// noteConnLoss records the end of a connection. If no other connection has survived, the office's process may have ended.
-func (s *Server) noteConnLoss(remote *remoteOffice) {
-	if remote.lastLossAt == 0 || s.now-remote.lastLossAt > correlatedLossWindow {
-		remote.lossStartedAt = s.now
+// recordConnEnd records the end of a connection. If no other connection has survived, the office's process may have ended.
+func (s *Server) recordConnEnd(remote *remoteOffice) {
+	if remote.correlatedLossEnd == 0 || s.now-remote.correlatedLossEnd > correlatedLossWindow {
+		remote.correlatedLossStart = s.now
 	}
-	remote.lastLossAt = s.now
+	remote.correlatedLossEnd = s.now
 	s.markUnverifiedUnlessConnSurvived(remote)
 }
 
@@ -139,10 +139,10 @@
 // correlated loss: its process may have ended.
 func (s *Server) markUnverifiedUnlessConnSurvived(remote *remoteOffice) {
 	survived := func(conn *officeConn) bool {
-		return conn.up && !conn.halfClosed && conn.openedAt < remote.lossStartedAt
+		return conn.up && !conn.halfClosed && conn.upOrDialledAt < remote.correlatedLossStart
 	}
 	if !slices.ContainsFunc(remote.conns, survived) {
-		s.markCallsUnverified(remote, remote.lossStartedAt)
+		s.markCallsUnverified(remote, remote.correlatedLossStart)
 	}
 }
 
@@ -151,7 +151,7 @@
 func (s *Server) officeFailed(remote *remoteOffice) {
 	s.log(slog.LevelWarn, "ending the calls of an office that has failed", slog.String("office", remote.id),
 		slog.Duration("silent", remote.detector.Silence(s.now)), slog.Int("standing", remote.establishedCalls))
-	remote.replacedAt = s.now
+	remote.processEndedAt = s.now
 	s.dropAndRelease(remote, "its office is unresponsive")
 	for _, conn := range slices.Clone(remote.conns) {
 		conn.suspect = true
@@ -199,12 +199,12 @@
 		return
 	}
 	i := slices.IndexFunc(remote.conns, func(conn *officeConn) bool {
-		return conn.up && conn.stateReported && conn.openedAt >= remote.unverifiedBefore
+		return conn.up && conn.stateReported && conn.upOrDialledAt >= remote.unverifiedBefore
 	})
 	if i < 0 {
 		return // another connection will bring the report
 	}
-	if releasesBy := remote.conns[i].openedAt + liveness.PendingReleaseWindow; s.now < releasesBy { // releases may still arrive on it
+	if releasesBy := remote.conns[i].upOrDialledAt + liveness.PendingReleaseWindow; s.now < releasesBy { // releases may still arrive on it
 		s.armTimer(releasesBy-s.now, timer{kind: timerVerifyCalls, officeID: id})
 		return
 	}
@@ -223,7 +223,7 @@
 	if !lost {
 		return
 	}
-	remote.replacedAt = unverifiedBefore
+	remote.processEndedAt = unverifiedBefore
 	for _, call := range s.callsInOrder() {
 		if call.state == callEstablished && call.remote == remote && call.sentAt < unverifiedBefore {
 			s.queueRelease(remote, call.wireID, office.CauseTemporary)
--- a/callserver/supervision_test.go
+++ b/callserver/supervision_test.go
@@ -276,7 +276,7 @@
 }
 
 // After a restart an office releases a call before the call's caller names it as established.
-func TestAReleaseThatCameBeforeItsCallWasNamed(t *testing.T) {
+func TestReleaseBeforeItsCallIsClaimed(t *testing.T) {
 	h := newHarness(t, nil)
 	conn := h.connect("10.0.0.1:5080")
 	h.officeSends(conn, releaseMsg(7, office.CauseNormal, ""))
@@ -342,7 +342,7 @@
 	conn := h.openConns()[0]
 	h.officeSends(conn, releaseMsg(9, office.CauseNormal, ""))
 	requireMessages(t, "BYE before any response was seen", h.takeCallerMessages(caller), "BYE")
-	h.advanceWithReports(byeConfirmTimeout, conn)
+	h.advanceWithReports(byeResponseTimeout, conn)
 	requireMessages(t, "repeated BYE on the other connection", h.takeCallerMessages(otherCaller))
 	h.callerSends(caller, byeResponse(9))
 	h.officeSends(conn, releaseMsg(8, office.CauseNormal, ""))
@@ -351,7 +351,7 @@
 	h.advance(100 * time.Millisecond)
 	h.callerSends(otherCaller, request("OPTIONS", 1)) // shows that the other connection is alive
 	h.takeCallerMessages(otherCaller)
-	h.advanceWithReports(byeConfirmTimeout, conn)
+	h.advanceWithReports(byeResponseTimeout, conn)
 	requireMessages(t, "messages on the other connection", h.takeCallerMessages(otherCaller), "BYE")
 	requireMessages(t, "messages on the first connection", h.takeCallerMessages(caller), "BYE", "BYE")
 }
@@ -412,13 +412,13 @@
 	if got := h.takeOfficeMessages(conn); len(got) != 1 || got[0].Type != office.Release || got[0].Call != 7 {
 		t.Errorf("messages to the office: %v", got)
 	}
-	if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.calls) != 0 {
-		t.Errorf("%d open calls, %d established, %d not removed", open, established, len(h.server.calls))
+	if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.callsByID) != 0 {
+		t.Errorf("%d open calls, %d established, %d not removed", open, established, len(h.server.callsByID))
 	}
 }
 
 // An unfinished message on a connection must not cost an open call on it its answer.
-func TestAnUnfinishedMessageBesideAnOpenSetUp(t *testing.T) {
+func TestUnfinishedMessageOnAConnectionWithAnOpenCall(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
 	caller := h.acceptCaller()
@@ -476,7 +476,7 @@
 }
 
 // If many offices are unreachable at once, the connections that probe them must not exceed the descriptors for offices.
-func TestManyOfficesOutOfReachKeepWithinTheDescriptors(t *testing.T) {
+func TestConnectionsToManyUnreachableOfficesStayWithinTheLimit(t *testing.T) {
 	const offices = 40
 	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = offices + 5 })
 	var members []feed.Member
@@ -514,9 +514,9 @@
 }
 
 // During shutdown new set-ups are refused and transit calls are accepted.
-func TestADrainTakesOnlyCallsInTransit(t *testing.T) {
+func TestDrainAcceptsOnlyTransitCalls(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
-	h.apply(Input{Kind: InShutdown, EndsAt: h.now + 3*time.Second})
+	h.apply(Input{Kind: InDrain, EndsAt: h.now + 3*time.Second})
 	h.callerSends(caller, invite(8, "dest:1;width:1"))
 	requireMessages(t, "new set-up", h.takeCallerMessages(caller), "503")
 	h.callerSends(caller, invite(9, "dest:1;width:1;via:2;transit:1"))
@@ -529,7 +529,7 @@
 
 // An office that accepts connections and ends them before it has sent anything is redialled with a backoff, but an attempt dials
 // it at once.
-func TestAnOfficeThatEndsConnectionsOnArrival(t *testing.T) {
+func TestBackoffForAnOfficeThatClosesNewConnections(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	for _, conn := range h.openConns() {
 		h.apply(Input{Kind: InClosed, Conn: conn, Reset: true})
--- a/node/config.go
+++ b/node/config.go
@@ -16,13 +16,13 @@
 
 // Config is the configuration of a call server, as the platform provides it.
 type Config struct {
-	Name     string
-	Listen   string
-	Journal  string // address of the discovery service
-	Seed     int64
-	Limits   Limits
-	Known    feed.Snapshot // events of service discovery up to the start
-	Settings wire.Settings
+	Name          string
+	Listen        string
+	DiscoveryAddr string // address of the discovery service
+	Seed          int64
+	Limits        Limits
+	Snapshot      feed.Snapshot // events of service discovery up to the start
+	Settings      wire.Settings
 }
 
 // Limits are the limits of the machine.
@@ -80,13 +80,13 @@
 // Parse reads and checks the bytes of a configuration.
 func Parse(raw []byte) (*Config, error) {
 	var file struct {
-		Name     string          `json:"name"`
-		Listen   string          `json:"listen"`
-		Journal  string          `json:"journal"`
-		Seed     string          `json:"seed"`
-		Limits   Limits          `json:"limits"`
-		Known    *feed.Snapshot  `json:"known"`
-		Settings json.RawMessage `json:"settings"`
+		Name          string          `json:"name"`
+		Listen        string          `json:"listen"`
+		DiscoveryAddr string          `json:"journal"`
+		Seed          string          `json:"seed"`
+		Limits        Limits          `json:"limits"`
+		Snapshot      *feed.Snapshot  `json:"known"`
+		Settings      json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(raw, &file); err != nil {
 		var typeErr *json.UnmarshalTypeError
@@ -95,14 +95,14 @@
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
-	cfg := &Config{Name: file.Name, Listen: file.Listen, Journal: file.Journal, Limits: file.Limits}
-	for _, field := range []struct{ path, value string }{{"name", file.Name}, {"listen", file.Listen}, {"journal", file.Journal},
+	cfg := &Config{Name: file.Name, Listen: file.Listen, DiscoveryAddr: file.DiscoveryAddr, Limits: file.Limits}
+	for _, field := range []struct{ path, value string }{{"name", file.Name}, {"listen", file.Listen}, {"journal", file.DiscoveryAddr},
 		{"seed", file.Seed}} {
 		if field.value == "" {
 			return nil, fmt.Errorf("%s: missing", field.path)
 		}
 	}
-	for _, field := range []struct{ path, value string }{{"listen", file.Listen}, {"journal", file.Journal}} {
+	for _, field := range []struct{ path, value string }{{"listen", file.Listen}, {"journal", file.DiscoveryAddr}} {
 		if _, _, err := net.SplitHostPort(field.value); err != nil {
 			return nil, fmt.Errorf("%s: %w", field.path, err)
 		}
@@ -115,12 +115,12 @@
 	if err := cfg.Limits.check(); err != nil {
 		return nil, err
 	}
-	if file.Known == nil {
+	if file.Snapshot == nil {
 		return nil, errors.New("known: missing")
 	}
-	cfg.Known = *file.Known
-	for i := range cfg.Known.Entries {
-		if err := cfg.Known.Entries[i].Validate(); err != nil {
+	cfg.Snapshot = *file.Snapshot
+	for i := range cfg.Snapshot.Entries {
+		if err := cfg.Snapshot.Entries[i].Validate(); err != nil {
 			return nil, fmt.Errorf("known.entries.%d: %w", i, err)
 		}
 	}
--- a/node/connections.go
+++ b/node/connections.go
@@ -14,7 +14,7 @@
 
 // serve registers a connection as an endpoint and starts its reader.
 func (n *Node) serve(id callserver.ConnID, conn net.Conn) {
-	peer := &endpoint{id: id, resume: make(chan struct{}, 1)}
+	peer := &peerConn{id: id, resume: make(chan struct{}, 1)}
 	peer.Link = link.NewDirect(conn, func(blocked bool) {
 		in := callserver.Input{Kind: callserver.InWriteBlocked, Conn: id, Blocked: blocked}
 		if blocked { // called on the loop itself, since only the loop writes
@@ -23,7 +23,7 @@
 		}
 		n.enqueue(input{Input: in})
 	})
-	n.endpoints[id] = peer
+	n.peers[id] = peer
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
@@ -33,13 +33,13 @@
 }
 
 // read passes received bytes to the loop, one chunk at a time, so that a fast sender does not starve other connections.
-func (n *Node) read(peer *endpoint) {
+func (n *Node) read(peer *peerConn) {
 	buf := make([]byte, readBufferSize)
 	for {
 		size, err := peer.Conn().Read(buf)
 		if size > 0 && !peer.discard.Load() {
 			in := callserver.Input{Kind: callserver.InReceive, Conn: peer.id, Bytes: buf[:size]}
-			if !n.enqueue(input{Input: in, receivedAt: n.now(), endpoint: peer}) {
+			if !n.enqueue(input{Input: in, receivedAt: n.now(), peer: peer}) {
 				return
 			}
 			select {
@@ -50,7 +50,7 @@
 		}
 		if err != nil {
 			if !peer.discard.Load() {
-				n.enqueue(input{Input: callserver.Input{Kind: callserver.InClosed, Conn: peer.id, Reset: err != io.EOF}, receivedAt: n.now(), endpoint: peer})
+				n.enqueue(input{Input: callserver.Input{Kind: callserver.InClosed, Conn: peer.id, Reset: err != io.EOF}, receivedAt: n.now(), peer: peer})
 			}
 			return
 		}
@@ -59,30 +59,30 @@
 
 // applyEffects applies the effects of the core, and the inputs that arise from them, until there are no more.
 func (n *Node) applyEffects() {
-	for effects := n.core.Effects(); len(effects) > 0; effects = n.core.Effects() {
+	for effects := n.server.Effects(); len(effects) > 0; effects = n.server.Effects() {
 		for _, effect := range effects {
 			n.applyEffect(effect)
 		}
 		for _, in := range n.selfInputs {
 			in.At = n.now()
-			n.core.Apply(in)
+			n.server.Apply(in)
 		}
 		n.selfInputs = n.selfInputs[:0]
 	}
-	n.discoveryPos.Store(n.core.Position())
+	n.discoveryPos.Store(n.server.Position())
 }
 
 func (n *Node) applyEffect(effect callserver.Effect) {
 	switch effect := effect.(type) {
 	case callserver.Write:
-		if peer := n.endpoints[effect.Conn]; peer != nil && !peer.Write(effect.Bytes, maxWriteQueue) {
+		if peer := n.peers[effect.Conn]; peer != nil && !peer.Write(effect.Bytes, maxWriteQueue) {
 			n.log.Warn("peer does not read: connection closed", "peer", peer.Conn().RemoteAddr().String())
 			peer.Close()
 		}
 	case callserver.Close:
-		n.closeEndpoint(effect)
+		n.closePeer(effect)
 	case callserver.HalfClose:
-		if peer := n.endpoints[effect.Conn]; peer != nil {
+		if peer := n.peers[effect.Conn]; peer != nil {
 			if tcp, ok := peer.Conn().(*net.TCPConn); ok {
 				_ = tcp.CloseWrite() // where it fails, the next read returns an error
 			}
@@ -98,14 +98,14 @@
 	}
 }
 
-// closeEndpoint closes a connection. Where a response has just been written and more bytes may still arrive, the connection
+// closePeer closes a connection. Where a response has just been written and more bytes may still arrive, the connection
 // is half-closed first: closing it with unread bytes would send a reset, on which the peer may discard the response.
-func (n *Node) closeEndpoint(request callserver.Close) {
-	peer := n.endpoints[request.Conn]
+func (n *Node) closePeer(request callserver.Close) {
+	peer := n.peers[request.Conn]
 	if peer == nil {
 		return
 	}
-	delete(n.endpoints, request.Conn)
+	delete(n.peers, request.Conn)
 	peer.discard.Store(true)
 	tcp, ok := peer.Conn().(*net.TCPConn)
 	if !request.Linger || !ok || !n.lingerSlots.TryAcquire() {
@@ -148,7 +148,7 @@
 // closeAll closes all connections. After a drain it first waits, for a limited time, until queued bytes have been written.
 func (n *Node) closeAll() {
 	deadline := time.Now().Add(killMargin / 3)
-	for _, peer := range n.endpoints {
+	for _, peer := range n.peers {
 		if n.drainStartedAt > 0 {
 			peer.Drain(deadline)
 		}
--- a/node/drain.go
+++ b/node/drain.go
@@ -35,7 +35,7 @@
 	}
 	if n.drainEndsAt == 0 {
 		n.drainEndsAt = n.drainStartedAt + duration
-		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InShutdown, EndsAt: n.drainEndsAt})
+		n.server.Apply(callserver.Input{At: n.now(), Kind: callserver.InDrain, EndsAt: n.drainEndsAt})
 	}
 	if elapsed < duration {
 		return false
@@ -43,13 +43,13 @@
 	if n.acceptStoppedAt == 0 {
 		n.acceptStoppedAt = n.now()
 		n.listener.Close()
-		open, established := n.core.CallCounts()
+		open, established := n.server.CallCounts()
 		n.log.Info("no longer accepting connections", "open", open, "standing", established)
 	}
 	if n.now()-n.acceptStoppedAt < drainFinalWait {
 		return false
 	}
-	open, _ := n.core.CallCounts()
+	open, _ := n.server.CallCounts()
 	return open == 0 || elapsed > n.maxDeadline()+drainServeTime
 }
 
@@ -61,11 +61,11 @@
 		n.log.Error("new configuration rejected, the current one stays in use", "err", err)
 		return
 	}
-	if cfg.Journal == n.cfg.Journal {
-		n.log.Info("configuration reloaded", "journal", cfg.Journal)
+	if cfg.DiscoveryAddr == n.cfg.DiscoveryAddr {
+		n.log.Info("configuration reloaded", "journal", cfg.DiscoveryAddr)
 		return
 	}
-	n.log.Info("configuration reloaded", "journal", cfg.Journal, "old_journal", n.cfg.Journal)
-	n.cfg.Journal = cfg.Journal
-	n.startDiscovery(cfg.Journal)
+	n.log.Info("configuration reloaded", "journal", cfg.DiscoveryAddr, "old_journal", n.cfg.DiscoveryAddr)
+	n.cfg.DiscoveryAddr = cfg.DiscoveryAddr
+	n.startDiscovery(cfg.DiscoveryAddr)
 }
--- a/node/loop.go
+++ b/node/loop.go
@@ -61,7 +61,7 @@
 		case <-timer.C:
 			n.applyInputsBeforeTimers()
 		case <-totalsTicker.C:
-			n.core.LogTotals()
+			n.server.LogTotals()
 		case <-n.reloadRequests:
 			n.reloadConfig()
 		case <-n.drainRequests:
@@ -73,7 +73,7 @@
 			n.closeAll()
 			return
 		}
-		n.core.Apply(callserver.Input{At: n.now(), Kind: callserver.InTimer})
+		n.server.Apply(callserver.Input{At: n.now(), Kind: callserver.InTimer})
 		n.applyEffects()
 		if n.drainStartedAt > 0 && n.advanceDrain() {
 			n.closeAll()
@@ -86,7 +86,7 @@
 // received bytes are due together, and no attempt must begin for a caller who left during the pause. The sleep gives
 // readers that have not run since then the time to do so.
 func (n *Node) applyInputsBeforeTimers() {
-	if due, ok := n.core.NextTimer(); ok && n.now()-due > overdueThreshold {
+	if due, ok := n.server.NextTimer(); ok && n.now()-due > overdueThreshold {
 		time.Sleep(time.Millisecond)
 	}
 	select {
@@ -99,7 +99,7 @@
 // resetTimer sets the timer to the next timer of the core or the next check of a drain, whichever comes first.
 func (n *Node) resetTimer(timer *time.Timer) {
 	wait := time.Hour
-	if due, ok := n.core.NextTimer(); ok {
+	if due, ok := n.server.NextTimer(); ok {
 		wait = max(0, due-n.now())
 	}
 	if n.drainStartedAt > 0 {
@@ -129,23 +129,23 @@
 	switch in.Kind {
 	case callserver.InAccepted:
 		n.unhandled.Release()
-		in.Conn, in.From = n.core.NewConn(), in.conn.RemoteAddr().String()
+		in.Conn, in.From = n.server.NewConn(), in.conn.RemoteAddr().String()
 		n.serve(in.Conn, in.conn)
 	case callserver.InConnected:
 		n.serve(in.Conn, in.conn)
 	case callserver.InReceive:
-		if n.endpoints[in.Conn] == in.endpoint {
+		if n.peers[in.Conn] == in.peer {
 			in.Delay = now - in.receivedAt
-			n.core.Apply(in.Input)
+			n.server.Apply(in.Input)
 		}
-		in.endpoint.resume <- struct{}{}
+		in.peer.resume <- struct{}{}
 		return
 	case callserver.InClosed:
-		if n.endpoints[in.Conn] != in.endpoint {
+		if n.peers[in.Conn] != in.peer {
 			return
 		}
-		delete(n.endpoints, in.Conn)
+		delete(n.peers, in.Conn)
 		in.Delay = now - in.receivedAt
 	}
-	n.core.Apply(in.Input)
+	n.server.Apply(in.Input)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -25,7 +25,7 @@
 	cfg             *Config
 	configPath      string
 	log             *slog.Logger
-	core            *callserver.Server
+	server          *callserver.Server
 	startTime       time.Time
 	startUnix       time.Duration // Unix time of startTime
 	inputs          chan input
@@ -34,7 +34,7 @@
 	stopOnce        sync.Once
 	reloadRequests  chan struct{}
 	drainRequests   chan struct{}
-	endpoints       map[callserver.ConnID]*endpoint
+	peers           map[callserver.ConnID]*peerConn
 	wg              sync.WaitGroup
 	listener        net.Listener
 	discoveryPos    atomic.Uint64 // position in the discovery stream up to which events have been applied
@@ -51,11 +51,11 @@
 	callserver.Input
 	receivedAt time.Duration // Unix time, of received bytes and of the end of a connection
 	conn       net.Conn      // a connection that was accepted or dialled
-	endpoint   *endpoint     // whose reader sent this input
+	peer       *peerConn     // whose reader sent this input
 }
 
 // endpoint is a connection and its reader.
-type endpoint struct {
+type peerConn struct {
 	*link.Link
 	id      callserver.ConnID
 	resume  chan struct{} // tells the reader that the loop has handled the last chunk
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	n := &Node{cfg: cfg, configPath: path, log: log.With("node", cfg.Name), inputs: make(chan input, inputQueueSize), stop: make(chan struct{}),
-		reloadRequests: make(chan struct{}, 1), drainRequests: make(chan struct{}, 1), endpoints: map[callserver.ConnID]*endpoint{},
+		reloadRequests: make(chan struct{}, 1), drainRequests: make(chan struct{}, 1), peers: map[callserver.ConnID]*peerConn{},
 		lingerSlots: make(link.Semaphore, maxLingering), unhandled: make(link.Semaphore, maxUnhandled), startTime: time.Now()}
 	n.startUnix = time.Duration(n.startTime.UnixNano())
 	settings := cfg.serverConfig()
@@ -90,7 +90,7 @@
 			break
 		}
 	}
-	if n.core, err = callserver.New(settings); err != nil {
+	if n.server, err = callserver.New(settings); err != nil {
 		return nil, &ConfigError{File: path, Err: err}
 	}
 	return n, nil
@@ -136,11 +136,11 @@
 			return err
 		}
 	}
-	n.log.Info("started", "listen", n.listener.Addr().String(), "journal", n.cfg.Journal, "sockets", n.cfg.Limits.Sockets,
+	n.log.Info("started", "listen", n.listener.Addr().String(), "journal", n.cfg.DiscoveryAddr, "sockets", n.cfg.Limits.Sockets,
 		"memory_mb", n.cfg.Limits.MemoryMB, "cores", n.cfg.Limits.Cores)
-	n.core.Start(n.now(), n.cfg.Known)
-	n.discoveryPos.Store(n.core.Position())
-	n.startDiscovery(n.cfg.Journal)
+	n.server.Start(n.now(), n.cfg.Snapshot)
+	n.discoveryPos.Store(n.server.Position())
+	n.startDiscovery(n.cfg.DiscoveryAddr)
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
@@ -150,7 +150,7 @@
 	n.Kill()
 	n.wg.Wait()
 	n.closeUnhandled()
-	n.core.LogTotals()
+	n.server.LogTotals()
 	n.applyEffects()
 	n.log.Info("ended")
 	return nil
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -52,8 +52,8 @@
 	checker := rulecheck.NewPlatformChecker(200*time.Millisecond, time.Second, 50*time.Millisecond)
 	h := &harness{t: t, env: platform.NewEnvironment(checker), ended: make(chan error, 1), configPath: filepath.Join(t.TempDir(), "config.json"),
 		settingsEdits: strings.NewReplacer(), logHandler: slog.NewTextHandler(io.Discard, nil)}
-	for cell, id := range []string{"s-own", "s-a", "s-b"} {
-		office, err := h.env.NewOffice(id, cell, 300*time.Millisecond, behavior)
+	for exchange, id := range []string{"s-own", "s-a", "s-b"} {
+		office, err := h.env.NewOffice(id, exchange, 300*time.Millisecond, behavior)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -165,7 +165,7 @@
 }
 
 // With offices of every behavior each call gets exactly one answer in time, and no rule is broken.
-func TestCallsThroughAllBehaviors(t *testing.T) {
+func TestCallsAtOfficesOfEveryBehavior(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
 		if attempt > 1 {
@@ -218,12 +218,12 @@
 
 // The connection to the discovery service breaks, the service falls silent and its address changes: events that arrive
 // afterwards are still applied.
-func TestDiscoveryBreaksAndMoves(t *testing.T) {
+func TestDiscoveryReconnectsAndChangesAddress(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall })
-	awaitRequest := func(journal *platform.DiscoveryService) uint64 {
+	awaitRequest := func(service *platform.DiscoveryService) uint64 {
 		select {
-		case pos := <-journal.Requests:
+		case pos := <-service.Requests:
 			return pos
 		case <-time.After(5 * time.Second):
 			t.Fatal("the discovery service gets no request")
@@ -285,7 +285,7 @@
 
 // A drain answers the calls that were accepted before and during it, serves calls in transit until shortly before the
 // process may be killed, and then ends.
-func TestDrainAnswersWhatWasTaken(t *testing.T) {
+func TestDrainAnswersAcceptedCalls(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
 		if call == 1 {
@@ -646,7 +646,7 @@
 }
 
 // Guards against a connection that is accepted at the moment a drain ends and whose request is never handled.
-func TestWhatIsAcceptedLastIsAnswered(t *testing.T) {
+func TestLastAcceptedConnectionIsAnswered(t *testing.T) {
 	t.Parallel()
 	blocker := newLoopBlocker("draining")
 	h := newHarness(t, func(uint64, int) platform.Behavior { return platform.AnswerCall }, func(h *harness) {
@@ -768,7 +768,7 @@
 
 // An unresponsive office does not affect calls to another one, and gets calls again once it responds. A set-up with the id
 // of an open call is refused, and the open call is not affected.
-func TestUnresponsiveOfficeAndIDsInUse(t *testing.T) {
+func TestUnresponsiveOfficeAndDuplicateCallID(t *testing.T) {
 	t.Parallel()
 	var unresponsive atomic.Bool
 	unresponsive.Store(true)
