--- a/callserver/attempts.go
+++ b/callserver/attempts.go
@@ -8,10 +8,10 @@
 	"finchlatch/office"
 )
 
-// assignConn sends an attempt on a connection to its office, or queues it until one is up. A corrupted answer ends every attempt on its
-// connection, so each set-up gets a connection of its own as far as descriptors allow, and an idle one is kept ready. An
-// attempt is never sent on a connection of an earlier attempt of its call: a late answer to that one would be taken for its
-// own.
+// assignConn sends an attempt on a connection to its office, or queues it until one is up. A corrupted answer ends every
+// attempt on its connection, so each set-up gets a connection of its own as far as descriptors allow, and an idle one is kept
+// ready; ensureIdleConn opens none to the offices of the own exchange, unless the settings have pools. An attempt is never
+// sent on a connection of an earlier attempt of its call: a late answer to that one would be taken for its own.
 func (s *Server) assignConn(call *activeCall) {
 	remote := call.remote
 	if conn := remote.leastLoadedConn(call.previousConns...); conn != nil {
@@ -33,10 +33,12 @@
 		TimeLeftMs: remainingMs, Number: call.calledNumber, Description: call.description})
 }
 
-// belongsToEarlierAttempt reports whether a release on the connection of an earlier attempt refers to that attempt, while
-// the call is established by a later one. An established call is released with the normal cause, or with cause 41 (temporary
-// failure) when it is dropped. Cause 41 may also end an attempt that was given up, crossing our release; for an attempt
-// whose end the office has reported nothing more can come.
+// belongsToEarlierAttempt reports whether a release refers to an earlier attempt of a call that a later attempt has
+// established. It can only do so on the connection of the earlier attempt, and while the connection of the later one is open.
+// An established call is released with the normal cause, or with cause 41 (temporary failure) when it is dropped, so any
+// other cause belongs to the earlier attempt. Cause 41 is ambiguous: it belongs to the earlier attempt if that was ended by a
+// release from here, which the office's release may have crossed, and the call was answered less than connLossDelay ago. If
+// the office itself ended the earlier attempt, it sends nothing more for it, and the release is for the established call.
 func (s *Server) belongsToEarlierAttempt(call *activeCall, conn *officeConn, cause byte) bool {
 	if !slices.Contains(call.previousConns, conn.id) || cause == office.CauseNormal || call.conn == nil ||
 		s.officeConns[call.conn.id] != call.conn {
@@ -45,7 +47,9 @@
 	return cause != office.CauseTemporary || slices.Contains(call.releasedConns, conn.id) && s.now-call.answeredAt < connLossDelay
 }
 
-// statusByCause maps the cause of a release before the answer to the status of the attempt; other causes mean Reset.
+// statusByCause maps the cause of a release before the answer to the status that the Controller is given for the attempt.
+// Faulted is both a busy number and a signalling fault; the note of the release tells them apart. After office.CauseTimer the
+// attempt counts as not sent, since it had no effect. Other causes, and a release without one, mean Reset.
 var statusByCause = map[byte]logic.Status{office.CauseNoCircuit: logic.Full, office.CauseBusy: logic.Faulted,
 	office.CauseResource: logic.Faulted, office.CauseTimer: logic.NotSent, office.CauseTemporary: logic.Reset}
 
--- a/callserver/callers.go
+++ b/callserver/callers.go
@@ -21,25 +21,29 @@
 	framer             sip.Framer
 	openCalls          int // without a final answer
 	acceptedAt         time.Duration
-	lastUsed           time.Duration // when it last carried a call; 0: never; usedWithoutCall: only other messages
-	carriedEstablished bool          // it carried a call that was established
-	unfinishedSince    time.Duration // when the incomplete message at its end began; 0: none
+	lastUsed           time.Duration // last INVITE, valid or not, or end of an open call; 0: no message yet; usedWithoutCall: others only
+	carriedEstablished bool          // a call on it was established, or an established call was claimed on it
+	unfinishedSince    time.Duration // since when the last message received is incomplete; 0: it is complete
 	unansweredByes     unacknowledgedReleases
-	lastActivity       time.Duration // when bytes last came
+	lastActivity       time.Duration // when bytes were last received
 }
 
-// Limits on connections from callers and the syntax of their messages; they do not limit calls.
+// Limits on connections from callers and on the syntax of their messages. None of them limits the number of calls.
 const (
-	callerMessageTimeout = 2 * time.Second        // for the first complete message, and for the rest of one that has begun
-	callerRecheckDelay   = 50 * time.Millisecond  // of a connection with an unfinished message and open calls
-	firstMessageGrace    = 100 * time.Millisecond // a new connection without a message ranks above one that carried no call
-	legValueLimit        = 1 << 16                // exclusive, for exchange numbers and widths
+	callerMessageTimeout = 2 * time.Second // for the first complete message, and for the rest of one that has begun
+	// callerRecheckDelay is the time between checks of a connection whose message is overdue while it carries open calls.
+	callerRecheckDelay = 50 * time.Millisecond
+	// firstMessageGrace is how long a new connection may stay without a message before it is among the first to be evicted.
+	// Until then it ranks above connections that have carried messages but no INVITE.
+	firstMessageGrace = 100 * time.Millisecond
+	legValueLimit     = 1 << 16 // exchange numbers and widths are less than this
 )
 
-// usedWithoutCall is the value of callerConn.lastUsed on a connection that has carried messages but no call.
+// usedWithoutCall is the value of callerConn.lastUsed on a connection that has carried messages but no INVITE.
 const usedWithoutCall time.Duration = 1
 
-// callerAccepted registers a new connection. Above the limit, the one that ranks lowest is closed.
+// callerAccepted registers a new connection. Above the limit, the one that ranks lowest is closed, or the new one itself if
+// all others carry open calls.
 func (s *Server) callerAccepted(id ConnID, remoteAddr string) {
 	caller := &callerConn{id: id, remoteAddr: remoteAddr, acceptedAt: s.now}
 	s.callerConns[id] = caller
@@ -77,7 +81,7 @@
 	switch {
 	case caller.carriedEstablished:
 		return 4
-	case caller.lastUsed > usedWithoutCall: // it has carried a call
+	case caller.lastUsed > usedWithoutCall: // it has carried an INVITE
 		return 3
 	case caller.lastUsed == 0 && s.now-caller.acceptedAt < firstMessageGrace:
 		return 2
@@ -96,7 +100,8 @@
 	switch {
 	case caller.lastUsed == 0 && caller.unfinishedSince == 0:
 		s.closeCallerConn(caller, "no message received")
-	// The open calls may be of other callers; they are answered first.
+	// The connection is not closed before its open calls are answered: other callers may have sent them on it than the one whose
+	// message is incomplete.
 	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout && caller.openCalls > 0:
 		s.armTimer(callerRecheckDelay, timer{kind: timerCheckCallerConn, targetID: uint64(id)})
 	case caller.unfinishedSince > 0 && s.now-caller.unfinishedSince >= callerMessageTimeout:
@@ -106,7 +111,7 @@
 	}
 }
 
-// closeCallerConn closes a connection and ends its open calls.
+// closeCallerConn closes a connection and ends the open calls on it.
 func (s *Server) closeCallerConn(caller *callerConn, why string) {
 	s.log(slog.LevelDebug, "caller's connection closed", slog.String("from", caller.remoteAddr), slog.String("why", why))
 	s.emit(Close{Conn: caller.id})
@@ -114,7 +119,7 @@
 }
 
 // callerConnEnded ends the open calls of a connection. Established calls belong to no connection. Releases that may be lost
-// with it are sent again.
+// with it are sent again on another one.
 func (s *Server) callerConnEnded(caller *callerConn) {
 	delete(s.callerConns, caller.id)
 	for _, r := range caller.unansweredByes.takeLost(s.now) {
@@ -152,8 +157,8 @@
 	}
 }
 
-// rejectAndClose answers a message that cannot be parsed and closes the connection, as the bytes that follow it cannot be
-// framed reliably.
+// rejectAndClose answers a message and closes the connection: the message cannot be parsed, so that the bytes after it cannot
+// be framed reliably, or rejectMessage has found nothing worth keeping the connection for.
 func (s *Server) rejectAndClose(caller *callerConn, err error) {
 	s.totals.RejectedMessages++
 	s.log(slog.LevelInfo, "caller's message refused", slog.String("from", caller.remoteAddr), slog.String("err", err.Error()))
@@ -173,7 +178,7 @@
 
 // handleCallerMessage handles one message of a caller.
 func (s *Server) handleCallerMessage(caller *callerConn, msg *sip.Message) {
-	caller.lastUsed = max(caller.lastUsed, usedWithoutCall) // only set-ups count as use
+	caller.lastUsed = max(caller.lastUsed, usedWithoutCall) // an INVITE sets it to the present time below
 	s.trace("from caller", msg.Method, caller.remoteAddr, caller.id, msg.CallID, msg.Status)
 	if msg.Status > 0 { // the response to a BYE
 		if id, err := parseCallID(msg.CallID); err == nil {
@@ -211,7 +216,7 @@
 	return 200
 }
 
-// handleInvite handles a set-up, or an INVITE that names a call established by an earlier process.
+// handleInvite handles a set-up, or an INVITE that claims a call established by an earlier process.
 func (s *Server) handleInvite(caller *callerConn, msg *sip.Message) {
 	invite, err := s.parseInvite(msg)
 	if err != nil {
@@ -245,7 +250,7 @@
 }
 
 // rejectMessage answers a well-formed message with invalid content. The connection stays open if it carries open calls or
-// has carried an established one, as those may be of other callers.
+// has carried an established one, as those may be of other callers; otherwise it is closed.
 func (s *Server) rejectMessage(caller *callerConn, msg *sip.Message, status int, why string) {
 	if caller.openCalls == 0 && !caller.carriedEstablished {
 		s.rejectAndClose(caller, &sip.Fault{Status: status, Text: why, Head: msg})
@@ -256,7 +261,7 @@
 	s.respond(caller, sip.HeadOf(msg), status, 0, nil)
 }
 
-// lookUpCall returns the call that a message of a caller names, or nil.
+// lookUpCall returns the open or established call with the Call-ID of a message, or nil.
 func (s *Server) lookUpCall(msg *sip.Message) *activeCall {
 	id, err := parseCallID(msg.CallID)
 	if err != nil {
--- a/callserver/calls.go
+++ b/callserver/calls.go
@@ -23,9 +23,9 @@
 type activeCall struct {
 	id              uint64      // the Controller's ID; 0: adopted, unknown to the Controller
 	wireID          uint64      // ID toward callers and offices
-	callID          string      // wireID as it is written in the Call-ID header
+	callID          string      // the Call-ID header as received, which is wireID in hex digits
 	inviteHead      sip.Head    // of the INVITE, for the final answer
-	callerConn      *callerConn // connection that the call came on, or was last named on
+	callerConn      *callerConn // connection on which its INVITE came, or the latest claim to the established call
 	state           callState
 	className       string
 	calledNumber    string
@@ -34,13 +34,13 @@
 	remote          *remoteOffice // of the current attempt, or where the call is established
 	conn            *officeConn   // of the current attempt, once it has one
 	previousConns   []ConnID      // of earlier attempts
-	releasedConns   []ConnID      // those of previousConns on which the office has not confirmed the end of the attempt
+	releasedConns   []ConnID      // those of previousConns whose attempt was ended by a release from here
 	answeredAt      time.Duration
 	sentAt          time.Duration // when the Controller asked for the attempt
 	attemptDeadline time.Duration
 	width           int           // number of circuits
-	setUpFailedAt   time.Duration // when an attempt failed with the temporary-failure cause
-	awaitsOutcome   bool          // an attempt is outstanding or waits for a connection, or the call is established
+	setUpFailedAt   time.Duration // when an attempt last failed with the temporary-failure cause
+	awaitsOutcome   bool          // the Controller has not been given the Outcome of the latest attempt, or of the call established by it
 	setUpSent       bool          // the set-up of the attempt has been handed to the connection
 	releaseSent     bool          // the release of the attempt has been handed to the connection
 	offeredAt       time.Duration
@@ -48,12 +48,14 @@
 	lastNote        int          // likewise
 }
 
-// outstanding reports whether an attempt has neither been answered nor ended.
+// attemptOutstanding reports whether the Controller has started an attempt that has neither been answered nor ended. It may
+// still wait for a connection.
 func (c *activeCall) attemptOutstanding() bool {
 	return c.awaitsOutcome && !c.releaseSent && c.state == callSettingUp
 }
 
-// callsInOrder returns the calls in the order in which they arrived.
+// callsInOrder returns the open and established calls in a fixed order: adopted ones by wire ID, then the others in the order
+// in which they arrived.
 func (s *Server) callsInOrder() []*activeCall {
 	all := make([]*activeCall, 0, len(s.callsByWireID))
 	for _, call := range s.callsByWireID {
@@ -68,8 +70,8 @@
 	s.totals.Offered++
 	call := &activeCall{wireID: invite.wireID, callID: invite.msg.CallID, inviteHead: sip.HeadOf(invite.msg),
 		callerConn: caller, className: invite.className, calledNumber: invite.calledNumber, description: invite.description}
-	// During shutdown only transit calls are accepted: they arrive for as long as this process runs, and no other call server
-	// can use this exchange as a tandem without it.
+	// While this process drains, only transit calls are accepted: they arrive for as long as it runs, and without it no other
+	// call server could use this exchange as a tandem.
 	if s.endsAt > 0 && !invite.offer.Transit || s.cfg.MaxOpenCalls > 0 && s.openCalls >= s.cfg.MaxOpenCalls {
 		s.respond(caller, call.inviteHead, 503, 0, nil)
 		s.totals.Refused++
@@ -123,7 +125,7 @@
 		return
 	}
 	if conn := call.conn; conn.writeBlocked && s.officeConns[conn.id] == conn {
-		s.abortConn(conn, "writes are blocked ahead of a set-up whose caller hung up")
+		s.abortConn(conn, "writes are blocked ahead of a set-up whose call is over")
 	}
 }
 
@@ -135,14 +137,14 @@
 	delete(s.callsByWireID, call.wireID)
 }
 
-// removeIfOver removes a call that has had its final answer and has no active attempt.
+// removeIfOver removes a call that has had its final answer, or needs none, and whose last attempt has ended.
 func (s *Server) removeIfOver(call *activeCall) {
 	if s.callsByWireID[call.wireID] != call && !call.awaitsOutcome {
 		delete(s.callsByID, call.id)
 	}
 }
 
-// sendNegativeAnswer gives a final answer other than success.
+// sendNegativeAnswer gives the final answer of a call that is refused or has failed.
 func (s *Server) sendNegativeAnswer(call *activeCall, status, retryAfter int) {
 	if s.callsByWireID[call.wireID] != call || call.state != callSettingUp {
 		return
@@ -222,8 +224,9 @@
 	s.controller.Outcome(s.now, outcome)
 }
 
-// callEndedBeforeAnswer handles the end of a call that was established at its office while its caller still waits: the answer was
-// lost or arrives after the end. The caller is answered now; another attempt would set up a call that has already run.
+// callEndedBeforeAnswer handles the release of a call that was established at its office while its caller still waits: the
+// answer was lost or arrives after the release. The caller gets the final answer now, since another attempt would set up the
+// call a second time.
 func (s *Server) callEndedBeforeAnswer(call *activeCall, conn *officeConn, load []float64) {
 	s.failEndedCall(call)
 	if conn.findAttempt(call.wireID) != call { // released on another connection, or after the attempt was given up
@@ -252,8 +255,8 @@
 	s.releaseToCaller(call, cause)
 }
 
-// releaseAttempt ends an outstanding attempt. If its set-up was sent, the office is sent a release first, and the Controller is
-// notified once that has been written, as the release time before another attempt counts from there (rule 5).
+// releaseAttempt ends an outstanding attempt. If its set-up was sent, the office is sent a release first. The Controller is
+// given the outcome once the release has been written, as the release time before another attempt begins then (rule 5).
 func (s *Server) releaseAttempt(call *activeCall, status logic.Status) {
 	s.detachAttempt(call)
 	if !call.setUpSent {
@@ -273,7 +276,8 @@
 	})
 }
 
-// adoptCall registers a call that was established by an earlier process and that its caller names again.
+// adoptCall registers a call that an earlier process has established and that its caller claims: a caller that has reconnected
+// sends an INVITE with the ID of the office at which the call is established (see parseLegs), which is not answered.
 func (s *Server) adoptCall(caller *callerConn, invite invitation) {
 	caller.lastUsed, caller.carriedEstablished = s.now, true
 	if existing := s.callsByWireID[invite.wireID]; existing != nil {
@@ -292,7 +296,7 @@
 	s.callsByWireID[call.wireID] = call
 	call.remote = s.offices[invite.officeID]
 	if call.remote == nil {
-		call.remote = &remoteOffice{id: invite.officeID} // not named by service discovery yet
+		call.remote = &remoteOffice{id: invite.officeID} // not listed by service discovery yet
 		call.remote.establishedCalls++
 		s.armTimer(adoptedOfficeTimeout, timer{kind: timerCheckAdopted, targetID: call.wireID})
 	} else {
@@ -300,7 +304,7 @@
 		s.markAdoptedUnverified(call.remote)
 	}
 	if cause, ended := s.unclaimed.take(invite.wireID); ended {
-		s.endEstablished(call, logic.Reset, cause, nil, "released by its office before its caller named it")
+		s.endEstablished(call, logic.Reset, cause, nil, "released by its office before its caller claimed it")
 		return
 	}
 	if call.remote.state == logic.Gone && s.offices[invite.officeID] != nil {
@@ -308,10 +312,11 @@
 	}
 }
 
-// adoptedOfficeTimeout is how long service discovery may take to name the office of an adopted call.
+// adoptedOfficeTimeout is how long service discovery may take to list the office of an adopted call.
 const adoptedOfficeTimeout = 5 * time.Second
 
-// checkAdopted ends an adopted call whose office service discovery has not named in time.
+// checkAdopted attaches an adopted call to its office if service discovery has listed that meanwhile, and otherwise ends the
+// call.
 func (s *Server) checkAdopted(wireID uint64) {
 	call := s.callsByWireID[wireID]
 	if call == nil || call.id != 0 || s.offices[call.remote.id] == call.remote {
@@ -322,5 +327,5 @@
 		s.addEstablished(remote)
 		return
 	}
-	s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "adopted at an office that service discovery does not name")
+	s.endEstablished(call, logic.Reset, office.CauseTemporary, nil, "adopted at an office that service discovery does not list")
 }
--- a/callserver/callserver.go
+++ b/callserver/callserver.go
@@ -1,7 +1,8 @@
-// Package callserver implements the platform's call server as a state machine without I/O. It takes SIP set-ups from
-// callers, makes attempts at remote offices over the binary office protocol and follows service discovery; one Controller
-// of package logic makes every decision about calls. Inputs carry the time, effects are returned to be carried out. The
-// package has no sockets, files, clock or goroutines.
+// Package callserver implements the platform's call server as a state machine without I/O. The platform is the system that
+// call servers are deployed in: callers, offices and service discovery, which are processes of others, and the protocols
+// between them. A Server takes SIP set-ups from callers, makes attempts at remote offices over the binary office protocol
+// and follows service discovery; one Controller of package logic makes every decision about calls. Inputs carry the time,
+// effects are returned to be carried out. The package has no sockets, files, clock or goroutines.
 package callserver
 
 import (
@@ -20,10 +21,13 @@
 type Config struct {
 	Settings       logic.Settings // Host is set by New
 	Seed           int64
-	ConnectTimeout time.Duration // of a connection to an office, and of a probe
-	MaxOpenCalls   int           // maximum number of calls without a final answer, and of adopted calls
-	MaxCallerConns int           // maximum number of connections from callers
-	MaxOfficeConns int           // maximum number of connections to offices
+	ConnectTimeout time.Duration // of a connection to an office, and of a health check that the Controller asks for
+	// MaxOpenCalls is two separate limits: of calls without a final answer (0: no limit), and of adopted calls (0: none).
+	MaxOpenCalls   int
+	MaxCallerConns int // maximum number of connections from callers
+	// MaxOfficeConns is the number of connections to offices that is shared between them. Additional connections may exceed
+	// it by 1/halfClosedDivisor, and an office's share is exceeded by one for each call that waits for a connection.
+	MaxOfficeConns int
 	LogLevel       slog.Level
 }
 
@@ -32,12 +36,12 @@
 	At      time.Duration // Unix time
 	Kind    InputKind
 	Conn    ConnID
-	From    string        // remote address
-	Refused bool          // by the peer
-	Reset   bool          // without an orderly close: the last bytes written may not have been read
-	Blocked bool          // whether writes are blocked
+	From    string        // remote address of an accepted connection
+	Refused bool          // the peer refused the connection: no process listens at its address
+	Reset   bool          // the connection ended without an orderly close: the peer may not have read the last bytes written
+	Blocked bool          // whether writes on the connection are blocked
 	Bytes   []byte        // not retained
-	Delay   time.Duration // how long the bytes or the close waited in this process; callers have waited as long
+	Delay   time.Duration // how long ago the bytes or the end of the connection reached this process
 	Events  []feed.Event
 	EndsAt  time.Duration // Unix time at which this process ends
 }
@@ -53,25 +57,25 @@
 	lastConnID         ConnID
 	callerConns        map[ConnID]*callerConn
 	officeConns        map[ConnID]*officeConn
-	halfClosedConns    int                      // number of officeConns that are half-closed and not lingering
-	callsByID          map[uint64]*activeCall   // by the Controller's ID
-	callsByWireID      map[uint64]*activeCall   // open and established calls
+	halfClosedConns    int                      // number of officeConns that are half-closed and not retained
+	callsByID          map[uint64]*activeCall   // calls that the Controller knows, until their last attempt has ended
+	callsByWireID      map[uint64]*activeCall   // open and established calls, adopted ones too
 	openCalls          int                      // calls without a final answer
-	lastID             uint64                   // the last ID given to a call, a probe or a heartbeat
+	lastID             uint64                   // the last ID given to a call, a health check or a heartbeat
 	endsAt             time.Duration            // when this process ends; 0: not known
 	recentDrops        liveness.DropTracker     // when established calls were last dropped
 	failedSetUps       []*activeCall            // set-ups that recently failed with the temporary-failure cause
-	unclaimed          unclaimedReleases        // releases of calls that no caller has named yet
+	unclaimed          unclaimedReleases        // releases of calls that no caller has claimed yet
 	announcedStarts    map[string]time.Duration // start times of offices by address, from the events being applied
 	byesAnswered       bool                     // callers have been seen to respond to BYE
-	adoptedCalls       int                      // established calls of an earlier process that callers named again
+	adoptedCalls       int                      // established calls of an earlier process that callers have claimed
 	offices            map[string]*remoteOffice // by ID
-	healthChecks       map[uint64]*healthCheck  // by probe ID
+	healthChecks       map[uint64]*healthCheck  // outstanding ones, by the ID in their message
 	pendingReleases    []release                // no caller connection could carry them yet
 	position           uint64                   // in the stream of service discovery events
 	startedAt          time.Duration
 	discoveryChangedAt time.Duration // when service discovery last reported a change
-	ready              bool          // a health check has been passed
+	ready              bool          // an OPTIONS request has been answered with 200
 	deferred           []func()      // runs after the current input
 	afterWritten       []func()      // ends of attempts, to run once their releases have been written
 	effects            []Effect      // not yet returned by Effects
@@ -94,7 +98,7 @@
 type timer struct {
 	kind           timerKind
 	controllerMark string // given by the Controller
-	targetID       uint64 // of a call, a connection or a probe
+	targetID       uint64 // a ConnID, the Controller's ID or the wire ID of a call, or the ID of a health check
 	arg            int    // attempt number, count of messages, or ID of a caller connection
 	officeID       string
 }
@@ -103,20 +107,20 @@
 type timerKind byte
 
 const (
-	timerController        timerKind = iota // set by the Controller
-	timerAttemptTimeout                     // an attempt has no answer
-	timerCheckCallerConn                    // a caller connection should have delivered a complete message
-	timerUnfinishedMessage                  // a message of an office should be complete
-	timerReconnect                          // try again to connect to an office
-	timerHalfClosed                         // the office should have closed a half-closed connection
-	timerCheckConns                         // check for dead connections to an office
-	timerDrainGrace                         // unsent set-ups to a draining office must not be sent any more
-	timerHealthCheckTimeout
-	timerCheckLiveness    // of an office
-	timerVerifyCalls      // compare the calls of an office with its circuits in use
-	timerRepeatBye        // a caller should have responded to a BYE
-	timerSuccessorTimeout // service discovery should have named the successor of an office that is gone
-	timerCheckAdopted     // service discovery should have named the office of an adopted call
+	timerController         timerKind = iota // set by the Controller
+	timerAttemptTimeout                      // an attempt has no answer
+	timerCheckCallerConn                     // a caller connection should have delivered a complete message
+	timerUnfinishedMessage                   // a message of an office should be complete
+	timerReconnect                           // try again to connect to an office
+	timerHalfClosed                          // the office should have closed a half-closed connection
+	timerCheckConns                          // open another connection to an office if a release of it may have been lost
+	timerDrainGrace                          // set-ups to a draining or gone office that are still unsent must not be sent any more
+	timerHealthCheckTimeout                  // an office should have answered a health check
+	timerCheckLiveness                       // run the failure detector of an office
+	timerVerifyCalls                         // compare the calls of an office with its circuits in use
+	timerRepeatBye                           // a caller should have responded to a BYE
+	timerSuccessorTimeout                    // service discovery should have listed a successor of an office that is gone
+	timerCheckAdopted                        // service discovery should have listed the office of an adopted call
 )
 
 // New returns a Server, or an error that names the invalid setting.
@@ -300,7 +304,7 @@
 	if caller := s.callerConns[id]; caller != nil {
 		s.callerConnEnded(caller)
 	} else if conn := s.officeConns[id]; conn != nil {
-		s.officeConnEnded(conn, reset, "closed by the other end")
+		s.officeConnEnded(conn, reset, "closed or reset by the other end")
 	}
 }
 
--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -17,17 +17,17 @@
 	framer           office.Framer
 	up               bool
 	writeBlocked     bool // TCP accepts no more bytes for now
-	halfClosed       bool // closed for writing; what is under way is still read
+	halfClosed       bool // closed for writing by this process; what the office has written is still read
 	halfClosedAt     time.Duration
-	retained         bool                   // half-closed and read on while its office may be unreachable
-	suspect          bool                   // an answer on it is missing: no new attempts, closed once none is outstanding
-	outstandingCalls []*activeCall          // calls with an attempt on it
-	upOrDialledAt    time.Duration          // when it was dialled; once up, when it came up
-	lastActivity     time.Duration          // when bytes last came; 0: never
+	retained         bool                   // half-closed, and still read after halfClosedTimeout, as its office may be unreachable
+	suspect          bool                   // it may be dead: no new attempts, half-closed once none is outstanding
+	outstandingCalls []*activeCall          // calls whose outstanding attempt was sent on it
+	upOrDialledAt    time.Duration          // when it came up; until then, when it was dialled
+	lastActivity     time.Duration          // when bytes were last received; 0: never
 	messageCount     int                    // messages received
 	stateReported    bool                   // the office has reported its group state on this connection
 	circuitsInUse    int                    // in the first such report
-	unacknowledged   unacknowledgedReleases // releases sent on it
+	unacknowledged   unacknowledgedReleases // releases of established calls sent on it
 }
 
 // leastLoadedConn returns the usable connection with the fewest outstanding attempts, or nil.
@@ -68,7 +68,8 @@
 	return counts
 }
 
-// ensureIdleConn opens a connection if the next attempt would find none.
+// ensureIdleConn opens a connection to an office if the next attempt would find none. None is opened to offices that are gone
+// or, unless the settings have pools, of the own exchange.
 func (s *Server) ensureIdleConn(remote *remoteOffice) {
 	if remote.state == logic.Gone || remote.exchange == s.cfg.Settings.Home && !s.cfg.Settings.Pools {
 		return
@@ -91,7 +92,7 @@
 	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Timeout: s.cfg.ConnectTimeout})
 }
 
-// armConnCheck schedules a check of an office's connections.
+// armConnCheck schedules the next call of checkConns.
 func (s *Server) armConnCheck(remote *remoteOffice) {
 	if !remote.connCheckArmed {
 		remote.connCheckArmed = true
@@ -99,14 +100,16 @@
 	}
 }
 
-// guardAgainstLostRelease handles a connection that has ended or become suspect: what its office wrote on it last may be lost.
+// guardAgainstLostRelease handles a connection that has ended or was retired as suspect: a release that its office wrote on it
+// last may be lost, and is repeated only on a connection that is opened after it.
 func (s *Server) guardAgainstLostRelease(remote *remoteOffice) {
 	remote.releaseRiskAt = s.now
 	s.openAdditionalConn(remote, false)
 	s.armConnCheck(remote)
 }
 
-// checkConns opens another connection if a release may have been lost since the last check, or may be lost now.
+// checkConns opens another connection to an office if one has ended or was retired within the last two checks, or if an attempt
+// has been without an answer for slowAnswerThreshold, so that its connection may be dead: a release may be lost with either.
 func (s *Server) checkConns(id string) {
 	remote := s.offices[id]
 	if remote == nil {
@@ -128,12 +131,12 @@
 	}
 }
 
-// openAdditionalConn opens a connection besides those that are up. An office writes a release on the connection of the set-up
-// or on any open one, and repeats it on the next one that is opened. If the first is dead and no other is opened, as idle ones
-// exist, the caller does not learn in time that its call is over.
+// openAdditionalConn opens another connection to an office that holds established calls, even if there are idle ones. An office
+// writes a release on the connection of the set-up or on any other open one. If that one turns out to be dead, the office
+// repeats the release only on a connection that is opened later, and until then the caller does not learn that its call is over.
 //
-// With force it does so even while others are being dialled and at the limit of connections, as nothing has been received
-// from the office.
+// Without force it does nothing while another connection is being dialled, or at the limit of connections unless an idle one
+// can make room. With force, for an office from which nothing is received, only maxDialling limits it.
 func (s *Server) openAdditionalConn(remote *remoteOffice, force bool) {
 	if remote.establishedCalls == 0 || remote.state == logic.Gone || s.now < remote.reconnectAt {
 		return
@@ -148,8 +151,10 @@
 	s.makeRoomAndDial(remote)
 }
 
-// makeRoomAndDial opens another connection to an office. If the office has enough idle connections or as many connections as
-// it may, its oldest idle one is half-closed first. If many offices are unreachable at once, descriptors are the limit.
+// makeRoomAndDial opens another connection to an office. If the office has maxIdleConns idle connections, or its full share of
+// connections and an idle one, its oldest idle one is half-closed first. If the descriptors that additional connections may
+// use are all taken, as they are when many offices are unreachable at once, the oldest idle one is closed instead, so that it
+// needs no descriptor while it is half-closed; without an idle one, nothing is done.
 func (s *Server) makeRoomAndDial(remote *remoteOffice) {
 	counts := remote.countConns()
 	full := len(s.officeConns) >= s.cfg.MaxOfficeConns+s.cfg.MaxOfficeConns/halfClosedDivisor
@@ -157,7 +162,7 @@
 	case full && counts.idle == 0:
 		return
 	case full:
-		s.closeConn(counts.oldestIdle, "replaced by a new connection; no descriptor left to read it on")
+		s.closeConn(counts.oldestIdle, "replaced by a new connection; no descriptor left to keep it half-closed")
 	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.total >= s.connLimitPerOffice():
 		s.halfClose(counts.oldestIdle, "replaced by a new connection")
 	}
@@ -179,7 +184,7 @@
 	s.unregisterConnAndOffice(conn)
 }
 
-// redial opens a connection to an office whose backoff is over.
+// reconnect opens a connection to an office whose backoff is over, if it needs one.
 func (s *Server) reconnect(id string) {
 	if remote := s.offices[id]; remote != nil && s.now >= remote.reconnectAt {
 		s.ensureIdleConn(remote)
@@ -210,7 +215,8 @@
 	s.ensureIdleConn(remote)
 }
 
-// dialFailed handles a connection that did not come up: no attempt that waited for it has run.
+// dialFailed handles a connection that did not come up. The attempts that waited for it are sent on other connections or end
+// with NoConnect: they had no effect at the office.
 func (s *Server) dialFailed(id ConnID, refused bool) {
 	conn := s.officeConns[id]
 	if conn == nil {
@@ -244,7 +250,7 @@
 	s.cleanUpGoneOffice(remote)
 }
 
-// unregisterConnAndOffice removes a connection, and its office if that is gone.
+// unregisterConnAndOffice removes a connection from the state of the Server, and its office if that is gone.
 func (s *Server) unregisterConnAndOffice(conn *officeConn) {
 	s.unregisterConn(conn)
 	s.cleanUpGoneOffice(conn.remote)
@@ -258,8 +264,9 @@
 	conn.remote.conns = slices.DeleteFunc(conn.remote.conns, func(other *officeConn) bool { return other == conn })
 }
 
-// officeConnEnded ends the attempts on a connection that has ended. Established calls belong to no connection. A half-closed
-// connection that ends in order has been read to its end by the office; after a reset, what was written on it may be lost.
+// officeConnEnded ends the attempts on a connection that has ended. Established calls belong to no connection. If an office
+// closes a half-closed connection without a reset, it has read everything that was written on it; after a reset, the releases
+// may be lost.
 func (s *Server) officeConnEnded(conn *officeConn, reset bool, why string) {
 	remote := conn.remote
 	s.logConn("office's connection ended", conn, why)
@@ -282,8 +289,9 @@
 	s.ensureIdleConn(remote)
 }
 
-// backOffAfterEarlyClose delays the next connection to an office that accepts connections and ends them before it has sent
-// anything, which would otherwise be repeated without limit. Attempts do not wait for it.
+// backOffAfterEarlyClose delays the next connection after one that ended before anything was received on it. Otherwise an
+// office that accepts connections and closes them at once would be dialled again and again without a delay. An attempt does not
+// wait for the end of the backoff, since assignConn resets it.
 func (s *Server) backOffAfterEarlyClose(conn *officeConn) {
 	remote := conn.remote
 	if conn.lastActivity > 0 {
@@ -293,7 +301,7 @@
 	remote.earlyCloses++
 }
 
-// scheduleReconnect arms the next connection to an office, with a backoff that doubles with each consecutive failure.
+// scheduleReconnect sets the backoff of an office, which doubles with each consecutive failure, and arms the timer for its end.
 func (s *Server) scheduleReconnect(remote *remoteOffice, failures int, maxDelay time.Duration) {
 	delay := min(initialReconnectDelay<<min(failures, maxReconnectDoublings), maxDelay)
 	remote.reconnectAt = s.now + delay
@@ -309,9 +317,9 @@
 	s.officeConnEnded(conn, true, why)
 }
 
-// suspectConnsSince marks a connection on which an attempt sent at sentAt got no answer as suspect. If nothing has been
-// received from the office since, all its older connections are: connections of a host that has vanished stay open, and
-// each would cost an attempt. Once the host is back, new connections carry its messages.
+// suspectConnsSince marks a connection as suspect on which an attempt, sent at sentAt, got no answer. If nothing has been
+// received from the office on any connection since sentAt, it also marks those that were up by then: connections of a host that
+// has vanished stay open on this side, and each of them would cost an attempt. New connections come up once the host is back.
 func (s *Server) suspectConnsSince(conn *officeConn, sentAt time.Duration) {
 	remote := conn.remote
 	active := slices.ContainsFunc(remote.conns, func(other *officeConn) bool { return other.lastActivity > sentAt })
@@ -332,7 +340,7 @@
 	}
 }
 
-// setWriteBlocked records whether TCP accepts bytes on a connection.
+// setWriteBlocked records whether TCP has stopped accepting bytes on a connection.
 func (s *Server) setWriteBlocked(id ConnID, blocked bool) {
 	if conn := s.officeConns[id]; conn != nil {
 		conn.writeBlocked = blocked
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -70,10 +70,12 @@
 	return all
 }
 
+// stateByPhase maps the states of offices in service discovery to those of the Controller. Updates list only offices that have
+// changed, so an office in state Deleted is listed, too.
 var stateByPhase = map[feed.Phase]logic.OfficeState{feed.Serving: logic.Ready, feed.Draining: logic.Draining,
 	feed.Deleted: logic.Gone}
 
-// applyMembers applies members to the known offices and returns them in the Controller's form.
+// applyMembers applies the entries of an event (its members) to the known offices and returns them in the Controller's form.
 func (s *Server) applyMembers(hosts *feed.Hosts) []logic.Office {
 	offices := make([]logic.Office, 0, len(hosts.Members))
 	var added []*remoteOffice
@@ -112,7 +114,7 @@
 	return offices
 }
 
-// officeRestarted discards the state of an office's earlier process. Calls and connections begun since are kept.
+// officeRestarted drops the calls and connections of an office's earlier process. Those from after the restart are kept.
 func (s *Server) officeRestarted(remote *remoteOffice) {
 	s.dropEstablishedCalls(remote, remote.startedAt, "its office has restarted")
 	for _, conn := range slices.Clone(remote.conns) {
@@ -123,7 +125,9 @@
 	remote.dialFailures, remote.reconnectAt = 0, 0
 }
 
-// officeLeaving handles an office that is draining or gone. Nothing may be sent to it once the grace time is over (rule 3).
+// officeLeaving handles an office that is draining or gone. Nothing new may be sent to it once the grace time is over (rule 3).
+// The grace time counts from the announcement, which was before now, and bytes that are already queued take time to be sent.
+// So unsent set-ups are discarded after half of it.
 func (s *Server) officeLeaving(remote *remoteOffice, state logic.OfficeState) {
 	if remote.state == logic.Ready {
 		s.armTimer(s.cfg.Settings.DrainGrace/2, timer{kind: timerDrainGrace, officeID: remote.id})
@@ -186,7 +190,8 @@
 	}
 }
 
-// connectToOffices opens a connection to each office, on which the office reports its group state.
+// connectToOffices opens a connection to each office that has no idle one, as ensureIdleConn permits. An office reports its
+// group state on every new connection.
 func (s *Server) connectToOffices() {
 	for _, remote := range s.sortedOffices() {
 		s.ensureIdleConn(remote)
--- a/callserver/droppedcalls.go
+++ b/callserver/droppedcalls.go
@@ -7,10 +7,10 @@
 	"finchlatch/logic"
 )
 
-// setUpFailed handles the release of an outstanding attempt with the temporary-failure cause. The cause may also mean that
-// the call was established and then dropped, with the answer lost. When other calls were dropped at about the same time it
-// is taken for that: otherwise an established call would be set up a second time, and its caller would not learn that it is
-// over.
+// setUpFailed handles the release of an outstanding attempt with the temporary-failure cause. Normally the set-up has failed,
+// and the Controller may start another attempt. But the cause is also that of a dropped call: the office may have established
+// the call and dropped it, and its answer may be lost. The release is taken for that if other calls were dropped within
+// liveness.DropWindow. The caller is then answered at once; another attempt would establish the call a second time.
 func (s *Server) setUpFailed(call *activeCall, conn *officeConn, outcome logic.Outcome) {
 	if s.recentDrops.Near(s.now) {
 		s.callEndedBeforeAnswer(call, conn, outcome.Load)
@@ -26,8 +26,8 @@
 	}
 }
 
-// callDropped records that an established call was dropped. Set-ups that failed shortly before and wait for another attempt
-// were dropped with it.
+// callDropped records that an established call was dropped. Calls whose attempt failed with the same cause shortly before, and
+// that wait for another attempt, are taken to have been established and dropped with it (see setUpFailed).
 func (s *Server) callDropped() {
 	s.recentDrops.Record(s.now)
 	candidates := s.failedSetUps
@@ -41,11 +41,11 @@
 	}
 }
 
-// unclaimedReleases holds releases of unknown calls. After a restart an office may release a call before the call's caller
-// names it as established.
+// unclaimedReleases holds releases of unknown calls. After a restart of this process, an office may release a call before the
+// call's caller claims it (see adoptCall).
 type unclaimedReleases struct {
 	causes map[uint64]byte // by wire ID
-	order  []uint64        // wire IDs, oldest first
+	order  []uint64        // wire IDs, oldest first; those that take removed from causes stay until they are the oldest
 }
 
 // maxUnclaimedReleases limits the releases that are kept.
--- a/callserver/effects.go
+++ b/callserver/effects.go
@@ -23,11 +23,10 @@
 type Close struct {
 	Conn   ConnID
 	Now    bool // drop what is queued: it must not be sent any more
-	Linger bool // bytes may still arrive, and a reset must not discard the response
+	Linger bool // half-close first: bytes may still arrive, and a reset on them could discard the response before it is read
 }
 
-// HalfClose closes a connection for writing. What its peer has written until it notices still arrives as input, and then
-// InClosed.
+// HalfClose closes a connection for writing. What its peer still writes arrives as input, and InClosed once the peer closes it.
 type HalfClose struct{ Conn ConnID }
 
 // Dial opens a connection to an office; InConnected or InFailed reports the result.
@@ -49,7 +48,7 @@
 // RequestDiscovery requests the service discovery stream again, from the position that Server.Position returns.
 type RequestDiscovery struct{}
 
-// Confirm requests the input InWritten once all earlier effects have been carried out.
+// Confirm requests the input InWritten, which confirms that all effects before it have been carried out.
 type Confirm struct{}
 
 // Log is one log record.
@@ -71,7 +70,7 @@
 // InputKind is the kind of an Input. The comments of its values name the fields that are set.
 type InputKind byte
 
-// Kinds of input.
+// Kinds of input, with the fields that are set.
 const (
 	InAccepted     InputKind = iota // Conn, From: a connection from callers was accepted
 	InConnected                     // Conn: a dialled connection is up
@@ -81,6 +80,6 @@
 	InWriteBlocked                  // Conn, Blocked: whether TCP has stopped accepting bytes
 	InDiscovery                     // Events: service discovery events
 	InTimer                         // a timer is due
-	InDrain                         // EndsAt: this process ends then; calls accepted from now on must be over by that time
+	InDrain                         // EndsAt: this process drains and ends then; accepts only transit calls, which must be over by then
 	InWritten                       // the effects before a Confirm have been carried out
 )
--- a/callserver/halfclosed.go
+++ b/callserver/halfclosed.go
@@ -2,11 +2,12 @@
 
 import "finchlatch/liveness"
 
-// Half-closed connections to offices. What their offices have sent still arrives on them, so they are read until the
-// offices close them, and for longer if a network partition may be delaying something.
+// This file holds the half-closed connections to offices: closed for writing, and read until their offices close them or
+// halfClosedTimeout is over, or longer if a network partition may delay a release.
 
-// halfClose closes a connection without outstanding attempts for writing. A release may be under way on it, and its office would
-// repeat it only on the next connection that is opened: so it is read until the office closes it as well.
+// halfClose closes a connection without outstanding attempts for writing. A release from its office may be under way on it, and
+// the office would repeat that release only on a connection that it opens or accepts later. So the connection is read until the
+// office closes it as well. It is closed at once if it is not up, if writes on it are blocked, or if there are too many.
 func (s *Server) halfClose(conn *officeConn, why string) {
 	if conn.writeBlocked || !conn.up || s.halfClosedConns >= s.cfg.MaxOfficeConns/halfClosedDivisor {
 		s.closeConn(conn, why)
@@ -18,12 +19,13 @@
 	s.emit(HalfClose{Conn: conn.id})
 	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, targetID: uint64(conn.id)})
 	if conn.remote.correlatedLossEnd > 0 && s.now-conn.remote.correlatedLossEnd <= correlatedLossWindow {
-		// The connection can no longer show that its office's process lives on.
+		// It no longer counts as a connection that has survived a correlated loss.
 		s.markUnverifiedUnlessConnSurvived(conn.remote)
 	}
 }
 
-// halfCloseExpired closes a connection that its office has not closed in time, and that it therefore may not have read.
+// halfCloseExpired closes a half-closed connection that its office has not closed in time, or retains it if a release may be
+// delayed on it. The office may not have read what was written on it, so the releases on it are sent again.
 func (s *Server) halfCloseExpired(id ConnID) {
 	conn := s.officeConns[id]
 	if conn == nil {
@@ -37,9 +39,11 @@
 	s.resendLostReleases(conn)
 }
 
-// mayDeliverReleases reports whether a half-closed connection should be read further: its office has shown no activity since
-// the half-close and may be unreachable, and releases that it wrote before may be under way. Those arrive as soon as the
-// network partition heals, and on this connection only; repeated on a new one they would come when the office next runs.
+// mayDeliverReleases reports whether a release of an established call may still arrive on a half-closed connection: its office
+// is supervised and holds established calls, has shown no activity since the half-close and has not failed yet, so that it may
+// be unreachable, and there is a descriptor for the connection. When a network partition heals, a release that was written
+// before arrives on this connection at once. The office would repeat it on a new connection, but only once its process has
+// noticed that connection, which is later.
 func (s *Server) mayDeliverReleases(conn *officeConn) bool {
 	remote := conn.remote
 	lastActivity := s.now - remote.detector.Silence(s.now)
@@ -56,7 +60,7 @@
 	s.armTimer(halfClosedTimeout, timer{kind: timerHalfClosed, targetID: uint64(conn.id)})
 }
 
-// evictRetainedConn closes the oldest lingering connection if all descriptors for offices are in use.
+// evictRetainedConn closes the oldest retained connection if all descriptors for offices are in use.
 func (s *Server) evictRetainedConn() {
 	if len(s.officeConns) < s.cfg.MaxOfficeConns {
 		return
--- a/callserver/handover.go
+++ b/callserver/handover.go
@@ -8,14 +8,15 @@
 	"finchlatch/logic"
 )
 
-// Handover of calls to successors: a new office may own the address of one that is gone before service discovery reports
-// either. Calls set up at the address since then are established at the new one.
+// This file hands calls over from an office that is gone to its successor, the office that serves at the same address now. A
+// successor may have started before service discovery reports the end of the old office or lists the new one. Calls that were
+// set up at the address in between are recorded under the old office and established at the successor.
 
-// successorTimeout is how long service discovery may take to name the successor of an office that is gone.
+// successorTimeout is how long service discovery may take to list the successor of an office that is gone.
 const successorTimeout = 5 * time.Second
 
-// latestProcessEnd returns the latest time at which the process of a gone office can have ended: now, or when its address was
-// seen to belong to another one.
+// latestProcessEnd returns the latest time at which the process of a gone office can have ended: when it was taken to have
+// ended, or now, but not after the start of another office at its address. Calls answered later are its successor's.
 func (s *Server) latestProcessEnd(remote *remoteOffice) time.Duration {
 	end := s.now
 	if remote.processEndedAt > 0 {
@@ -32,8 +33,8 @@
 	return end
 }
 
-// announcedStartTimes returns the latest start that the events name for each address: the event that ends an office may come
-// before the one that names its successor.
+// announcedStartTimes returns the latest start of an office that the events report for each address. All events of an input are
+// read for it first, since the event that reports an office as gone may come before the one that lists its successor.
 func announcedStartTimes(events []feed.Event) map[string]time.Duration {
 	starts := map[string]time.Duration{}
 	for i := range events {
@@ -46,7 +47,7 @@
 	return starts
 }
 
-// handOverCalls moves the calls of an office that is gone to its successor, or waits for service discovery to name one.
+// handOverCalls moves the calls of an office that is gone to its successor, or waits for service discovery to list one.
 func (s *Server) handOverCalls(remote *remoteOffice) {
 	if remote.establishedCalls == 0 {
 		return
@@ -60,7 +61,7 @@
 	s.armTimer(successorTimeout, timer{kind: timerSuccessorTimeout, officeID: remote.id})
 }
 
-// takeOverCalls moves the calls of gone offices at the same address to a newly named office.
+// takeOverCalls moves the calls of gone offices at the same address to an office that service discovery has just listed.
 func (s *Server) takeOverCalls(successor *remoteOffice) {
 	for _, predecessor := range s.sortedOffices() {
 		if predecessor != successor && predecessor.state == logic.Gone && predecessor.establishedCalls > 0 &&
@@ -74,7 +75,7 @@
 func (s *Server) moveCalls(from, to *remoteOffice) {
 	s.log(slog.LevelInfo, "calls handed over to the office's successor", slog.String("office", from.id), slog.String("successor", to.id),
 		slog.Int("calls", from.establishedCalls))
-	if from.processEndedAt > to.startedAt { // the successor has been replaced since, too
+	if from.processEndedAt > to.startedAt { // by then the successor served at the address, so its process has ended, too
 		to.processEndedAt = max(to.processEndedAt, from.processEndedAt)
 	}
 	for _, call := range s.callsInOrder() {
@@ -89,7 +90,7 @@
 // successorTimedOut ends the calls of an office that is gone and has no successor.
 func (s *Server) successorTimedOut(id string) {
 	if remote := s.offices[id]; remote != nil && remote.state == logic.Gone {
-		s.dropEstablishedCalls(remote, s.now, "service discovery reports its office as gone and names no successor")
+		s.dropEstablishedCalls(remote, s.now, "service discovery reports its office as gone and lists no successor")
 		s.cleanUpGoneOffice(remote)
 	}
 }
--- a/callserver/host.go
+++ b/callserver/host.go
@@ -11,12 +11,13 @@
 // host implements logic.Host: it carries out the decisions of the Controller.
 type host struct{ s *Server }
 
-// Send starts an attempt. If it cannot be sent, the outcome is reported after the Controller has returned.
+// Send starts an attempt. If it cannot be sent, its outcome NotSent is reported after the Controller has returned.
 func (h host) Send(id uint64, officeID string, timeout time.Duration) {
 	s := h.s
 	call, remote := s.callsByID[id], s.offices[officeID]
 	if call == nil || call.awaitsOutcome || remote == nil {
-		s.log(slog.LevelError, "cannot start attempt", slog.Uint64("call", id), slog.String("office", officeID))
+		s.log(slog.LevelError, "cannot start attempt: unknown call, unknown office, or the last attempt has not ended",
+			slog.Uint64("call", id), slog.String("office", officeID))
 		return
 	}
 	s.emit(Decision{At: s.now, Call: id, Action: logic.ActionSend, Office: officeID, Timeout: timeout})
@@ -45,7 +46,7 @@
 	})
 }
 
-// logWithHistory logs a decision about a call with its history: the attempts made and how the last one ended.
+// logWithHistory logs a text about a call at debug level, with the number of its attempts and how the last one ended.
 func (s *Server) logWithHistory(text string, call *activeCall, attrs ...slog.Attr) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
 		attrs = append(attrs, slog.String("call", call.callID), slog.Int("attempts", call.attempts),
@@ -54,7 +55,8 @@
 	}
 }
 
-// Refuse gives the final answer of a call that may safely be tried again.
+// Refuse gives a call the final answer 503: it cannot be set up, has had no effect, and may be redialled after the retry-after.
+// That is rounded up to seconds, and sent if the settings allow it.
 func (h host) Refuse(id uint64, retryAfter time.Duration) {
 	if call := h.s.callsByID[id]; call != nil {
 		h.s.emit(Decision{At: h.s.now, Call: id, Action: logic.ActionRefuse})
@@ -68,7 +70,7 @@
 	}
 }
 
-// Fail gives the final answer that the call has failed.
+// Fail gives a call the final answer 500: it has failed, and an attempt may have taken effect at an office.
 func (h host) Fail(id uint64) {
 	if call := h.s.callsByID[id]; call != nil {
 		h.s.emit(Decision{At: h.s.now, Call: id, Action: logic.ActionFail})
@@ -89,13 +91,14 @@
 	s.releaseAttempt(call, logic.Cancelled)
 }
 
-// probe is an outstanding health check that the Controller asked for.
+// healthCheck is a HealthCheck message that the Controller asked for and that has no answer yet.
 type healthCheck struct {
 	officeID string
 	sentAt   time.Duration
 }
 
-// Probe sends a health check to an office.
+// Probe sends a health check to an office on a connection that is up. Without one nothing is sent, and the health check fails
+// after Config.ConnectTimeout.
 func (h host) Probe(officeID string) {
 	s := h.s
 	remote := s.offices[officeID]
@@ -111,7 +114,8 @@
 	}
 }
 
-// finishHealthCheck reports the result of a probe; a Report without OK means that it failed.
+// finishHealthCheck reports the result of a health check to the Controller; a Report without OK means that it failed. The ID of
+// a heartbeat is not known here, and the answer to one is not reported.
 func (s *Server) finishHealthCheck(id uint64, report logic.Report) {
 	check := s.healthChecks[id]
 	if check == nil {
@@ -122,7 +126,7 @@
 	s.controller.Report(s.now, report)
 }
 
-// SendPeer does nothing: the platform does not let call servers exchange messages.
+// SendPeer does nothing: call servers of the platform do not exchange messages.
 func (h host) SendPeer(int, []byte) {}
 
 // Timer arms a timer of the Controller.
--- a/callserver/invitation.go
+++ b/callserver/invitation.go
@@ -18,7 +18,7 @@
 	maxOfficeIDBytes      = 256
 )
 
-// invitation is a parsed INVITE: a set-up, or the name of a call that is already established.
+// invitation is a parsed INVITE: a set-up, or a claim to a call that an earlier process has established (see adoptCall).
 type invitation struct {
 	msg          *sip.Message
 	wireID       uint64
@@ -48,10 +48,10 @@
 	}
 	ms, err := strconv.ParseUint(msg.Get("X-Timer-Ms"), 10, 31)
 	if err != nil {
-		return invite, fmt.Errorf("X-Timer-Ms: %.40q", msg.Get("X-Timer-Ms"))
+		return invite, fmt.Errorf("X-Timer-Ms: %.40q is not a number of milliseconds below 2^31", msg.Get("X-Timer-Ms"))
 	}
 	invite.timeLeft = time.Duration(ms) * time.Millisecond
-	if invite.classIndex >= 0 { // an unknown client could ask for a year and keep the call open as long
+	if invite.classIndex >= 0 { // the header allows 24.8 days; a call of a known class is open for its deadline at most
 		invite.timeLeft = min(invite.timeLeft, s.cfg.Settings.Classes[invite.classIndex].Deadline)
 	}
 	if !office.ValidDescription(invite.description) {
@@ -69,7 +69,8 @@
 	return id, nil
 }
 
-// isCalledNumber reports whether s is a called number: hex digits, like the address signals of Q.763.
+// isCalledNumber reports whether a text is a called number: up to maxCalledNumberDigits hex digits, like the address signals of
+// Q.763.
 func isCalledNumber(number string) bool {
 	for _, digit := range number {
 		if !strings.ContainsRune("0123456789abcdefABCDEF", digit) {
@@ -79,20 +80,28 @@
 	return number != "" && len(number) <= maxCalledNumberDigits
 }
 
-// parseLegs parses the X-Legs header.
+// parseLegs parses the X-Legs header, a list of name:value parameters that are separated by semicolons, for example
+// "dest:3;width:1;via:-1". All are optional, and unknown ones are ignored:
+//
+//	dest:N     number of the destination exchange, or of the pool of first choice; -1: not given
+//	width:N    number of circuits; without it, the width of the class
+//	via:N      advised tandem or pool; -1: none; in transit: the exchange that the call comes from
+//	transit:1  this call server is the tandem of a two-leg call
+//	again:1    the caller redials after a dropped call. No parameter tells of other redials, so Call.Redial is never set.
+//	at:ID      the call is already established at the office with this ID
 func (invite *invitation) parseLegs(text string) error {
 	invite.offer.Dest, invite.offer.Via = -1, -1
 	for _, part := range strings.Split(text, ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
 		if name == "at" {
 			if invite.officeID = value; value == "" || len(value) > maxOfficeIDBytes {
-				return fmt.Errorf("X-Legs: at %.40q", value)
+				return fmt.Errorf("X-Legs: office ID %.40q is empty or too long", value)
 			}
 			continue
 		}
 		number, err := strconv.Atoi(value)
 		if name != "" && (err != nil || number < -1 || number >= legValueLimit) {
-			return fmt.Errorf("X-Legs: %.40q", part)
+			return fmt.Errorf("X-Legs: %.40q is not name:number with a number from -1 to 65535", part)
 		}
 		switch name {
 		case "dest":
--- a/callserver/officeinput.go
+++ b/callserver/officeinput.go
@@ -17,7 +17,7 @@
 	s.emit(Write{Conn: conn.id, Bytes: data})
 }
 
-// receiveFromOffice handles bytes of an office.
+// receiveFromOffice handles bytes received from an office.
 func (s *Server) receiveFromOffice(conn *officeConn, data []byte) {
 	conn.lastActivity = s.now
 	conn.remote.earlyCloses = 0
@@ -67,8 +67,8 @@
 			return
 		}
 		conn.recordGroupState(s.cfg.Settings.ReportFields, load)
-		// A change is reported on each connection. Applying a copy that arrives after a new set-up would return the circuit that
-		// the set-up has just taken.
+		// A change is reported on each connection. Applying a copy that arrives after a new set-up would count the circuit that the
+		// set-up has just taken as free again.
 		if remote := conn.remote; msg.Load == remote.groupState && remote.groupStateConn != conn &&
 			s.officeConns[remote.groupStateConn.id] == remote.groupStateConn {
 			return
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// handleRelease handles a release, which ends an attempt or an established call.
+// handleRelease handles a release, which ends an attempt or an established call. The caller of an established call is given its
+// cause in the Reason header of the BYE. A release without a cause counts as one with cause 1, as 0 would leave the header out.
 func (s *Server) handleRelease(conn *officeConn, msg *office.Message) {
 	load, err := msg.LoadValues(s.cfg.Settings.ReportFields)
 	if err != nil {
--- a/callserver/offices.go
+++ b/callserver/offices.go
@@ -19,21 +19,23 @@
 	waitingCalls     []*activeCall // with an attempt that has no connection yet
 	earlyCloses      int           // consecutive connections that ended before anything was received on them
 	establishedCalls int
-	groupState       string        // last one reported
-	groupStateConn   *officeConn   // connection that reported groupState first
+	groupState       string        // last one applied
+	groupStateConn   *officeConn   // connection on which it was reported; copies on others are ignored while it is open
 	pendingReleases  []release     // of established calls, for the next connection
-	releaseRiskAt    time.Duration // when a connection last ended or became suspect
+	releaseRiskAt    time.Duration // when a connection last ended or was retired as suspect: a release may be lost with it
 	connCheckArmed   bool          // timerCheckConns is armed
 	dialFailures     int           // consecutive connections that did not come up
-	reconnectAt      time.Duration // no connection is opened before this
+	reconnectAt      time.Duration // end of the backoff, before which no connection is opened; 0: there is none
 	counts           officeCounts
 
 	detector            liveness.Detector
 	supervised          bool          // timerCheckLiveness is armed
 	unverifiedBefore    time.Duration // calls from before this may have ended with an earlier process; 0: none
-	correlatedLossStart time.Duration // first end of a connection in the latest correlated loss
-	correlatedLossEnd   time.Duration // last one in it
-	processEndedAt      time.Duration // later calls belong to a process that service discovery may not have named yet; 0: none
+	correlatedLossStart time.Duration // first end of a connection in the latest correlated loss (see correlatedLossWindow)
+	correlatedLossEnd   time.Duration // last one in it; 0: no connection has ended yet
+	// processEndedAt is when the office's process is taken to have ended: it refused connections, failed, or no longer held
+	// its calls. Later calls belong to a process that service discovery may not list yet. 0: it is not known to have ended.
+	processEndedAt time.Duration
 }
 
 // officeCounts counts the attempts at an office by their outcome.
@@ -69,24 +71,32 @@
 	}
 }
 
-// Limits on connections to offices; they do not limit calls.
+// Limits on connections to offices. None of them refuses a call: a call that waits for a connection may exceed them.
 const (
 	initialReconnectDelay    = 50 * time.Millisecond // doubles with each consecutive failure
 	maxReconnectDelay        = time.Second
 	maxReconnectDoublings    = 8                      // keeps the shift in range; the delay is at its maximum long before
-	maxSuspectReconnectDelay = 250 * time.Millisecond // to a suspected office: the end of a network partition must be noticed at once
+	maxSuspectReconnectDelay = 250 * time.Millisecond // for a suspected office: the end of a network partition must be noticed at once
 	unfinishedMessageTimeout = 250 * time.Millisecond // the rest of a message of up to 16 KiB follows at once or never
 	maxConnsPerOffice        = 24
-	connCheckInterval        = 400 * time.Millisecond // looking for dead connections: a release must be passed on within 1 s
+	connCheckInterval        = 400 * time.Millisecond // between checks for releases that may be lost: one must be passed on within 1 s
 	slowAnswerThreshold      = 250 * time.Millisecond // an attempt without an answer for this long may be on a dead connection
-	maxDialling              = 2                      // connections to one office being opened at a time: a network partition may heal at any moment
-	maxIdleConns             = 2                      // per office; with this many, the oldest makes room for a new connection
-	halfClosedTimeout        = time.Second            // a living office closes its end at once
-	activityLag              = 100 * time.Millisecond // activity this soon after a half-close may be older, or the peer kernel's
-	halfClosedDivisor        = 8                      // at most 1/halfClosedDivisor of Config.MaxOfficeConns may be half-closed connections
+	// maxDialling limits the connections to one office that are being opened at a time. Two, as one that is dialled during a
+	// network partition may take long to come up after it heals. recordBytesFromOffice may exceed it by one for that reason:
+	// when bytes show that the partition is over, it opens another connection at once.
+	maxDialling       = 2
+	maxIdleConns      = 2           // per office; with this many, the oldest makes room for a new connection
+	halfClosedTimeout = time.Second // an office that is alive and reachable closes its end at once
+	// activityLag is how long after a half-close activity does not prove the office reachable: the bytes may have been sent
+	// before, and a connection may be accepted by the peer's kernel alone.
+	activityLag = 100 * time.Millisecond
+	// halfClosedDivisor gives a share of Config.MaxOfficeConns, 1/halfClosedDivisor, that has two uses: it limits the
+	// half-closed connections, not counting retained ones, and additional connections may exceed MaxOfficeConns by it.
+	halfClosedDivisor = 8
 )
 
-// connLimitPerOffice returns how many connections an office may have.
+// connLimitPerOffice returns how many connections one office may have now: an equal share of Config.MaxOfficeConns, at most
+// maxConnsPerOffice. There is one share more than offices that are not gone, so that there is at least one.
 func (s *Server) connLimitPerOffice() int {
 	shares := 1
 	for _, remote := range s.offices {
--- a/callserver/releases.go
+++ b/callserver/releases.go
@@ -27,8 +27,9 @@
 	s.sendToOffice(conn, &office.Message{Type: office.Release, Call: wireID, Cause: cause, HasCause: true})
 }
 
-// unacknowledgedReleases holds the releases recently sent on a connection whose receipt has not been confirmed. If the connection
-// ends they may be lost, and are sent again on another one.
+// unacknowledgedReleases holds the releases recently sent on a connection that the peer has not acknowledged: an office by
+// ReleaseComplete, a caller by the response to a BYE. If the connection ends they may be lost, and are sent again on another one.
+// Not every peer acknowledges releases, so old ones are taken to have arrived.
 type unacknowledgedReleases []release
 
 // release is the release of an established call toward its caller or its office.
@@ -39,10 +40,11 @@
 	cause  byte
 }
 
-// connLossDelay is how long it may take until the end of a connection is noticed here.
+// connLossDelay is how long it may take until the end of a connection is noticed here. A release that was sent earlier than this
+// before the last sign of life on its connection has arrived.
 const connLossDelay = time.Second
 
-// Limits on the releases that are kept: per connection, and per office without a connection.
+// Limits on the releases that are kept: unacknowledged ones per connection, and pending ones per office without a connection.
 const (
 	maxUnacknowledgedReleases = 1024
 	maxPendingReleases        = 8192
@@ -64,7 +66,9 @@
 	}
 }
 
-// add keeps a release. Those sent more than connLossDelay before the peer's last activity have arrived.
+// add keeps a release, and drops those that have arrived: they were sent more than connLossDelay before aliveAt, the time at
+// which the connection was last known to be up. That is the last activity of an office. Callers may be silent for long on a
+// connection that is up, so for them it is the present time.
 func (u *unacknowledgedReleases) add(r release, aliveAt time.Duration) {
 	*u = append(slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < aliveAt-connLossDelay }), r)
 	if excess := len(*u) - maxUnacknowledgedReleases; excess > 0 {
@@ -72,19 +76,20 @@
 	}
 }
 
+// acknowledge drops the release of a call, which the peer has acknowledged.
 func (u *unacknowledgedReleases) acknowledge(wireID uint64) {
 	*u = slices.DeleteFunc(*u, func(other release) bool { return other.wireID == wireID })
 }
 
-// takeLost removes all releases and returns those that may be lost.
+// takeLost removes all releases and returns those that may be lost; aliveAt is as for add.
 func (u *unacknowledgedReleases) takeLost(aliveAt time.Duration) []release {
 	lost := slices.DeleteFunc(*u, func(other release) bool { return other.sentAt < aliveAt-connLossDelay })
 	*u = nil
 	return lost
 }
 
-// callerConnForRelease returns a connection for the release of a call: that of its set-up, or the one that most recently carried
-// calls, with preference for those that carried established ones. It returns nil if there is none.
+// callerConnForRelease returns a connection for the release of a call: that of its set-up or latest claim, or the one that most
+// recently carried an INVITE, with preference for those that carried established calls. It returns nil if there is none.
 func (s *Server) callerConnForRelease(call *activeCall) *callerConn {
 	if call.callerConn != nil && s.callerConns[call.callerConn.id] == call.callerConn {
 		return call.callerConn
@@ -127,12 +132,12 @@
 	}
 }
 
-// byeResponseTimeout is how long a caller may take to respond to a BYE. It leaves time to use another connection: a release must
+// byeResponseTimeout is how long a caller may take to respond to a BYE before it is sent on another connection. A release must
 // be passed on within 1 s.
 const byeResponseTimeout = 350 * time.Millisecond
 
-// repeatBye sends a BYE without a response again on another connection: one that a network partition has cut off stays open
-// and loses what is written on it.
+// repeatBye sends a BYE without a response again on another connection: a connection that a network partition has cut off stays
+// open and loses what is written on it.
 func (s *Server) repeatBye(connID ConnID, wireID uint64) {
 	caller := s.callerConns[connID]
 	if caller == nil {
--- a/callserver/supervision.go
+++ b/callserver/supervision.go
@@ -10,8 +10,8 @@
 	"finchlatch/office"
 )
 
-// Supervision of the offices that hold established calls: package liveness decides, this file sends heartbeats and carries
-// out its decisions.
+// This file supervises the offices that hold established calls: package liveness decides whether they are alive, suspected or
+// failed, and this file sends the heartbeats and carries out the decisions.
 
 // addEstablished counts an established call at an office and starts the supervision of the office.
 func (s *Server) addEstablished(remote *remoteOffice) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// checkLiveness runs the failure detector of an office while it holds established calls.
+// checkLiveness runs the failure detector of an office, and arms its next run while the office holds established calls.
 func (s *Server) checkLiveness(id string) {
 	remote := s.offices[id]
 	if remote == nil {
@@ -50,7 +50,7 @@
 	s.armTimer(next-s.now, timer{kind: timerCheckLiveness, officeID: id})
 }
 
-// heartbeatOffice sends a heartbeat, or opens a connection if there is none to send it on.
+// heartbeatOffice sends a heartbeat on one connection, or opens one if there is none to send it on.
 func (s *Server) heartbeatOffice(remote *remoteOffice) {
 	if conn := remote.leastLoadedConn(); conn != nil {
 		s.sendHeartbeat(conn)
@@ -59,7 +59,8 @@
 	s.openAdditionalConn(remote, true)
 }
 
-// heartbeatAllAndDial sends a heartbeat on each connection and opens a new one. A host whose process has ended resets its connections.
+// heartbeatAllAndDial probes an office that does not answer: it sends a heartbeat on each connection and opens another one. If
+// the office's process has ended, its host resets the connections on which heartbeats arrive.
 func (s *Server) heartbeatAllAndDial(remote *remoteOffice) {
 	s.heartbeatOnAll(remote)
 	s.openAdditionalConn(remote, true)
@@ -73,15 +74,15 @@
 	}
 }
 
-// sendHeartbeat sends a HealthCheck message with cause 0, which requests no report. The setting limits.probes, which
-// allows the Controller to request reports, does not matter here.
+// sendHeartbeat sends a HealthCheck message, the same as host.Probe does. Any bytes that the office sends back are activity; a
+// report among them is not used. The setting limits.probes, which allows the Controller to ask for reports, does not apply.
 func (s *Server) sendHeartbeat(conn *officeConn) {
 	s.lastID++
 	s.sendToOffice(conn, &office.Message{Type: office.HealthCheck, Call: s.lastID, HasCause: true})
 }
 
-// recordConnected records a new connection as activity. If its office was suspected or failed, the process may be a new one, unless
-// bytes have come on older connections.
+// recordConnected records a new connection as activity. If its office was suspected or failed, the connection may be to a new
+// process, and the calls are unverified, unless bytes of the old one have been received on older connections since.
 func (s *Server) recordConnected(remote *remoteOffice, conn *officeConn) {
 	hadUnconfirmedActivity := remote.detector.HasUnconfirmedActivity()
 	previous := remote.detector.RecordActivity(s.now)
@@ -94,9 +95,9 @@
 	}
 }
 
-// recordBytesFromOffice records bytes of an office as activity. What the office could not send while it was unreachable it sends on the
-// next connection that comes up. Connections that are being dialled were begun in that time and may take long, so another
-// one is opened.
+// recordBytesFromOffice records bytes of an office as activity. If they show that a network partition has healed, another
+// connection is opened, on which the office sends the releases that it could not send before. The connections that are being
+// dialled were begun during the partition and may take long to come up, so maxDialling does not apply to this one.
 func (s *Server) recordBytesFromOffice(remote *remoteOffice) {
 	previous := remote.detector.State()
 	if remote.detector.RecordBytes(s.now) {
@@ -116,17 +117,19 @@
 	}
 }
 
-// recordAlive records that a suspected or failed office is alive.
+// recordAlive logs that a suspected or failed office is alive and ends the backoff of connections to it.
 func (s *Server) recordAlive(remote *remoteOffice, previous liveness.State) {
 	s.log(slog.LevelInfo, "office alive", slog.String("office", remote.id),
 		slog.String("was", previous.String()), slog.Int("standing", remote.establishedCalls))
 	remote.dialFailures, remote.reconnectAt = 0, 0
 }
 
-// correlatedLossWindow is how far apart the connections of one process end when it ends.
+// correlatedLossWindow is the longest time between the ends of two successive connections in a correlated loss: connections to
+// one office that end together because its process has ended, or because it has lost its network.
 const correlatedLossWindow = 100 * time.Millisecond
 
-// recordConnEnd records the end of a connection. If no other connection has survived, the office's process may have ended.
+// recordConnEnd records the end of a connection, which begins or continues a correlated loss. If no connection has survived it,
+// the office's process may have ended.
 func (s *Server) recordConnEnd(remote *remoteOffice) {
 	if remote.correlatedLossEnd == 0 || s.now-remote.correlatedLossEnd > correlatedLossWindow {
 		remote.correlatedLossStart = s.now
@@ -135,8 +138,8 @@
 	s.markUnverifiedUnlessConnSurvived(remote)
 }
 
-// markUnverifiedUnlessConnSurvived marks the calls of an office as unverified if no connection is older than the latest
-// correlated loss: its process may have ended.
+// markUnverifiedUnlessConnSurvived marks the calls of an office as unverified if all connections from before the latest
+// correlated loss have ended: its process may have ended.
 func (s *Server) markUnverifiedUnlessConnSurvived(remote *remoteOffice) {
 	survived := func(conn *officeConn) bool {
 		return conn.up && !conn.halfClosed && conn.upOrDialledAt < remote.correlatedLossStart
@@ -146,8 +149,8 @@
 	}
 }
 
-// officeFailed ends the established calls of an unresponsive office. It may only be unreachable and still hold them: they are
-// released there once it can be reached.
+// officeFailed ends the established calls of an office that has failed. It may only be unreachable and still hold them, so they
+// are released there once it can be reached.
 func (s *Server) officeFailed(remote *remoteOffice) {
 	s.log(slog.LevelWarn, "ending the calls of an office that has failed", slog.String("office", remote.id),
 		slog.Duration("silent", remote.detector.Silence(s.now)), slog.Int("standing", remote.establishedCalls))
@@ -170,8 +173,8 @@
 	s.dropEstablishedCalls(remote, s.now, why)
 }
 
-// markCallsUnverified records that no connection to an office has survived since a time: calls from before may have ended with
-// its process.
+// markCallsUnverified records that calls from before a time may have ended with an earlier process of their office. They are
+// verified once a connection has been up for liveness.PendingReleaseWindow.
 func (s *Server) markCallsUnverified(remote *remoteOffice, before time.Duration) {
 	if remote.establishedCalls == 0 {
 		return
@@ -182,8 +185,10 @@
 	}
 }
 
-// markAdoptedUnverified handles a new adopted call. Its office may have a new process by now, which service discovery need not
-// have reported: the first report of circuits in use since this process started shows whether the office holds such calls.
+// markAdoptedUnverified marks the calls of an office as unverified when a call at it is adopted. The office may have restarted
+// since it established the call, and service discovery may not have reported that. The circuits in use that the office reported
+// first after this process started show whether it holds such calls. Calls adopted within liveness.AdoptionWindow are verified
+// together.
 func (s *Server) markAdoptedUnverified(remote *remoteOffice) {
 	if remote.unverifiedBefore == 0 {
 		remote.unverifiedBefore = s.startedAt
@@ -191,8 +196,11 @@
 	}
 }
 
-// verifyCalls compares the circuits of unverified calls with those that the office reported as in use on its first connection
-// since, before new calls took any.
+// verifyCalls compares the circuits of an office's unverified calls with those that it reported as in use first on the oldest
+// connection since, before new calls took any. If those are fewer than half, an earlier process held the calls, and they are dropped.
+//
+// Only calls answered liveness.StateLag before the time in unverifiedBefore are expected in the report, which may be that old.
+// Dropped are all calls whose set-up was sent before that time, the ones too recent to be expected among them.
 func (s *Server) verifyCalls(id string) {
 	remote := s.offices[id]
 	if remote == nil || remote.unverifiedBefore == 0 {
@@ -202,7 +210,7 @@
 		return conn.up && conn.stateReported && conn.upOrDialledAt >= remote.unverifiedBefore
 	})
 	if i < 0 {
-		return // another connection will bring the report
+		return // no report yet; the next connection that comes up arms the timer again
 	}
 	if releasesBy := remote.conns[i].upOrDialledAt + liveness.PendingReleaseWindow; s.now < releasesBy { // releases may still arrive on it
 		s.armTimer(releasesBy-s.now, timer{kind: timerVerifyCalls, officeID: id})
@@ -218,7 +226,7 @@
 		}
 	}
 	lost := liveness.CallsLost(expectedCircuits, circuitsInUse)
-	s.log(slog.LevelInfo, "calls of an office verified", slog.String("office", id), slog.Int("held", expectedCircuits),
+	s.log(slog.LevelInfo, "calls at an office compared with its circuits in use", slog.String("office", id), slog.Int("held", expectedCircuits),
 		slog.Int("used", circuitsInUse), slog.Bool("lost", lost))
 	if !lost {
 		return
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// Link is one connection with a queue of bytes to write, bounded in bytes. A writer goroutine of the Link writes all that was
-// queued since its last write at once. A Link made by NewDirect queues only the bytes that TCP does not accept at once.
+// Link is one TCP connection with a bounded queue of bytes to write. It has nothing to do with the signalling links of SS7. A
+// writer, a goroutine that runs WriteLoop or flush, takes the whole queue for each of its writes. A Link made by NewDirect queues
+// only the bytes that TCP does not accept at once.
 type Link struct {
 	conn        net.Conn
-	rawConn     syscall.RawConn // nil: Write always queues
+	rawConn     syscall.RawConn // of a Link made by NewDirect, for writes that don't block; nil: Write always queues
 	onBlocked   func(bool)      // called with true when bytes begin to wait, with false when none wait any more
 	mu          sync.Mutex      // guards the fields below
 	changed     *sync.Cond      // queue, writing or closed has changed
 	queue       []byte          // bytes that wait to be written
 	spareBuffer []byte          // the buffer of the last write, for the next queue
 	written     int64           // bytes that have been passed to TCP
-	writing     bool            // a writer runs, or is in the middle of a write
+	writing     bool            // WriteLoop is in the middle of a write, or flush runs
 	closed      bool
 }
 
-// New makes a Link whose bytes WriteLoop writes, which the caller must run.
+// New makes a Link that queues all bytes. The caller must run WriteLoop on a goroutine, which writes them.
 func New(conn net.Conn) *Link {
 	l := &Link{conn: conn}
 	l.changed = sync.NewCond(&l.mu)
@@ -49,7 +50,8 @@
 // Conn returns the connection.
 func (l *Link) Conn() net.Conn { return l.conn }
 
-// Write writes or queues bytes; false: more than maxQueued bytes would wait.
+// Write writes or queues bytes. It returns false if more than maxQueued bytes would wait in the queue: those that TCP has not
+// accepted are dropped then, and the caller has to close the Link.
 func (l *Link) Write(b []byte, maxQueued int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/timing/heap.go
+++ b/internal/timing/heap.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Timers is a queue of values that become due at a time. They come out in the order of their times and, at equal times, in
-// the order in which they were armed. The zero value is an empty queue, ready for use. A timer cannot be cancelled: its user
-// ignores timers that no longer apply.
+// Timers is a queue of timers. Each is a value with the time at which it is due. Pop returns them in the order of their times
+// and, at equal times, in the order in which they were armed. The zero value is an empty queue, ready for use. A timer cannot be
+// cancelled: its user ignores timers that no longer apply.
 type Timers[T any] struct {
 	heap entryHeap[T]
 	seq  uint64
 }
 
-// Arm adds a value that becomes due at a time.
+// Arm adds a timer: a value that is due at the given time.
 func (t *Timers[T]) Arm(at time.Duration, value T) {
 	t.seq++
 	heap.Push(&t.heap, entry[T]{at: at, seq: t.seq, value: value})
--- a/node/config.go
+++ b/node/config.go
@@ -14,14 +14,14 @@
 	"finchlatch/internal/wire"
 )
 
-// Config is the configuration of a call server, as the platform provides it.
+// Config is the configuration of a call server, which the platform provides as a JSON file.
 type Config struct {
 	Name          string
 	Listen        string
-	DiscoveryAddr string // address of the discovery service
+	DiscoveryAddr string // address of the discovery service; "journal" in the file
 	Seed          int64
 	Limits        Limits
-	Snapshot      feed.Snapshot // events of service discovery up to the start
+	Snapshot      feed.Snapshot // of service discovery, as of the start; "known" in the file
 	Settings      wire.Settings
 }
 
@@ -41,7 +41,7 @@
 	Err  error
 }
 
-func (e *ConfigError) Error() string { return fmt.Sprintf("configuration %s: %v", e.File, e.Err) }
+func (e *ConfigError) Error() string { return fmt.Sprintf("configuration file %q: %v", e.File, e.Err) }
 
 // Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
@@ -61,7 +61,7 @@
 
 func load(path string) (*Config, error) {
 	if path == "" {
-		return nil, errors.New("ROUTER_CONFIG is not set")
+		return nil, errors.New("no path is given: ROUTER_CONFIG is not set")
 	}
 	info, err := os.Stat(path)
 	if err != nil {
@@ -150,8 +150,9 @@
 // accepted or closed.
 const reservedDescriptors = 24
 
-// serverConfig returns the configuration of the callserver.Server. Callers get 5/9 of the free descriptors, since they may
-// need more than the third that they are specified to use; offices get a third.
+// serverConfig returns the configuration of the callserver.Server. Of the free descriptors, callers get 5/9: the platform
+// specifies that they use no more than a third, but they may need more. Offices get a third, and the ninth that is left is for
+// connections above that share: additional ones, and those of calls that wait for a connection.
 func (c *Config) serverConfig() callserver.Config {
 	free := c.Limits.Sockets - reservedDescriptors
 	return callserver.Config{Settings: c.Settings.Settings, Seed: c.Seed, MaxOpenCalls: c.Settings.MaxOpen,
--- a/node/connections.go
+++ b/node/connections.go
@@ -12,12 +12,12 @@
 	"finchlatch/internal/link"
 )
 
-// serve registers a connection as an endpoint and starts its reader.
+// serve registers a connection and starts its reader.
 func (n *Node) serve(id callserver.ConnID, conn net.Conn) {
 	peer := &peerConn{id: id, resume: make(chan struct{}, 1)}
 	peer.Link = link.NewDirect(conn, func(blocked bool) {
 		in := callserver.Input{Kind: callserver.InWriteBlocked, Conn: id, Blocked: blocked}
-		if blocked { // called on the loop itself, since only the loop writes
+		if blocked { // reported on the goroutine of the loop, the only one that writes, which must not wait for itself
 			n.selfInputs = append(n.selfInputs, in)
 			return
 		}
@@ -57,7 +57,7 @@
 	}
 }
 
-// applyEffects applies the effects of the core, and the inputs that arise from them, until there are no more.
+// applyEffects applies the effects of the server, and the inputs that arise from them, until there are no more.
 func (n *Node) applyEffects() {
 	for effects := n.server.Effects(); len(effects) > 0; effects = n.server.Effects() {
 		for _, effect := range effects {
@@ -98,8 +98,9 @@
 	}
 }
 
-// closePeer closes a connection. Where a response has just been written and more bytes may still arrive, the connection
-// is half-closed first: closing it with unread bytes would send a reset, on which the peer may discard the response.
+// closePeer closes a connection. With Close.Linger it is half-closed first and closed after lingerTime, since more bytes may
+// still arrive: closing it with unread bytes would send a reset, on which the peer may discard the response that has just been
+// written.
 func (n *Node) closePeer(request callserver.Close) {
 	peer := n.peers[request.Conn]
 	if peer == nil {
@@ -145,7 +146,8 @@
 	}()
 }
 
-// closeAll closes all connections. After a drain it first waits, for a limited time, until queued bytes have been written.
+// closeAll closes all connections. After a drain it first waits until queued bytes have been written, for all connections
+// together no longer than a third of killMargin: the rest is for the other steps that are left until SIGKILL.
 func (n *Node) closeAll() {
 	deadline := time.Now().Add(killMargin / 3)
 	for _, peer := range n.peers {
--- a/node/discovery.go
+++ b/node/discovery.go
@@ -17,27 +17,32 @@
 	"finchlatch/internal/link"
 )
 
-// discoveryClient reads the event stream of the discovery service at one address. It stops once its connection has ended
-// after a client for a newer address has started.
+// discoveryClient reads the event stream of the discovery service at one address. When the address in the configuration changes,
+// a new client is started. The old one then makes no more requests, and ends when its connection does.
 type discoveryClient struct {
 	node       *Node
 	addr       string
 	superseded chan struct{} // closed when a client for a newer address starts
 	mu         sync.Mutex
-	conn       net.Conn // that is read; guarded by mu
+	conn       net.Conn // connection of the stream that is being read; guarded by mu
 }
 
-// The discovery service sends a comment every second. The rules count a call server as notified of changes 2 s after
-// its connection broke, and 4 s after the service fell silent. So the read timeout, one connection attempt that fails and one
-// request that gets no answer take less than 4 s together.
+// Times of the discovery client. While its stream is up, the discovery service sends a comment line every second, even if there
+// is no event. Rule 3 (nothing new to an exchange that was announced as draining or gone) takes a call server to know an
+// announcement by a time limit that depends on the fault: 2 s after the connection broke, 4 s after the service fell silent, 6 s
+// after requests failed. So discoveryReadTimeout, discoveryConnectTimeout for an attempt that fails, and discoveryHedgeDelay for
+// a request without an answer together take less than 4 s.
 const (
-	discoveryReadTimeout     = 2100 * time.Millisecond
-	discoveryConnectTimeout  = 500 * time.Millisecond
-	discoveryHedgeDelay      = 1300 * time.Millisecond // before a hedged request is sent; a comment is due within a second
-	discoveryResponseTimeout = 5500 * time.Millisecond // 6 s after a failed request changes count as notified
-	maxOutstandingRequests   = 4
-	minBackoff               = 20 * time.Millisecond
-	maxBackoff               = 500 * time.Millisecond
+	discoveryReadTimeout    = 2100 * time.Millisecond // without any bytes on the stream, two comments are missing
+	discoveryConnectTimeout = 500 * time.Millisecond
+	// discoveryHedgeDelay is how long a request may be without an answer before a hedged one is sent beside it. A service that
+	// works answers within a second, as a comment is due then.
+	discoveryHedgeDelay = 1300 * time.Millisecond
+	// discoveryResponseTimeout is how long a request may be without an answer before it is given up: less than the 6 s.
+	discoveryResponseTimeout = 5500 * time.Millisecond
+	maxOutstandingRequests   = 4                      // at a time, hedged ones among them
+	minBackoff               = 20 * time.Millisecond  // before the first request after a connection that has ended
+	maxBackoff               = 500 * time.Millisecond // the backoff doubles up to this while connections fail or end early
 )
 
 // startDiscovery starts to read the discovery service at an address. An open connection to an older address is read until
@@ -92,7 +97,8 @@
 	}
 }
 
-// readStream opens a stream and passes its events to the loop until the connection ends or falls silent.
+// readStream opens a stream and passes its events to the loop until the connection ends or nothing has been received for
+// discoveryReadTimeout.
 func (c *discoveryClient) readStream() error {
 	stream, err := c.openStream()
 	if err != nil {
@@ -138,9 +144,9 @@
 	err    error
 }
 
-// openStream requests the event stream until one request is answered or all have failed. A request that is not answered
-// soon is not given up, since a slow service would then never get to answer. Hedged requests go out beside it, and the
-// first answer is used.
+// openStream requests the event stream and returns the first stream that is answered, or an error once no request is
+// outstanding any more. A request without an answer is not cancelled after discoveryHedgeDelay, since a service that takes
+// longer would then never be read. Instead another request, a hedged one, is sent beside it, up to maxOutstandingRequests.
 func (c *discoveryClient) openStream() (*discoveryStream, error) {
 	ctx, cancel := context.WithCancel(link.ContextFromChannel(c.node.stop))
 	results := make(chan streamResult)
--- a/node/drain.go
+++ b/node/drain.go
@@ -6,16 +6,24 @@
 	"finchlatch/callserver"
 )
 
-// Times of a drain. Subscribers offer no calls later than 0.6 s after SIGTERM, but calls in transit arrive for as long as the
-// process runs: without it no other call server can use this exchange as a tandem. SIGKILL comes no earlier than 0.7 s plus
-// the longest deadline of a class (at most 3 s of it) after SIGTERM. No call that arrived later than 0.7 s after SIGTERM
-// may lack its final answer then.
+// Times of a drain, which begins with SIGTERM and has two phases:
+//
+//  1. For drainServeTime, new calls are served as before. Subscribers stop offering calls 0.6 s after SIGTERM.
+//  2. Then only transit calls are accepted, until killMargin before SIGKILL may come. They arrive for as long as the process
+//     runs, and without it no other call server could use this exchange as a tandem.
+//
+// The platform sends SIGKILL no earlier than drainServeTime plus the longest deadline of a class, of which no more than
+// maxDrainDeadline counts, after SIGTERM. Every call that was accepted in the second phase must have its final answer by then.
 const (
-	drainServeTime     = 700 * time.Millisecond // in which new calls are served as before
-	maxDrainDeadline   = 3 * time.Second        // the part of the longest deadline that counts
-	killMargin         = 300 * time.Millisecond // before the earliest SIGKILL
+	drainServeTime   = 700 * time.Millisecond
+	maxDrainDeadline = 3 * time.Second
+	// killMargin is the time between the planned end of the drain and the earliest SIGKILL, for what remains to be done then:
+	// drainFinalWait, writing what is queued, and the end of the goroutines.
+	killMargin         = 300 * time.Millisecond
 	drainCheckInterval = 20 * time.Millisecond
-	drainFinalWait     = 50 * time.Millisecond // for the requests on connections that were accepted last
+	// drainFinalWait is how long the loop still runs after the listener was closed, for the requests on connections that were
+	// accepted just before.
+	drainFinalWait = 50 * time.Millisecond
 )
 
 // maxDeadline returns the longest deadline of a class.
@@ -26,8 +34,9 @@
 	return longest
 }
 
-// advanceDrain takes the next step of a drain that is due and reports whether the drain is over: its time has passed and
-// no call lacks its final answer, or every call accepted within drainServeTime has reached its deadline.
+// advanceDrain takes the next step of a drain if it is due: it notifies the server, or stops accepting connections. It reports
+// whether the drain is over: its time has passed and no call lacks its final answer, or every call that was accepted within
+// drainServeTime has reached its deadline.
 func (n *Node) advanceDrain() bool {
 	elapsed, duration := n.now()-n.drainStartedAt, min(n.maxDeadline(), maxDrainDeadline)+drainServeTime-killMargin
 	if elapsed < drainServeTime {
--- a/node/loop.go
+++ b/node/loop.go
@@ -7,7 +7,7 @@
 	"finchlatch/callserver"
 )
 
-// enqueueAccepted passes an accepted connection to the loop, once few enough others wait for it.
+// enqueueAccepted passes an accepted connection to the loop, once fewer than maxUnhandled others wait for it.
 func (n *Node) enqueueAccepted(conn net.Conn) {
 	select {
 	case n.unhandled <- struct{}{}:
@@ -46,7 +46,7 @@
 // totalsInterval is the time between two log records of the totals.
 const totalsInterval = 10 * time.Second
 
-// loop is the event loop, which owns the core. All inputs that are ready are applied as one batch with the same time.
+// loop is the event loop, which owns the server. Inputs that are ready together are applied as one batch with the same time.
 func (n *Node) loop() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -96,7 +96,7 @@
 	}
 }
 
-// resetTimer sets the timer to the next timer of the core or the next check of a drain, whichever comes first.
+// resetTimer sets the timer to the next timer of the server or the next check of a drain, whichever comes first.
 func (n *Node) resetTimer(timer *time.Timer) {
 	wait := time.Hour
 	if due, ok := n.server.NextTimer(); ok {
@@ -122,8 +122,8 @@
 	}
 }
 
-// applyInput registers or removes the connection of an input where it has one, and applies the input to the core. Input
-// from an endpoint that has been closed is dropped.
+// applyInput registers a connection that has come up or removes one that has ended, and applies the input to the server. Input
+// from a connection that the server has closed is dropped.
 func (n *Node) applyInput(now time.Duration, in input) {
 	in.At = now
 	switch in.Kind {
--- a/node/node.go
+++ b/node/node.go
@@ -1,7 +1,8 @@
-// Package node runs a callserver.Server as a process: it provides the configuration, TCP connections, the clock, the
-// reaction to signals and the limits of the machine. One goroutine, the event loop, owns all state. Each connection has a
-// reader goroutine that passes one chunk at a time to the loop; the loop itself writes as much as TCP accepts at once.
-// All decisions about calls are made in package callserver.
+// Package node runs a callserver.Server as a process of the platform, the system of callers, offices and service discovery
+// that call servers are deployed in. It provides the configuration, TCP connections, the clock, the reaction to signals and
+// the limits of the machine. One goroutine, the event loop, owns all state. Each connection has a reader goroutine that passes
+// one chunk at a time to the loop; the loop itself writes as much as TCP accepts at once. All decisions about calls are made in
+// package callserver.
 package node
 
 import (
@@ -29,7 +30,7 @@
 	startTime       time.Time
 	startUnix       time.Duration // Unix time of startTime
 	inputs          chan input
-	selfInputs      []callserver.Input // arose while effects were applied; the loop applies them next
+	selfInputs      []callserver.Input // InWritten and InWriteBlocked that arose from effects; the loop applies them next
 	stop            chan struct{}
 	stopOnce        sync.Once
 	reloadRequests  chan struct{}
@@ -43,10 +44,10 @@
 	unhandled       link.Semaphore // connections that are accepted and that the loop has not handled yet
 	acceptStoppedAt time.Duration  // Unix time at which the listener was closed by a drain; 0: it is open
 	drainStartedAt  time.Duration  // Unix time; 0: no drain has started
-	drainEndsAt     time.Duration  // planned end of the drain, Unix time; 0: the core has not been notified of it
+	drainEndsAt     time.Duration  // planned end of the drain, Unix time; 0: the server has not been notified of it
 }
 
-// input is a message from another goroutine to the event loop.
+// input is an input for the server that another goroutine passes to the event loop.
 type input struct {
 	callserver.Input
 	receivedAt time.Duration // Unix time, of received bytes and of the end of a connection
@@ -54,24 +55,24 @@
 	peer       *peerConn     // whose reader sent this input
 }
 
-// endpoint is a connection and its reader.
+// peerConn is a connection to a caller or an office, with what the loop and the reader of the connection share.
 type peerConn struct {
 	*link.Link
 	id      callserver.ConnID
-	resume  chan struct{} // tells the reader that the loop has handled the last chunk
-	discard atomic.Bool   // the reader drops what it reads and only waits for the end
+	resume  chan struct{} // receives once the loop has handled the last chunk, so that the reader may reuse its buffer
+	discard atomic.Bool   // the reader drops what it reads until the connection ends
 }
 
 // Sizes of buffers and queues, and limits of connections.
 const (
-	readBufferSize   = 4 << 10               // bytes
-	maxWriteQueue    = 256 << 10             // bytes that a peer may leave unread
-	inputQueueSize   = 128                   // inputs that wait for the loop
-	maxBatch         = 256                   // inputs that are applied at one time, after the first
-	overdueThreshold = 50 * time.Millisecond // a timer that is later than this was delayed by a pause of the process
-	lingerTime       = 300 * time.Millisecond
-	maxLingering     = 16 // connections
-	maxUnhandled     = 8  // connections; the rest of a flood waits in the kernel and takes no descriptors from the offices
+	readBufferSize   = 4 << 10                // bytes
+	maxWriteQueue    = 256 << 10              // bytes that a peer may leave unread
+	inputQueueSize   = 128                    // inputs that wait for the loop
+	maxBatch         = 256                    // further inputs that are applied together with the first
+	overdueThreshold = 50 * time.Millisecond  // a timer that is later than this was delayed by a pause of the process
+	lingerTime       = 300 * time.Millisecond // from a Close with Linger to the close of the connection
+	maxLingering     = 16                     // connections that linger at a time; others are closed at once
+	maxUnhandled     = 8                      // accepted connections; the rest waits in the kernel and takes no descriptors from offices
 )
 
 // New makes a Node from a configuration file, which Reload reads again.
