--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -138,8 +138,8 @@
 	h.apply(Input{Kind: InTimer})
 }
 
-// advanceWithReports advances the time while an office reports its group state every second: an unresponsive one would be
-// probed on new connections, and idle ones would be half-closed in favour of those.
+// advanceWithReports advances the time while an office reports its group state every second. Without reports the office would be
+// probed on new connections, and idle connections would be half-closed to make room for those.
 func (h *harness) advanceWithReports(duration time.Duration, conn ConnID) {
 	h.t.Helper()
 	for ; duration > 0; duration -= time.Second {
@@ -436,16 +436,16 @@
 	if len(h.server.callsByID) != 0 || len(h.server.callsByWireID) != 0 || len(h.server.officeConns[conn].outstandingCalls) != 0 {
 		t.Error("the call has not been removed")
 	}
-	h.officeSends(conn, answerMsg(7)) // after the end of the call
-	h.advance(2 * time.Second)
+	h.officeSends(conn, answerMsg(7)) // the late answer
+	h.advance(2 * time.Second)        // longer than the release time, after which another attempt might start
 	requireMessages(t, "later messages to the caller", h.takeCallerMessages(caller))
 	if len(h.attempts) != 1 || len(h.takeOfficeMessages(conn)) != 0 {
-		t.Errorf("%d attempts, or messages to the office, for a call that is over", len(h.attempts))
+		t.Errorf("%d attempts, want 1, or messages were sent to the office after the end of the call", len(h.attempts))
 	}
 }
 
-// An office repeats a release that was lost on a dead connection only on the next one that is opened. One has to be opened even
-// though idle ones exist: a release must be passed on within 1 s.
+// An office repeats a release that was lost on a dead connection only on a connection that is opened later. One has to be opened
+// even though idle ones exist: a release must be passed on within 1 s.
 func TestNewConnectionsDeliverReleasesThatMayBeLost(t *testing.T) {
 	for name, loseConn := range map[string]func(h *harness, caller, conn ConnID){
 		"the connection of the call ends": func(h *harness, _, conn ConnID) { h.apply(Input{Kind: InClosed, Conn: conn}) },
@@ -491,7 +491,7 @@
 	}
 }
 
-// An idle connection is half-closed in favour of a new one while its office writes a release on it, which the office does not
+// An idle connection is half-closed to make room for a new one while its office writes a release on it, which the office does not
 // repeat on others. The release must be read. Half-closed connections that their offices do not close are closed after a time,
 // and their number is limited.
 func TestAReleaseThatCrossesTheEndOfItsConnection(t *testing.T) {
@@ -619,7 +619,7 @@
 	}
 }
 
-// Hundreds of connections a second that carry only health checks must not evict those that carried calls: a release would find
+// Hundreds of connections a second that carry only OPTIONS requests must not evict those that carried calls: a release would find
 // no caller connection, and the caller would learn of it too late or never.
 func TestOptionsRequestsDoNotEvictConnectionsOfCalls(t *testing.T) {
 	h := newHarness(t, nil)
@@ -640,7 +640,7 @@
 		}
 	}
 	if _, closed := h.closed[refusedCaller]; closed {
-		t.Error("a connection that has carried a call was evicted by health checks")
+		t.Error("a connection that has carried an INVITE was evicted in favour of one that carries only OPTIONS requests")
 	}
 	h.officeSends(conn, releaseMsg(7, office.CauseTemporary, ""))
 	requireMessages(t, "messages to the caller of a dropped call", h.takeCallerMessages(caller), "BYE")
@@ -667,6 +667,8 @@
 	}
 }
 
+// A Call-ID in use is refused on another connection. On the same connection a copy of the INVITE is ignored as a retransmission,
+// and a different set-up ends the first one: both get one answer.
 func TestSetUpsWithTheSameCallID(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
@@ -821,6 +823,8 @@
 	}
 }
 
+// A new office at the address of one that is gone is another office: it holds none of the calls of the old one, whose connections
+// are not used for it. After a gap in the events, a snapshot replaces the known offices.
 func TestOfficesAreIdentifiedByIDNotByAddress(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
@@ -854,6 +858,8 @@
 	}
 }
 
+// If the connection for an attempt is refused, the attempt has had no effect: with no other attempt allowed, the call is refused
+// and may be redialled (503), and has not failed (500).
 func TestAttemptOnARefusedConnectionHasNoEffect(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.Settings.MaxAttempts = 1 })
 	caller := h.acceptCaller()
@@ -872,6 +878,8 @@
 	}
 }
 
+// An attempt without an answer times out: its call gets a final answer, its office a release, and its connection is not used any
+// more. A CANCEL is accepted only on the connection of the set-up, and releases the attempt.
 func TestAttemptTimeoutAndCancel(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
@@ -902,7 +910,7 @@
 	}
 }
 
-// A caller hangs up at each stage of its call, by CANCEL or by closing its connection, before and after the stage is over:
+// A caller hangs up at each stage of its call, by CANCEL or by closing its connection, during the stage and after it is over:
 // nothing is sent for the call from then on, and an outstanding attempt is released.
 func TestHangUpsAtEveryStage(t *testing.T) {
 	hangUps := map[string]func(h *harness, caller ConnID){
@@ -999,7 +1007,7 @@
 		"CANCEL":         {trigger: func(h *harness, _, caller ConnID) { h.callerSends(caller, request("CANCEL", 7)) }, hungUp: true},
 		"caller closes":  {trigger: func(h *harness, _, caller ConnID) { h.apply(Input{Kind: InClosed, Conn: caller}) }, hungUp: true},
 	}
-	timeOut := func(h *harness) {
+	timeOut := func(h *harness) { // targetID 1 is the Controller's ID of the first call, arg 0 its first attempt
 		h.server.fireTimer(timer{kind: timerAttemptTimeout, targetID: 1, arg: 0})
 		h.server.runDeferred()
 		h.collectEffects()
@@ -1026,10 +1034,10 @@
 				counts := h.server.offices["s-1"].counts
 				if got := counts.established + counts.full + counts.faulted + counts.timedOut + counts.reset + counts.noConnect +
 					counts.notSent + counts.cancelled; got != 1 {
-					t.Errorf("%d outcomes of one attempt: %+v", got, counts)
+					t.Errorf("one attempt is counted under %d outcomes: %+v", got, counts)
 				}
 				if (counts.established == 1) != (outcomeFirst && outcome.established) {
-					t.Errorf("established by the answer or not: %+v", counts)
+					t.Errorf("the call must be established only if the answer comes before the timeout: %+v", counts)
 				}
 				for range 20 {
 					h.connect("10.0.0.1:5080")
@@ -1053,14 +1061,15 @@
 	}
 }
 
-// Events come in every form that service discovery can give them. Exactly the offices that they name must be known.
+// Service discovery sends snapshots, updates, repeated and old events, and leaves gaps. Afterwards exactly the offices must be
+// known that it has listed, and after a gap a snapshot must be requested.
 func TestSnapshotsUpdatesAndGaps(t *testing.T) {
 	servingS1, servingS2, deletedS1 := member("s-1", 1, feed.Serving), member("s-2", 2, feed.Serving), member("s-1", 1, feed.Deleted)
 	drainingS1 := member("s-1", 1, feed.Draining)
 	ownOffice := member("s-0", 0, feed.Serving)
 	for name, tt := range map[string]struct {
 		events   []feed.Event
-		offices  string // known offices by ID, with their states
+		offices  string // known offices, each as its ID and the number of its logic.OfficeState
 		requests int
 		position uint64
 	}{
@@ -1105,6 +1114,7 @@
 	h := newHarness(t, func(cfg *Config) { cfg.LogLevel = slog.LevelInfo })
 	caller := h.acceptCaller()
 	h.advance(time.Second)
+	// The attributes of each record, by its text and, without a separator, its attribute "office" where it has one.
 	lines := map[string]map[string]string{}
 	collectLogs := func(run func()) {
 		run()
@@ -1138,6 +1148,7 @@
 	}
 	h.advance(2*time.Second - h.now%time.Second)
 	collectLogs(h.server.LogTotals)
+	// The record "office's counts" of the office s-9.
 	if got := lines["office's countss-9"]; got["sent"] != "1" || got["sent_cold"] != "1" {
 		t.Errorf("counts of the cold office: %v", got)
 	}
@@ -1222,8 +1233,8 @@
 	}
 }
 
-// Calls that a process accepts during shutdown must be over before it is killed, but it has to accept transit calls, or its
-// exchange could not serve as a tandem all that time.
+// Calls that a process accepts while it drains must have their final answer before it ends. It has to accept transit calls, or its
+// exchange could not serve as a tandem during the drain.
 func TestCallsAcceptedDuringADrainEndInTime(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
@@ -1242,13 +1253,13 @@
 	h.callerSends(caller, invite(4, "dest:1;width:1"))
 	requireMessages(t, "call after that", h.takeCallerMessages(caller), "503")
 	if open, _ := h.server.CallCounts(); open != 1 {
-		t.Errorf("%d open calls, want the one accepted before the shutdown", open)
+		t.Errorf("%d open calls, want the one accepted before the drain", open)
 	}
 }
 
-// Connections of a host that has vanished stay open here: they must not be used any more, or each trial attempt after its return
-// would go to one of them. Unknown clients may set a timer of years, or name established calls that do not exist: the deadline
-// of the class and the limit on adopted calls hold.
+// Connections to a host that has vanished stay open on this side. They must not be used any more, or each trial attempt after its
+// return would be sent on one of them. Unknown clients may set X-Timer-Ms to its maximum of 24.8 days, or claim established calls
+// that do not exist: the deadline of the class and the limit on adopted calls apply.
 func TestUnresponsiveOfficeLongTimersAndAdoptedCallLimit(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.MaxOpenCalls = 3 })
 	for id := uint64(1); id <= 3; id++ {
@@ -1259,7 +1270,7 @@
 	h.connect("10.0.0.1:5080")
 	h.advance(9100 * time.Millisecond)
 	if open, _ := h.server.CallCounts(); open != 0 {
-		t.Fatalf("%d calls are open past the deadline of their class", open)
+		t.Fatalf("%d calls are still open after the deadline of their class", open)
 	}
 	if remote := h.server.offices["s-1"]; remote.anyConnUp() {
 		t.Fatal("connections of an unresponsive host are still in use")
@@ -1273,7 +1284,7 @@
 	}
 }
 
-// After a restart, callers name calls that an earlier process established. Either end can release them.
+// After a restart, callers claim calls that an earlier process established. Either end can release them.
 func TestCallsAdoptedAfterARestart(t *testing.T) {
 	h := newHarness(t, nil)
 	conn := h.connect("10.0.0.1:5080")
@@ -1282,7 +1293,7 @@
 		h.callerSends(caller, invite(id, "dest:1;width:1;at:s-1"))
 	}
 	h.callerSends(caller, invite(9, "dest:1;width:1;at:s-unknown"))
-	requireMessages(t, "responses to callers that name established calls", h.takeCallerMessages(caller))
+	requireMessages(t, "responses to callers that claim established calls", h.takeCallerMessages(caller))
 	h.callerSends(caller, request("BYE", 7))
 	requireMessages(t, "response to a BYE", h.takeCallerMessages(caller), "200")
 	if got := h.takeOfficeMessages(conn); len(got) != 1 || got[0].Type != office.Release || got[0].Call != 7 {
@@ -1291,7 +1302,7 @@
 	h.officeSends(conn, releaseMsg(8, office.CauseNormal, ""))
 	requireMessages(t, "release by the office", h.takeCallerMessages(caller), "BYE")
 	h.advance(6 * time.Second)
-	requireMessages(t, "call at an office that service discovery does not name", h.takeCallerMessages(caller), "BYE")
+	requireMessages(t, "call at an office that service discovery does not list", h.takeCallerMessages(caller), "BYE")
 	if _, established := h.server.CallCounts(); established != 0 {
 		t.Fatalf("%d established calls", established)
 	}
--- a/callserver/halfclosed_test.go
+++ b/callserver/halfclosed_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// Half-closed connections that are still read are closed if their descriptors are needed for new connections.
+// Half-closed connections that are retained because their office may be unreachable are closed if their descriptors are needed for
+// new connections.
 func TestRetainedConnectionsAreEvicted(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = halfClosedDivisor })
 	h.connect("10.0.0.1:5080")
@@ -76,7 +77,7 @@
 		}
 	}
 	if limit := h.server.cfg.MaxOfficeConns + maxDialling; maxConns > limit || !retained {
-		t.Errorf("%d connections, want at most %d; one lingered: %v", maxConns, limit, retained)
+		t.Errorf("%d connections, want at most %d; one was retained: %v", maxConns, limit, retained)
 	}
 	if h.server.halfClosedConns < 0 {
 		t.Errorf("%d connections are counted as half-closed", h.server.halfClosedConns)
--- a/callserver/handover_test.go
+++ b/callserver/handover_test.go
@@ -35,12 +35,13 @@
 	}
 }
 
-// Calls that were set up at an address are established at the office that owns it, whichever ID service discovery gives for it.
+// Calls that were set up at an address are established at the office that serves there, whichever office service discovery listed
+// for the address at that time.
 func TestCallsAreHandedOverToASuccessor(t *testing.T) {
 	goneMember := member("s-1", 1, feed.Deleted)
 	for name, members := range map[string][]feed.Member{
-		"named before its predecessor is gone": {successor("s-9", (startTime + 2*time.Second).Milliseconds()), goneMember},
-		"named after its predecessor is gone":  {goneMember, successor("s-9", (startTime + 2*time.Second).Milliseconds())},
+		"listed before its predecessor is gone": {successor("s-9", (startTime + 2*time.Second).Milliseconds()), goneMember},
+		"listed after its predecessor is gone":  {goneMember, successor("s-9", (startTime + 2*time.Second).Milliseconds())},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, nil)
@@ -54,7 +55,7 @@
 			h.failDials("10.0.0.1:5080", true) // the process at the address has ended
 			requireMessages(t, "messages to the caller of the first call", h.takeCallerMessages(caller), "BYE")
 			h.advance(3 * time.Second)
-			h.connect("10.0.0.1:5080") // a new process owns the address
+			h.connect("10.0.0.1:5080") // to a new process at the address
 			h.establish(caller, 8)
 			for i, entry := range members {
 				h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(uint64(2+i), false, entry)}})
@@ -68,7 +69,8 @@
 	}
 }
 
-// Two offices in a row have owned an address before service discovery names either: the latest call is established at the second.
+// Two offices in a row have served at an address before service discovery lists either: the latest call is established at the
+// second.
 func TestCallsAreHandedOverToTheSuccessorOfASuccessor(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
@@ -107,9 +109,10 @@
 	h.checkEstablishedAt(8, "s-9")
 }
 
-// Calls at an office that is gone and for which no successor is named are dropped.
+// Calls at an office that is gone are dropped after successorTimeout if service discovery lists no successor.
 func TestCallsOfAGoneOfficeWithoutASuccessorAreDropped(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
+	// As if the office's process had ended before the call was answered: then the call is at a successor, and is not dropped at once.
 	h.server.offices["s-1"].processEndedAt = startTime - 1
 	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, member("s-1", 1, feed.Deleted))}})
 	requireMessages(t, "messages to the caller at once", h.takeCallerMessages(caller))
@@ -120,7 +123,8 @@
 	}
 }
 
-// Service discovery still names an office whose address already belongs to another one: a release from either ends the call.
+// Service discovery lists two offices at one address, since the old one is not reported as gone yet. A release from the new one ends
+// a call that was established under the old one.
 func TestReleaseFromANewOfficeAtTheSameAddress(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, successor("s-9", 0))}})
@@ -132,7 +136,7 @@
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller), "BYE")
 }
 
-// Service discovery names a new office while the old one at its address is not gone yet. Once the old one is gone, its calls from
+// Service discovery lists a new office while it has not reported the old one at its address as gone. Once it does, the calls from
 // before the start of the new one are dropped, and later ones are handed over.
 func TestCallsBeforeTheStartOfASuccessorAreDropped(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
@@ -144,10 +148,11 @@
 	h.checkEstablishedAt(8, "s-9")
 }
 
-// The entry of an office that is gone may carry an address that belongs to another office by now; it must be ignored.
+// The entry that reports an office as gone may carry another address than the office had. It must be ignored: the successor is the
+// office at the address that the calls were set up at.
 func TestAddressInADeletedEntryIsIgnored(t *testing.T) {
 	h, _ := newHarnessWithCalls(t, 7)
-	h.server.offices["s-1"].processEndedAt = startTime - 1 // so the call is established at the owner of the address
+	h.server.offices["s-1"].processEndedAt = startTime - 1 // as if the call had been answered by a successor at the address
 	goneMember := member("s-1", 1, feed.Deleted)
 	goneMember.Addr = "10.0.0.2:5080"
 	h.apply(Input{Kind: InDiscovery, Events: []feed.Event{discoveryEvent(2, false, goneMember, successor("s-9", 0))}})
--- a/callserver/hangup_test.go
+++ b/callserver/hangup_test.go
@@ -32,7 +32,7 @@
 	for name, hangUp := range map[string]func(h *harness, caller ConnID){
 		"closes its connection": func(h *harness, caller ConnID) { h.apply(Input{Kind: InClosed, Conn: caller}) },
 		"cancels":               func(h *harness, caller ConnID) { h.callerSends(caller, request("CANCEL", 9)) },
-		"sends another set-up under the same ID": func(h *harness, caller ConnID) {
+		"sends another set-up with the same Call-ID": func(h *harness, caller ConnID) {
 			h.callerSends(caller, strings.Replace(invite(9, "dest:1;width:1"), "sip:", "sip:4", 1))
 		},
 	} {
--- a/callserver/supervision_test.go
+++ b/callserver/supervision_test.go
@@ -230,7 +230,7 @@
 }
 
 // If all connections to an office end together, its process may have ended, however many they are and whichever of them were
-// half-closed in favour of new ones meanwhile.
+// half-closed to make room for new ones meanwhile.
 func TestAnyNumberOfConnectionsOfAnOfficeEnd(t *testing.T) {
 	for additional := range 6 {
 		h := newHarness(t, nil)
@@ -275,7 +275,7 @@
 	requireMessages(t, "messages to the caller", h.takeCallerMessages(caller))
 }
 
-// After a restart an office releases a call before the call's caller names it as established.
+// After a restart of this process an office releases a call before the call's caller claims it.
 func TestReleaseBeforeItsCallIsClaimed(t *testing.T) {
 	h := newHarness(t, nil)
 	conn := h.connect("10.0.0.1:5080")
@@ -293,7 +293,7 @@
 	}
 }
 
-// Callers name calls established at an office that has restarted since, as its first report of circuits in use shows.
+// Callers claim calls at an office that has restarted since it established them, as its first report of circuits in use shows.
 func TestCallsAdoptedAtAnOfficeThatHasRestarted(t *testing.T) {
 	for load, want := range map[string][]string{"spare:30;total:30": {"BYE", "BYE"}, "spare:28;total:30": nil, "spare:29;total:30": nil} {
 		t.Run(load, func(t *testing.T) {
@@ -417,7 +417,7 @@
 	}
 }
 
-// An unfinished message on a connection must not cost an open call on it its answer.
+// A connection with an unfinished message is overdue to be closed, but an open call on it must be answered first.
 func TestUnfinishedMessageOnAConnectionWithAnOpenCall(t *testing.T) {
 	h := newHarness(t, nil)
 	h.connect("10.0.0.1:5080")
@@ -475,7 +475,7 @@
 	}
 }
 
-// If many offices are unreachable at once, the connections that probe them must not exceed the descriptors for offices.
+// If many offices are unreachable at once, the connections opened to probe them must not exceed the descriptors for offices.
 func TestConnectionsToManyUnreachableOfficesStayWithinTheLimit(t *testing.T) {
 	const offices = 40
 	h := newHarness(t, func(cfg *Config) { cfg.MaxOfficeConns = offices + 5 })
@@ -513,7 +513,7 @@
 	}
 }
 
-// During shutdown new set-ups are refused and transit calls are accepted.
+// During a drain new set-ups are refused and transit calls are accepted.
 func TestDrainAcceptsOnlyTransitCalls(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	h.apply(Input{Kind: InDrain, EndsAt: h.now + 3*time.Second})
@@ -527,8 +527,8 @@
 	requireMessages(t, "end of an established call", h.takeCallerMessages(caller), "BYE")
 }
 
-// An office that accepts connections and ends them before it has sent anything is redialled with a backoff, but an attempt dials
-// it at once.
+// To an office that accepts connections and closes them before it has sent anything, connections are opened with a backoff, but at
+// once if an attempt needs one.
 func TestBackoffForAnOfficeThatClosesNewConnections(t *testing.T) {
 	h, caller := newHarnessWithCalls(t, 7)
 	for _, conn := range h.openConns() {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -27,8 +27,9 @@
 	return near, far
 }
 
-// While a peer does not read, bytes are queued up to the bound; they are written in order once it reads.
-func TestDirectLinkQueuesWhatTCPDoesNotTake(t *testing.T) {
+// While a peer does not read, a Link made by NewDirect queues the bytes that TCP does not accept, up to the bound. They are written
+// in order once the peer reads.
+func TestDirectLinkQueuesWhatTCPDoesNotAccept(t *testing.T) {
 	near, far := connPair(t)
 	blocked := make(chan bool, 2)
 	link := NewDirect(near, func(isBlocked bool) { blocked <- isBlocked })
@@ -115,11 +116,11 @@
 	(<-accepted).Close()
 	listener.Close()
 	<-ended
-	slots := make(Semaphore, 1)
+	slots := make(Semaphore, 1) // bounds the connections that an accept loop serves
 	if !slots.TryAcquire() || slots.TryAcquire() {
-		t.Fatal("one slot is not acquired exactly once")
+		t.Fatal("a semaphore with one slot must be acquired once and not twice")
 	}
 	if slots.Release(); !slots.TryAcquire() {
-		t.Fatal("a released slot is not free")
+		t.Fatal("the slot cannot be acquired again after its release")
 	}
 }
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTimersComeInOrder(t *testing.T) {
+func TestTimersArePoppedInOrder(t *testing.T) {
 	var timers Timers[string]
 	if _, ok := timers.Next(); ok {
 		t.Fatal("an empty queue has a next timer")
@@ -27,6 +27,6 @@
 		t.Fatalf("%q, %d left", got, timers.Len())
 	}
 	if _, _, ok := timers.Pop(8); ok {
-		t.Fatal("a timer came before its time")
+		t.Fatal("a timer was popped before it was due")
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -37,7 +37,7 @@
 	t                *testing.T
 	env              *platform.Environment
 	node             *Node
-	ended            chan error
+	ended            chan error // receives what Run returns; a test that receives it sends it back for the cleanup
 	discoveryService *platform.DiscoveryService
 	configPath       string
 	settingsEdits    *strings.Replacer // applied to the settings in the configuration of the node
@@ -128,7 +128,7 @@
 	}
 }
 
-// await waits for a message on a caller's connection and skips those that do not match.
+// await returns the first message on a caller's connection that matches, and skips others. The test fails if there is none in time.
 func (h *harness) await(caller *platform.Caller, what string, matches func(platform.ReceivedMessage) bool) platform.ReceivedMessage {
 	h.t.Helper()
 	limit := time.After(8 * time.Second)
@@ -142,7 +142,7 @@
 				return msg
 			}
 		case <-limit:
-			h.t.Fatalf("no %s", what)
+			h.t.Fatalf("not received within 8 s: %s", what)
 		}
 	}
 }
@@ -164,7 +164,8 @@
 	}
 }
 
-// With offices of every behavior each call gets exactly one answer in time, and no rule is broken.
+// Offices show every behavior that platform.Behavior lists in the first attempts of calls, and answer the later ones: each call gets
+// exactly one final answer in time, and no rule is broken.
 func TestCallsAtOfficesOfEveryBehavior(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, func(call uint64, attempt int) platform.Behavior {
@@ -283,8 +284,8 @@
 	h.checkRules()
 }
 
-// A drain answers the calls that were accepted before and during it, serves calls in transit until shortly before the
-// process may be killed, and then ends.
+// A drain answers the calls that were accepted before and during it, serves transit calls until shortly before the process may be
+// killed, and then ends.
 func TestDrainAnswersAcceptedCalls(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, func(call uint64, _ int) platform.Behavior {
@@ -314,7 +315,7 @@
 		t.Fatal(err)
 	}
 	if msg := h.await(lateCaller, "the answer of call 4", isFinalAnswer(4)); msg.Status != 200 {
-		t.Errorf("call 4, in transit: %d", msg.Status)
+		t.Errorf("call 4, a transit call: %d", msg.Status)
 	}
 	h.invite(lateCaller, 5, 2, 9*time.Second)
 	if msg := h.await(lateCaller, "the answer of call 5", isFinalAnswer(5)); msg.Status != 503 {
@@ -330,16 +331,16 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Until(killTime)):
-		t.Fatal("the drain does not end before it may be killed")
+		t.Fatal("the drain does not end before the process may be killed")
 	}
 	h.checkRules()
 }
 
-// loopBlocker is a log handler that blocks the event loop at a record, as a process that gets no CPU time is blocked. The
-// readers of connections go on.
+// loopBlocker is a log handler that blocks the event loop when it logs a record with a given message. The node then handles no
+// input and fires no timer, as if the process got no CPU time, while the readers of connections go on.
 type loopBlocker struct {
 	slog.Handler
-	message   atomic.Value  // of the record; atomic since other goroutines log, too
+	message   atomic.Value  // string: the message at whose record the loop is blocked; atomic since other goroutines log, too
 	blocked   chan struct{} // receives once the loop is blocked
 	resume    chan struct{} // a value lets the loop go on
 	testEnded chan struct{} // closed at the end of the test
@@ -384,7 +385,7 @@
 	h.t.Helper()
 	for limit := time.Now().Add(8 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			h.t.Fatalf("never: %s", what)
+			h.t.Fatalf("did not happen within 8 s: %s", what)
 		}
 	}
 }
@@ -435,9 +436,9 @@
 		h.dial()
 	}
 	h.waitFor("the loop's input queue holds as many connections as it may", func() bool { return len(h.node.unhandled) == maxUnhandled })
-	for range 100 {
-		if n := len(h.node.inputs); n > maxUnhandled+8 { // and a few inputs from the discovery service and offices
-			t.Fatalf("%d inputs wait for the loop, more than the accepted connections may be", n)
+	for range 100 { // no more are accepted while other goroutines run
+		if n := len(h.node.inputs); n > maxUnhandled+8 { // 8 more for inputs from the discovery service and from offices
+			t.Fatalf("%d inputs wait for the loop, so more than maxUnhandled of them are accepted connections", n)
 		}
 		runtime.Gosched()
 	}
@@ -578,7 +579,7 @@
 		}
 		return platform.AnswerCall
 	})
-	const callerShare = (256 - 24) * 5 / 9
+	const callerShare = (256 - 24) * 5 / 9 // as in serverConfig: "sockets" of the configuration less reservedDescriptors, 5/9 of it
 	var idle []*platform.Caller
 	<-h.discoveryService.Requests
 	h.discoveryService.Withhold(true)
@@ -645,7 +646,7 @@
 	h.checkRules()
 }
 
-// Guards against a connection that is accepted at the moment a drain ends and whose request is never handled.
+// Guards against a request that is never handled because its connection is accepted at the moment when a drain closes the listener.
 func TestLastAcceptedConnectionIsAnswered(t *testing.T) {
 	t.Parallel()
 	blocker := newLoopBlocker("draining")
@@ -766,8 +767,8 @@
 	h.checkRules()
 }
 
-// An unresponsive office does not affect calls to another one, and gets calls again once it responds. A set-up with the id
-// of an open call is refused, and the open call is not affected.
+// An unresponsive office does not affect calls to another one, and gets calls again once it responds. A set-up with the Call-ID of
+// an open call is refused, and the open call is not affected.
 func TestUnresponsiveOfficeAndDuplicateCallID(t *testing.T) {
 	t.Parallel()
 	var unresponsive atomic.Bool
@@ -797,7 +798,7 @@
 		_, err = io.ReadFull(otherConn, answer)
 	}
 	if err != nil || string(answer) != "SIP/2.0 482" {
-		t.Errorf("an id in use: %q, %v", answer, err)
+		t.Errorf("answer to a Call-ID in use: %q, %v", answer, err)
 	}
 	for unanswered := 20; unanswered > 0; {
 		msg := h.await(caller, "the answers", func(msg platform.ReceivedMessage) bool { return msg.Method == "INVITE" })
