--- a/callserver/callserver_test.go
+++ b/callserver/callserver_test.go
@@ -1308,7 +1308,7 @@
 	}
 }
 
-// Offices, calls and connections that are gone leave no state behind.
+// The state of offices, calls and connections is removed when they end.
 func TestStateDoesNotAccumulate(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := range 300 {
--- a/callserver/invitation.go
+++ b/callserver/invitation.go
@@ -81,7 +81,7 @@
 }
 
 // parseLegs parses the X-Legs header, a list of name:value parameters that are separated by semicolons, for example
-// "dest:3;width:1;via:-1". All are optional, and unknown ones are ignored:
+// "dest:3;width:1;via:-1". All are optional, and unknown names are ignored if their value is a number in range:
 //
 //	dest:N     number of the destination exchange, or of the pool of first choice; -1: not given
 //	width:N    number of circuits; without it, the width of the class
--- a/callserver/supervision.go
+++ b/callserver/supervision.go
@@ -97,7 +97,8 @@
 
 // recordBytesFromOffice records bytes of an office as activity. If they show that a network partition has healed, another
 // connection is opened, on which the office sends the releases that it could not send before. The connections that are being
-// dialled were begun during the partition and may take long to come up, so maxDialling does not apply to this one.
+// dialled were begun during the partition and may take long to come up, so maxDialling does not apply to this one. The first
+// bytes of a suspected office are unconfirmed activity, as the partition may have delayed them: heartbeats are sent as well.
 func (s *Server) recordBytesFromOffice(remote *remoteOffice) {
 	previous := remote.detector.State()
 	if remote.detector.RecordBytes(s.now) {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -390,7 +390,7 @@
 	}
 }
 
-// Guards against an attempt for a caller who has gone: after a pause of the process, the timer of the next attempt and the end
+// Guards against an attempt for a caller who has hung up: after a pause of the process, the timer of the next attempt and the end
 // of the caller's connection are due together.
 func TestACallerWhoLeftDuringAPauseIsNotTriedAgain(t *testing.T) {
 	t.Parallel()
@@ -438,7 +438,7 @@
 	h.waitFor("the loop's input queue holds as many connections as it may", func() bool { return len(h.node.unhandled) == maxUnhandled })
 	for range 100 { // no more are accepted while other goroutines run
 		if n := len(h.node.inputs); n > maxUnhandled+8 { // 8 more for inputs from the discovery service and from offices
-			t.Fatalf("%d inputs wait for the loop, so more than maxUnhandled of them are accepted connections", n)
+			t.Fatalf("%d inputs wait for the loop, more than maxUnhandled accepted connections and a few others", n)
 		}
 		runtime.Gosched()
 	}
