--- a/callserver/connections.go
+++ b/callserver/connections.go
@@ -12,22 +12,22 @@
 
 // officeConn is one connection to an office.
 type officeConn struct {
-	id            ConnID
-	remote        *remoteOffice
-	framer        office.Framer
-	up            bool
-	writeBlocked  bool // TCP accepts no more bytes for now
-	halfClosed    bool // closed for writing; what is under way is still read
-	halfClosedAt  time.Duration
-	lingering     bool                // half-closed and read on while its office may be unreachable
-	suspect       bool                // an answer on it is missing: no new attempts, closed once none is outstanding
-	outstanding   []*activeCall       // calls with an attempt on it
-	openedAt      time.Duration       // when it was dialled; once up, when it came up
-	lastActivity  time.Duration       // when bytes last came; 0: never
-	messageCount  int                 // messages received
-	stateReported bool                // the office has reported its group state on this connection
-	circuitsInUse int                 // in the first such report
-	unconfirmed   unconfirmedReleases // releases sent on it
+	id               ConnID
+	remote           *remoteOffice
+	framer           office.Framer
+	up               bool
+	writeBlocked     bool // TCP accepts no more bytes for now
+	halfClosed       bool // closed for writing by this process; what the office has written is still read
+	halfClosedAt     time.Duration
+	retained         bool                   // half-closed, and still read after halfClosedTimeout, as its office may be unreachable
+	suspect          bool                   // it may be dead: no new attempts, half-closed once none is outstanding
+	outstandingCalls []*activeCall          // calls whose outstanding attempt was sent on it
+	upOrDialledAt    time.Duration          // when it came up; until then, when it was dialled
+	lastActivity     time.Duration          // when bytes were last received; 0: never
+	messageCount     int                    // messages received
+	stateReported    bool                   // the office has reported its group state on this connection
+	circuitsInUse    int                    // in the first such report
+	unacknowledged   unacknowledgedReleases // releases of established calls sent on it
 }
 
 // leastLoadedConn returns the usable connection with the fewest outstanding attempts, or nil.
@@ -35,7 +35,7 @@
 	var best *officeConn
 	for _, conn := range r.conns {
 		if conn.up && !conn.writeBlocked && !conn.suspect && !conn.halfClosed && !slices.Contains(excluded, conn.id) &&
-			(best == nil || len(conn.outstanding) < len(best.outstanding)) {
+			(best == nil || len(conn.outstandingCalls) < len(best.outstandingCalls)) {
 			best = conn
 		}
 	}
@@ -59,7 +59,7 @@
 		switch {
 		case !conn.up:
 			counts.dialling++
-		case len(conn.outstanding) == 0 && !conn.suspect && !conn.writeBlocked:
+		case len(conn.outstandingCalls) == 0 && !conn.suspect && !conn.writeBlocked:
 			if counts.idle++; counts.oldestIdle == nil {
 				counts.oldestIdle = conn
 			}
@@ -68,30 +68,31 @@
 	return counts
 }
 
-// ensureIdleConn opens a connection if the next attempt would find none.
+// ensureIdleConn opens a connection to an office if the next attempt would find none. None is opened to offices that are gone
+// or, unless the settings have pools, of the own exchange.
 func (s *Server) ensureIdleConn(remote *remoteOffice) {
 	if remote.state == logic.Gone || remote.exchange == s.cfg.Settings.Home && !s.cfg.Settings.Pools {
 		return
 	}
 	counts := remote.countConns()
 	if counts.dialling > 0 || counts.idle > 0 && len(remote.waitingCalls) == 0 ||
-		counts.total >= s.maxConnsToOffice()+len(remote.waitingCalls) || s.now < remote.redialAt {
+		counts.total >= s.connLimitPerOffice()+len(remote.waitingCalls) || s.now < remote.reconnectAt {
 		return
 	}
 	s.dialOffice(remote)
 }
 
 func (s *Server) dialOffice(remote *remoteOffice) {
-	s.evictLingeringConn()
+	s.evictRetainedConn()
 	s.lastConnID++
-	conn := &officeConn{id: s.lastConnID, remote: remote, openedAt: s.now}
+	conn := &officeConn{id: s.lastConnID, remote: remote, upOrDialledAt: s.now}
 	remote.conns, s.officeConns[conn.id] = append(remote.conns, conn), conn
 	remote.detector.RecordDial(s.now)
 	s.trace("dial", "", remote.id, conn.id, "", 0)
 	s.emit(Dial{Conn: conn.id, Addr: remote.addr, Timeout: s.cfg.ConnectTimeout})
 }
 
-// armConnCheck schedules a check of an office's connections.
+// armConnCheck schedules the next call of checkConns.
 func (s *Server) armConnCheck(remote *remoteOffice) {
 	if !remote.connCheckArmed {
 		remote.connCheckArmed = true
@@ -99,14 +100,16 @@
 	}
 }
 
-// connLost handles a connection that has ended or become suspect: what its office wrote on it last may be lost.
-func (s *Server) connLost(remote *remoteOffice) {
-	remote.connLostAt = s.now
+// guardAgainstLostRelease handles a connection that has ended or was retired as suspect: a release that its office wrote on it
+// last may be lost, and is repeated only on a connection that is opened after it.
+func (s *Server) guardAgainstLostRelease(remote *remoteOffice) {
+	remote.releaseRiskAt = s.now
 	s.openAdditionalConn(remote, false)
 	s.armConnCheck(remote)
 }
 
-// checkConns opens another connection if a release may have been lost since the last check, or may be lost now.
+// checkConns opens another connection to an office if one has ended or was retired within the last two checks, or if an attempt
+// has been without an answer for slowAnswerThreshold, so that its connection may be dead: a release may be lost with either.
 func (s *Server) checkConns(id string) {
 	remote := s.offices[id]
 	if remote == nil {
@@ -115,11 +118,11 @@
 	remote.connCheckArmed = false
 	outstanding, slow := false, false
 	for _, conn := range remote.conns {
-		for _, call := range conn.outstanding {
+		for _, call := range conn.outstandingCalls {
 			outstanding, slow = true, slow || s.now-call.sentAt >= slowAnswerThreshold
 		}
 	}
-	recentLoss := remote.connLostAt > 0 && s.now-remote.connLostAt <= 2*connCheckInterval
+	recentLoss := remote.releaseRiskAt > 0 && s.now-remote.releaseRiskAt <= 2*connCheckInterval
 	if recentLoss || slow {
 		s.openAdditionalConn(remote, false)
 	}
@@ -128,37 +131,39 @@
 	}
 }
 
-// openAdditionalConn opens a connection besides those that are up. An office writes a release on the connection of the set-up
-// or on any open one, and repeats it on the next one that is opened. If the first is dead and no other is opened, as idle ones
-// exist, the caller does not learn in time that its call is over.
+// openAdditionalConn opens another connection to an office that holds established calls, even if there are idle ones. An office
+// writes a release on the connection of the set-up or on any other open one. If that one turns out to be dead, the office
+// repeats the release only on a connection that is opened later, and until then the caller does not learn that its call is over.
 //
-// With force it does so even while others are being dialled and at the limit of connections, as nothing has been received
-// from the office.
+// Without force it does nothing while another connection is being dialled, or at the limit of connections unless an idle one
+// can make room. With force, for an office from which nothing is received, only maxDialling limits it.
 func (s *Server) openAdditionalConn(remote *remoteOffice, force bool) {
-	if remote.establishedCalls == 0 || remote.state == logic.Gone || s.now < remote.redialAt {
+	if remote.establishedCalls == 0 || remote.state == logic.Gone || s.now < remote.reconnectAt {
 		return
 	}
 	counts := remote.countConns()
 	if counts.dialling > 0 && !force || counts.dialling >= maxDialling {
 		return
 	}
-	if counts.total >= s.maxConnsToOffice() && counts.idle < maxIdleConns && !force {
+	if counts.total >= s.connLimitPerOffice() && counts.idle < maxIdleConns && !force {
 		return
 	}
-	s.dialAdditional(remote)
+	s.makeRoomAndDial(remote)
 }
 
-// dialAdditional opens another connection to an office. If the office has enough idle connections or as many connections as
-// it may, its oldest idle one is half-closed first. If many offices are unreachable at once, descriptors are the limit.
-func (s *Server) dialAdditional(remote *remoteOffice) {
+// makeRoomAndDial opens another connection to an office. If the office has maxIdleConns idle connections, or its full share of
+// connections and an idle one, its oldest idle one is half-closed first. If the descriptors that additional connections may
+// use are all taken, as they are when many offices are unreachable at once, the oldest idle one is closed instead, so that it
+// needs no descriptor while it is half-closed; without an idle one, nothing is done.
+func (s *Server) makeRoomAndDial(remote *remoteOffice) {
 	counts := remote.countConns()
 	full := len(s.officeConns) >= s.cfg.MaxOfficeConns+s.cfg.MaxOfficeConns/halfClosedDivisor
 	switch {
 	case full && counts.idle == 0:
 		return
 	case full:
-		s.closeConn(counts.oldestIdle, "replaced by a new connection; no descriptor left to read it on")
-	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.total >= s.maxConnsToOffice():
+		s.closeConn(counts.oldestIdle, "replaced by a new connection; no descriptor left to keep it half-closed")
+	case counts.idle >= maxIdleConns || counts.idle > 0 && counts.total >= s.connLimitPerOffice():
 		s.halfClose(counts.oldestIdle, "replaced by a new connection")
 	}
 	s.dialOffice(remote)
@@ -168,7 +173,7 @@
 func (s *Server) logConn(text string, conn *officeConn, why string) {
 	if s.cfg.LogLevel <= slog.LevelDebug {
 		s.log(slog.LevelDebug, text, slog.String("office", conn.remote.id), slog.Uint64("conn", uint64(conn.id)), slog.String("why", why),
-			slog.Int("open", len(conn.outstanding)), slog.Duration("silent", s.now-max(conn.lastActivity, conn.openedAt)))
+			slog.Int("open", len(conn.outstandingCalls)), slog.Duration("silent", s.now-max(conn.lastActivity, conn.upOrDialledAt)))
 	}
 }
 
@@ -176,12 +181,12 @@
 func (s *Server) closeConn(conn *officeConn, why string) {
 	s.logConn("office's connection closed", conn, why)
 	s.emit(Close{Conn: conn.id})
-	s.removeConn(conn)
+	s.unregisterConnAndOffice(conn)
 }
 
-// redial opens a connection to an office whose backoff is over.
-func (s *Server) redial(id string) {
-	if remote := s.offices[id]; remote != nil && s.now >= remote.redialAt {
+// reconnect opens a connection to an office whose backoff is over, if it needs one.
+func (s *Server) reconnect(id string) {
+	if remote := s.offices[id]; remote != nil && s.now >= remote.reconnectAt {
 		s.ensureIdleConn(remote)
 	}
 }
@@ -193,11 +198,11 @@
 		s.emit(Close{Conn: id})
 		return
 	}
-	conn.up, conn.openedAt = true, s.now
+	conn.up, conn.upOrDialledAt = true, s.now
 	s.trace("connected", "", conn.remote.id, id, "", 0)
 	remote := conn.remote
 	remote.dialFailures = 0
-	s.noteConnected(remote, conn)
+	s.recordConnected(remote, conn)
 	if remote.unverifiedBefore > 0 {
 		s.armTimer(liveness.PendingReleaseWindow, timer{kind: timerVerifyCalls, officeID: remote.id})
 	}
@@ -210,7 +215,8 @@
 	s.ensureIdleConn(remote)
 }
 
-// dialFailed handles a connection that did not come up: no attempt that waited for it has run.
+// dialFailed handles a connection that did not come up. The attempts that waited for it are sent on other connections or end
+// with NoConnect: they had no effect at the office.
 func (s *Server) dialFailed(id ConnID, refused bool) {
 	conn := s.officeConns[id]
 	if conn == nil {
@@ -218,15 +224,15 @@
 	}
 	remote := conn.remote
 	s.log(slog.LevelInfo, "connection to office failed", slog.String("office", remote.id), slog.Bool("refused", refused))
-	s.removeConn(conn)
+	s.unregisterConnAndOffice(conn)
 	if !refused {
 		remote.detector.RecordDialFailure()
 	}
-	maxDelay := maxRedialDelay
+	maxDelay := maxReconnectDelay
 	if remote.supervised && remote.detector.State() == liveness.Suspected {
-		maxDelay = maxSuspectRedialDelay
+		maxDelay = maxSuspectReconnectDelay
 	}
-	s.scheduleRedial(remote, remote.dialFailures, maxDelay)
+	s.scheduleReconnect(remote, remote.dialFailures, maxDelay)
 	remote.dialFailures++
 	waiting := remote.waitingCalls
 	remote.waitingCalls = nil
@@ -238,32 +244,33 @@
 		s.attemptEnded(call, logic.Outcome{Status: logic.NoConnect})
 	}
 	if refused && !remote.anyConnUp() { // the process has ended, and its calls with it
-		remote.replacedAt = s.now
+		remote.processEndedAt = s.now
 		s.dropEstablishedCalls(remote, s.now, "its office refuses connections")
 	}
 	s.cleanUpGoneOffice(remote)
 }
 
-// removeConn removes a connection, and its office if that is gone.
-func (s *Server) removeConn(conn *officeConn) {
-	s.deleteConn(conn)
+// unregisterConnAndOffice removes a connection from the state of the Server, and its office if that is gone.
+func (s *Server) unregisterConnAndOffice(conn *officeConn) {
+	s.unregisterConn(conn)
 	s.cleanUpGoneOffice(conn.remote)
 }
 
-func (s *Server) deleteConn(conn *officeConn) {
+func (s *Server) unregisterConn(conn *officeConn) {
 	delete(s.officeConns, conn.id)
-	if conn.halfClosed && !conn.lingering {
+	if conn.halfClosed && !conn.retained {
 		s.halfClosedConns--
 	}
 	conn.remote.conns = slices.DeleteFunc(conn.remote.conns, func(other *officeConn) bool { return other == conn })
 }
 
-// officeConnEnded ends the attempts on a connection that has ended. Established calls belong to no connection. A half-closed
-// connection that ends in order has been read to its end by the office; after a reset, what was written on it may be lost.
+// officeConnEnded ends the attempts on a connection that has ended. Established calls belong to no connection. If an office
+// closes a half-closed connection without a reset, it has read everything that was written on it; after a reset, the releases
+// may be lost.
 func (s *Server) officeConnEnded(conn *officeConn, reset bool, why string) {
 	remote := conn.remote
 	s.logConn("office's connection ended", conn, why)
-	s.removeConn(conn)
+	s.unregisterConnAndOffice(conn)
 	if conn.halfClosed {
 		if reset {
 			s.resendLostReleases(conn)
@@ -272,51 +279,52 @@
 	}
 	s.backOffAfterEarlyClose(conn)
 	s.resendLostReleases(conn)
-	s.noteConnLoss(remote)
-	outstanding := conn.outstanding
-	conn.outstanding = nil
+	s.recordConnEnd(remote)
+	outstanding := conn.outstandingCalls
+	conn.outstandingCalls = nil
 	for _, call := range outstanding {
 		s.attemptEnded(call, logic.Outcome{Status: logic.Reset})
 	}
-	s.connLost(remote)
+	s.guardAgainstLostRelease(remote)
 	s.ensureIdleConn(remote)
 }
 
-// backOffAfterEarlyClose delays the next connection to an office that accepts connections and ends them before it has sent
-// anything, which would otherwise be repeated without limit. Attempts do not wait for it.
+// backOffAfterEarlyClose delays the next connection after one that ended before anything was received on it. Otherwise an
+// office that accepts connections and closes them at once would be dialled again and again without a delay. An attempt does not
+// wait for the end of the backoff, since assignConn resets it.
 func (s *Server) backOffAfterEarlyClose(conn *officeConn) {
 	remote := conn.remote
 	if conn.lastActivity > 0 {
 		return
 	}
-	s.scheduleRedial(remote, remote.earlyCloses, maxSuspectRedialDelay)
+	s.scheduleReconnect(remote, remote.earlyCloses, maxSuspectReconnectDelay)
 	remote.earlyCloses++
 }
 
-// scheduleRedial arms the next connection to an office, with a backoff that doubles with each consecutive failure.
-func (s *Server) scheduleRedial(remote *remoteOffice, failures int, maxDelay time.Duration) {
-	delay := min(initialRedialDelay<<min(failures, maxRedialDoublings), maxDelay)
-	remote.redialAt = s.now + delay
-	s.armTimer(delay, timer{kind: timerRedial, officeID: remote.id})
+// scheduleReconnect sets the backoff of an office, which doubles with each consecutive failure, and arms the timer for its end.
+func (s *Server) scheduleReconnect(remote *remoteOffice, failures int, maxDelay time.Duration) {
+	delay := min(initialReconnectDelay<<min(failures, maxReconnectDoublings), maxDelay)
+	remote.reconnectAt = s.now + delay
+	s.armTimer(delay, timer{kind: timerReconnect, officeID: remote.id})
 }
 
 // abortConn closes a connection at once, without sending what is queued on it: it is corrupted, or the queued messages must not
 // be sent any more.
 func (s *Server) abortConn(conn *officeConn, why string) {
 	s.log(slog.LevelInfo, "office's connection closed", slog.String("office", conn.remote.id), slog.String("why", why),
-		slog.Int("open", len(conn.outstanding)))
+		slog.Int("open", len(conn.outstandingCalls)))
 	s.emit(Close{Conn: conn.id, Now: true})
 	s.officeConnEnded(conn, true, why)
 }
 
-// suspectConnsSince marks a connection on which an attempt sent at sentAt got no answer as suspect. If nothing has been
-// received from the office since, all its older connections are: connections of a host that has vanished stay open, and
-// each would cost an attempt. Once the host is back, new connections carry its messages.
+// suspectConnsSince marks a connection as suspect on which an attempt, sent at sentAt, got no answer. If nothing has been
+// received from the office on any connection since sentAt, it also marks those that were up by then: connections of a host that
+// has vanished stay open on this side, and each of them would cost an attempt. New connections come up once the host is back.
 func (s *Server) suspectConnsSince(conn *officeConn, sentAt time.Duration) {
 	remote := conn.remote
 	active := slices.ContainsFunc(remote.conns, func(other *officeConn) bool { return other.lastActivity > sentAt })
 	for _, other := range slices.Clone(remote.conns) {
-		if other == conn || !active && other.up && other.openedAt <= sentAt {
+		if other == conn || !active && other.up && other.upOrDialledAt <= sentAt {
 			other.suspect = true
 			s.retireConn(other)
 		}
@@ -326,13 +334,13 @@
 
 // retireConn half-closes a suspect connection once no attempt is outstanding on it.
 func (s *Server) retireConn(conn *officeConn) {
-	if conn.suspect && !conn.halfClosed && len(conn.outstanding) == 0 && s.officeConns[conn.id] == conn {
+	if conn.suspect && !conn.halfClosed && len(conn.outstandingCalls) == 0 && s.officeConns[conn.id] == conn {
 		s.halfClose(conn, "suspect, and no attempt is outstanding on it")
-		s.connLost(conn.remote)
+		s.guardAgainstLostRelease(conn.remote)
 	}
 }
 
-// setWriteBlocked records whether TCP accepts bytes on a connection.
+// setWriteBlocked records whether TCP has stopped accepting bytes on a connection.
 func (s *Server) setWriteBlocked(id ConnID, blocked bool) {
 	if conn := s.officeConns[id]; conn != nil {
 		conn.writeBlocked = blocked
--- a/callserver/discovery.go
+++ b/callserver/discovery.go
@@ -15,9 +15,9 @@
 	s.position = snapshot.Pos
 	var offices []logic.Office
 	for i := range snapshot.Entries {
-		for _, listed := range s.applyMembers(&snapshot.Entries[i].Hosts) {
-			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == listed.ID })
-			offices = append(offices, listed)
+		for _, known := range s.applyMembers(&snapshot.Entries[i].Hosts) {
+			offices = slices.DeleteFunc(offices, func(old logic.Office) bool { return old.ID == known.ID })
+			offices = append(offices, known)
 		}
 	}
 	s.controller.UpdateOffices(s.now, logic.ListRestored, offices)
@@ -70,10 +70,12 @@
 	return all
 }
 
+// stateByPhase maps the states of offices in service discovery to those of the Controller. Updates list only offices that have
+// changed, so an office in state Deleted is listed, too.
 var stateByPhase = map[feed.Phase]logic.OfficeState{feed.Serving: logic.Ready, feed.Draining: logic.Draining,
 	feed.Deleted: logic.Gone}
 
-// applyMembers applies members to the known offices and returns them in the Controller's form.
+// applyMembers applies the entries of an event (its members) to the known offices and returns them in the Controller's form.
 func (s *Server) applyMembers(hosts *feed.Hosts) []logic.Office {
 	offices := make([]logic.Office, 0, len(hosts.Members))
 	var added []*remoteOffice
@@ -112,18 +114,20 @@
 	return offices
 }
 
-// officeRestarted discards the state of an office's earlier process. Calls and connections begun since are kept.
+// officeRestarted drops the calls and connections of an office's earlier process. Those from after the restart are kept.
 func (s *Server) officeRestarted(remote *remoteOffice) {
 	s.dropEstablishedCalls(remote, remote.startedAt, "its office has restarted")
 	for _, conn := range slices.Clone(remote.conns) {
-		if conn.up && conn.openedAt < remote.startedAt {
+		if conn.up && conn.upOrDialledAt < remote.startedAt {
 			s.abortConn(conn, "the office has restarted")
 		}
 	}
-	remote.dialFailures, remote.redialAt = 0, 0
+	remote.dialFailures, remote.reconnectAt = 0, 0
 }
 
-// officeLeaving handles an office that is draining or gone. Nothing may be sent to it once the grace time is over (rule 3).
+// officeLeaving handles an office that is draining or gone. Nothing new may be sent to it once the grace time is over (rule 3).
+// The grace time counts from the announcement, which was before now, and bytes that are already queued take time to be sent.
+// So unsent set-ups are discarded after half of it.
 func (s *Server) officeLeaving(remote *remoteOffice, state logic.OfficeState) {
 	if remote.state == logic.Ready {
 		s.armTimer(s.cfg.Settings.DrainGrace/2, timer{kind: timerDrainGrace, officeID: remote.id})
@@ -174,10 +178,10 @@
 		return
 	}
 	for _, conn := range slices.Clone(remote.conns) {
-		if len(conn.outstanding) == 0 {
+		if len(conn.outstandingCalls) == 0 {
 			s.logConn("office's connection closed", conn, "its office is gone")
 			s.emit(Close{Conn: conn.id})
-			s.deleteConn(conn)
+			s.unregisterConn(conn)
 		}
 	}
 	if len(remote.conns) == 0 && len(remote.waitingCalls) == 0 && remote.establishedCalls == 0 {
@@ -186,7 +190,8 @@
 	}
 }
 
-// connectToOffices opens a connection to each office, on which the office reports its group state.
+// connectToOffices opens a connection to each office that has no idle one, as ensureIdleConn permits. An office reports its
+// group state on every new connection.
 func (s *Server) connectToOffices() {
 	for _, remote := range s.sortedOffices() {
 		s.ensureIdleConn(remote)
@@ -212,7 +217,7 @@
 		slog.Uint64("refused", totals.Refused), slog.Uint64("failed", totals.Failed),
 		slog.Uint64("hung_up", totals.HungUp), slog.Uint64("departed", totals.SentAfterHangUp),
 		slog.Duration("list_age", s.now-s.discoveryChangedAt),
-		slog.Uint64("unreadable", totals.Malformed), slog.Int("open", open),
+		slog.Uint64("unreadable", totals.RejectedMessages), slog.Int("open", open),
 		slog.Int("standing", established), slog.Int("pending_releases", len(s.pendingReleases)),
 		slog.Int("callers", len(s.callerConns)), slog.Int("offices", len(s.officeConns)))
 	for _, remote := range s.sortedOffices() {
--- a/callserver/hangup_test.go
+++ b/callserver/hangup_test.go
@@ -32,7 +32,7 @@
 	for name, hangUp := range map[string]func(h *harness, caller ConnID){
 		"closes its connection": func(h *harness, caller ConnID) { h.apply(Input{Kind: InClosed, Conn: caller}) },
 		"cancels":               func(h *harness, caller ConnID) { h.callerSends(caller, request("CANCEL", 9)) },
-		"sends another set-up under the same ID": func(h *harness, caller ConnID) {
+		"sends another set-up with the same Call-ID": func(h *harness, caller ConnID) {
 			h.callerSends(caller, strings.Replace(invite(9, "dest:1;width:1"), "sip:", "sip:4", 1))
 		},
 	} {
@@ -52,8 +52,8 @@
 			if n := h.countSetUps(9); n != 0 {
 				t.Errorf("%s, can cancel %v: %d set-ups after the caller hung up", name, canCancel, n)
 			}
-			if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.calls) != 0 {
-				t.Errorf("%s, can cancel %v: %d open calls, %d established, %d not removed", name, canCancel, open, established, len(h.server.calls))
+			if open, established := h.server.CallCounts(); open != 0 || established != 0 || len(h.server.callsByID) != 0 {
+				t.Errorf("%s, can cancel %v: %d open calls, %d established, %d not removed", name, canCancel, open, established, len(h.server.callsByID))
 			}
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -1,7 +1,8 @@
-// Package node runs a callserver.Server as a process: it provides the configuration, TCP connections, the clock, the
-// reaction to signals and the limits of the machine. One goroutine, the event loop, owns all state. Each connection has a
-// reader goroutine that passes one chunk at a time to the loop; the loop itself writes as much as TCP accepts at once.
-// All decisions about calls are made in package callserver.
+// Package node runs a callserver.Server as a process of the platform, the system of callers, offices and service discovery
+// that call servers are deployed in. It provides the configuration, TCP connections, the clock, the reaction to signals and
+// the limits of the machine. One goroutine, the event loop, owns all state. Each connection has a reader goroutine that passes
+// one chunk at a time to the loop; the loop itself writes as much as TCP accepts at once. All decisions about calls are made in
+// package callserver.
 package node
 
 import (
@@ -25,16 +26,16 @@
 	cfg             *Config
 	configPath      string
 	log             *slog.Logger
-	core            *callserver.Server
+	server          *callserver.Server
 	startTime       time.Time
 	startUnix       time.Duration // Unix time of startTime
 	inputs          chan input
-	selfInputs      []callserver.Input // arose while effects were applied; the loop applies them next
+	selfInputs      []callserver.Input // InWritten and InWriteBlocked that arose from effects; the loop applies them next
 	stop            chan struct{}
 	stopOnce        sync.Once
 	reloadRequests  chan struct{}
 	drainRequests   chan struct{}
-	endpoints       map[callserver.ConnID]*endpoint
+	peers           map[callserver.ConnID]*peerConn
 	wg              sync.WaitGroup
 	listener        net.Listener
 	discoveryPos    atomic.Uint64 // position in the discovery stream up to which events have been applied
@@ -43,35 +44,35 @@
 	unhandled       link.Semaphore // connections that are accepted and that the loop has not handled yet
 	acceptStoppedAt time.Duration  // Unix time at which the listener was closed by a drain; 0: it is open
 	drainStartedAt  time.Duration  // Unix time; 0: no drain has started
-	drainEndsAt     time.Duration  // planned end of the drain, Unix time; 0: the core has not been notified of it
+	drainEndsAt     time.Duration  // planned end of the drain, Unix time; 0: the server has not been notified of it
 }
 
-// input is a message from another goroutine to the event loop.
+// input is an input for the server that another goroutine passes to the event loop.
 type input struct {
 	callserver.Input
 	receivedAt time.Duration // Unix time, of received bytes and of the end of a connection
 	conn       net.Conn      // a connection that was accepted or dialled
-	endpoint   *endpoint     // whose reader sent this input
+	peer       *peerConn     // whose reader sent this input
 }
 
-// endpoint is a connection and its reader.
-type endpoint struct {
+// peerConn is a connection to a caller or an office, with what the loop and the reader of the connection share.
+type peerConn struct {
 	*link.Link
 	id      callserver.ConnID
-	resume  chan struct{} // tells the reader that the loop has handled the last chunk
-	discard atomic.Bool   // the reader drops what it reads and only waits for the end
+	resume  chan struct{} // receives once the loop has handled the last chunk, so that the reader may reuse its buffer
+	discard atomic.Bool   // the reader drops what it reads until the connection ends
 }
 
 // Sizes of buffers and queues, and limits of connections.
 const (
-	readBufferSize   = 4 << 10               // bytes
-	maxWriteQueue    = 256 << 10             // bytes that a peer may leave unread
-	inputQueueSize   = 128                   // inputs that wait for the loop
-	maxBatch         = 256                   // inputs that are applied at one time, after the first
-	overdueThreshold = 50 * time.Millisecond // a timer that is later than this was delayed by a pause of the process
-	lingerTime       = 300 * time.Millisecond
-	maxLingering     = 16 // connections
-	maxUnhandled     = 8  // connections; the rest of a flood waits in the kernel and takes no descriptors from the offices
+	readBufferSize   = 4 << 10                // bytes
+	maxWriteQueue    = 256 << 10              // bytes that a peer may leave unread
+	inputQueueSize   = 128                    // inputs that wait for the loop
+	maxBatch         = 256                    // further inputs that are applied together with the first
+	overdueThreshold = 50 * time.Millisecond  // a timer that is later than this was delayed by a pause of the process
+	lingerTime       = 300 * time.Millisecond // from a Close with Linger to the close of the connection
+	maxLingering     = 16                     // connections that linger at a time; others are closed at once
+	maxUnhandled     = 8                      // accepted connections; the rest waits in the kernel and takes no descriptors from offices
 )
 
 // New makes a Node from a configuration file, which Reload reads again.
@@ -81,7 +82,7 @@
 		return nil, err
 	}
 	n := &Node{cfg: cfg, configPath: path, log: log.With("node", cfg.Name), inputs: make(chan input, inputQueueSize), stop: make(chan struct{}),
-		reloadRequests: make(chan struct{}, 1), drainRequests: make(chan struct{}, 1), endpoints: map[callserver.ConnID]*endpoint{},
+		reloadRequests: make(chan struct{}, 1), drainRequests: make(chan struct{}, 1), peers: map[callserver.ConnID]*peerConn{},
 		lingerSlots: make(link.Semaphore, maxLingering), unhandled: make(link.Semaphore, maxUnhandled), startTime: time.Now()}
 	n.startUnix = time.Duration(n.startTime.UnixNano())
 	settings := cfg.serverConfig()
@@ -90,7 +91,7 @@
 			break
 		}
 	}
-	if n.core, err = callserver.New(settings); err != nil {
+	if n.server, err = callserver.New(settings); err != nil {
 		return nil, &ConfigError{File: path, Err: err}
 	}
 	return n, nil
@@ -136,11 +137,11 @@
 			return err
 		}
 	}
-	n.log.Info("started", "listen", n.listener.Addr().String(), "journal", n.cfg.Journal, "sockets", n.cfg.Limits.Sockets,
+	n.log.Info("started", "listen", n.listener.Addr().String(), "journal", n.cfg.DiscoveryAddr, "sockets", n.cfg.Limits.Sockets,
 		"memory_mb", n.cfg.Limits.MemoryMB, "cores", n.cfg.Limits.Cores)
-	n.core.Start(n.now(), n.cfg.Known)
-	n.discoveryPos.Store(n.core.Position())
-	n.startDiscovery(n.cfg.Journal)
+	n.server.Start(n.now(), n.cfg.Snapshot)
+	n.discoveryPos.Store(n.server.Position())
+	n.startDiscovery(n.cfg.DiscoveryAddr)
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
@@ -150,7 +151,7 @@
 	n.Kill()
 	n.wg.Wait()
 	n.closeUnhandled()
-	n.core.LogTotals()
+	n.server.LogTotals()
 	n.applyEffects()
 	n.log.Info("ended")
 	return nil
