--- a/config/config.go
+++ b/config/config.go
@@ -102,7 +102,7 @@
 	ASPs           []uint32 `json:"asps"`       // ASP identifiers of a client with several processes, in place of asp_id
 	Mode           string   `json:"mode"`       // traffic mode of the processes: override (default), loadshare or broadcast
 	RequiredASPs   int      `json:"needed"`     // processes that must be active before traffic begins
-	Weight         float64  `json:"weight"`     // share of a client in the capacity that clients share in an overload; 0: 1
+	Weight         float64  `json:"weight"`     // weight of a client when an overload divides the capacity between clients; 0: 1
 	RoutingContext *uint32  `json:"routing_context"`
 	Circuits       Circuits `json:"circuits"`
 	Heartbeat      Duration `json:"heartbeat"`
@@ -146,7 +146,7 @@
 	Unsafe    bool     `json:"unsafe"`     // a further attempt could do harm
 }
 
-// Number routes called numbers with a prefix to an exchange.
+// Number is a rule of the numbering plan: called numbers that begin with Prefix belong to Exchange.
 type Number struct {
 	Prefix   string `json:"prefix"`
 	Exchange string `json:"exchange"`
@@ -160,17 +160,18 @@
 	DrainGrace Duration `json:"drain_grace"` // rule 3: grace time of an exchange that is draining or gone
 	TipAfter   Duration `json:"tip_after"`   // rule 4: a cold exchange that is overloaded for this long fails
 	Overload   float64  `json:"overload"`    // rule 4: overload as a multiple of the present capacity
-	ColdFrom   float64  `json:"cold_from"`   // rule 4: least share of its capacity that a cold exchange starts with
+	ColdFrom   float64  `json:"cold_from"`   // rule 4: share of its capacity that a cold exchange has right after its start
 	ColdFor    Duration `json:"cold_for"`    // rule 4: time from its start until it has its full capacity
 }
 
-// Timers holds the protocol timers, whose defaults are those of the recommendations, and two times of the server.
+// Timers holds the protocol timers, whose defaults are those of the recommendations, and two times of the server. T12 and T13
+// each stand for six timers of Q.764, one for each kind of circuit supervision message (trunk.Timers).
 type Timers struct {
-	Tick     Duration `json:"tick"`     // time that the decision module allows between two batches of events; 0: 5ms
+	Tick     Duration `json:"tick"`     // shortest time between two batches of events for the decision module; 0: 5ms
 	T1       Duration `json:"t1"`       // Q.764 T1: REL is repeated after it
 	T5       Duration `json:"t5"`       // Q.764 T5: RSC replaces REL after it
-	T12      Duration `json:"t12"`      // Q.764 T12 and its like: circuit supervision messages are repeated after it
-	T13      Duration `json:"t13"`      // Q.764 T13 and its like: maintenance is alerted after it
+	T12      Duration `json:"t12"`      // Q.764 T12, T14 to T22: unanswered circuit supervision messages are repeated after it
+	T13      Duration `json:"t13"`      // Q.764 T13, T15 to T23: maintenance is alerted after it that they are still unanswered
 	Ack      Duration `json:"t_ack"`    // M3UA T(ack)
 	Recovery Duration `json:"recovery"` // M3UA T(r): how long the calls of a lost association are kept; 0: router.DefaultRecovery
 	Drain    Duration `json:"drain"`    // maximum time of a drain; 0: the longest patience plus 1s
@@ -230,7 +231,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load evaluates a Jsonnet file with external variables (std.extVar) and validates it. The error is an ErrorList.
+// Load evaluates a Jsonnet file with external variables (std.extVar) and returns its settings as a Config. The error is an
+// ErrorList.
 func Load(path string, vars map[string]string) (*Config, error) {
 	vm := jsonnet.MakeVM()
 	for k, v := range vars {
@@ -243,7 +245,7 @@
 	return Parse(path, text)
 }
 
-// Evaluate evaluates a Jsonnet snippet and validates it. Errors use name as the file name.
+// Evaluate evaluates a Jsonnet snippet and returns its settings as a Config. Errors use name as the file name.
 func Evaluate(name, snippet string, vars map[string]string) (*Config, error) {
 	vm := jsonnet.MakeVM()
 	for k, v := range vars {
@@ -256,7 +258,8 @@
 	return Parse(name, text)
 }
 
-// Parse validates evaluated JSON. The error is an ErrorList.
+// Parse reads evaluated JSON, validates the settings and returns them as a Config. Errors use name as the file name; the error
+// is an ErrorList.
 func Parse(name, text string) (*Config, error) {
 	var f File
 	dec := json.NewDecoder(bytes.NewReader([]byte(text)))
@@ -269,7 +272,7 @@
 		}
 		return nil, ErrorList{parseError}
 	}
-	return f.Check(name)
+	return f.Convert(name)
 }
 
 // checker collects the errors of a file.
@@ -299,76 +302,77 @@
 	}
 }
 
-// Check returns the configuration, or an ErrorList with all errors of the file. Errors use name as the file name.
-func (f *File) Check(name string) (*Config, error) {
-	c := &checker{file: name}
+// Convert validates the settings and converts them to a Config. The error is an ErrorList with all errors of the file; they use
+// name as the file name.
+func (f *File) Convert(name string) (*Config, error) {
+	check := &checker{file: name}
 	cfg := &Config{ListenAddress: f.Listen, ConsoleAddress: f.Console, Seed: f.Seed, DialAddresses: map[router.LinkID]string{},
 		LinkByASPID: map[uint32]router.LinkID{}}
-	c.require(f.Name != "", "name", "the name of this exchange is missing")
-	c.checkAddress("listen", f.Listen, false)
-	c.checkAddress("console", f.Console, false)
-	exchanges := f.convertExchanges(c, cfg)
-	classIndexes := f.convertClasses(c, cfg)
-	f.convertPeers(c, cfg)
-	f.convertNumbers(c, cfg, exchanges, classIndexes)
-	f.convertRules(c, cfg)
-	f.convertLimits(c, cfg)
-	f.convertEnum(c, cfg, classIndexes)
-	f.convertTraffic(c, cfg, classIndexes)
-	if len(c.errors) == 0 {
+	check.require(f.Name != "", "name", "the name of this exchange is missing")
+	check.checkAddress("listen", f.Listen, false)
+	check.checkAddress("console", f.Console, false)
+	exchanges := f.convertExchanges(check, cfg)
+	classIndexes := f.convertClasses(check, cfg)
+	f.convertPeers(check, cfg)
+	f.convertNumbers(check, cfg, exchanges, classIndexes)
+	f.convertRules(check, cfg)
+	f.convertLimits(check, cfg)
+	f.convertEnum(check, cfg, classIndexes)
+	f.convertTraffic(check, cfg, classIndexes)
+	if len(check.errors) == 0 {
 		// The Router's checks find errors that only show when settings are combined.
 		if err := cfg.Router.Check(); err != nil {
-			c.addError("", "%v", strings.TrimPrefix(err.Error(), "router: "))
+			check.addError("", "%v", strings.TrimPrefix(err.Error(), "router: "))
 		} else if _, err := router.New(cfg.Router, 0); err != nil {
-			c.addError("", "%v", err)
+			check.addError("", "%v", err)
 		}
 	}
-	if len(c.errors) > 0 {
-		return nil, c.errors
+	if len(check.errors) > 0 {
+		return nil, check.errors
 	}
 	return cfg, nil
 }
 
 // convertExchanges adds the exchanges to cfg and returns them by name.
-func (f *File) convertExchanges(c *checker, cfg *Config) map[string]Exchange {
+func (f *File) convertExchanges(check *checker, cfg *Config) map[string]Exchange {
 	byName := map[string]Exchange{}
-	c.require(len(f.Exchanges) > 0, "exchanges", "none")
+	check.require(len(f.Exchanges) > 0, "exchanges", "none")
 	for i, exchange := range f.Exchanges {
 		path := fmt.Sprintf("exchanges[%d]", i)
-		c.require(exchange.Name != "" && !strings.ContainsAny(exchange.Name, " \t\r\n"), path+".name",
-			"%q is not a name", exchange.Name)
+		check.require(exchange.Name != "" && !strings.ContainsAny(exchange.Name, " \t\r\n"), path+".name",
+			"%q is empty or contains white space", exchange.Name)
 		_, duplicate := byName[exchange.Name]
-		c.require(!duplicate, path+".name", "%s is a duplicate", exchange.Name)
-		c.require(exchange.PointCode > 0 && exchange.PointCode <= maxPointCode, path+".point_code",
+		check.require(!duplicate, path+".name", "%s is a duplicate", exchange.Name)
+		check.require(exchange.PointCode > 0 && exchange.PointCode <= maxPointCode, path+".point_code",
 			"%d is not between 1 and 16383", exchange.PointCode)
 		byName[exchange.Name] = exchange
 		cfg.Router.Exchanges = append(cfg.Router.Exchanges,
 			router.Exchange{Number: exchange.Number, Name: exchange.Name, PointCode: exchange.PointCode})
 	}
 	_, known := byName[f.Name]
-	c.require(known || f.Name == "", "name", "%s is not among the exchanges", f.Name)
+	check.require(known || f.Name == "", "name", "%s is not among the exchanges", f.Name)
 	cfg.Router.Name = f.Name
 	return byName
 }
 
 // convertClasses adds the classes to cfg and returns their indexes by name.
-func (f *File) convertClasses(c *checker, cfg *Config) map[string]int {
+func (f *File) convertClasses(check *checker, cfg *Config) map[string]int {
 	indexes := map[string]int{}
-	c.require(len(f.Classes) > 0, "classes", "none")
+	check.require(len(f.Classes) > 0, "classes", "none")
 	for i, class := range f.Classes {
 		path := fmt.Sprintf("classes[%d]", i)
 		_, duplicate := indexes[class.Name]
-		c.require(class.Name != "" && !duplicate, path+".name", "%q is empty or a duplicate", class.Name)
-		c.require(class.Worth > 0 && class.Worth <= 1e9, path+".worth",
+		check.require(class.Name != "" && !duplicate, path+".name", "%q is empty or a duplicate", class.Name)
+		check.require(class.Worth > 0 && class.Worth <= 1e9, path+".worth",
 			"%v is not between 0 (exclusive) and 1e9", class.Worth)
-		c.require(class.LateShare >= 0 && class.LateShare <= 1, path+".late_share",
+		check.require(class.LateShare >= 0 && class.LateShare <= 1, path+".late_share",
 			"%v is not between 0 and 1", class.LateShare)
-		c.require(class.Aim > 0, path+".aim", "must be positive")
-		c.require(class.Patience > class.Aim, path+".patience",
+		check.require(class.Aim > 0, path+".aim", "must be positive")
+		check.require(class.Patience > class.Aim, path+".patience",
 			"%v is not longer than the aim %v", time.Duration(class.Patience), time.Duration(class.Aim))
-		c.require(class.Deadline >= class.Patience, path+".deadline",
+		check.require(class.Deadline >= class.Patience, path+".deadline",
 			"%v is shorter than the patience %v", time.Duration(class.Deadline), time.Duration(class.Patience))
-		c.require(class.Hold > 0, path+".hold", "must be positive")
+		check.require(class.Hold > 0, path+".hold", "must be positive")
 		indexes[class.Name] = i
 		cfg.Router.Classes = append(cfg.Router.Classes, router.Class{Category: class.Category,
 			Patience: time.Duration(class.Patience), Class: logic.Class{Name: class.Name, Worth: class.Worth,
@@ -388,7 +392,7 @@
 
 // convertPeers adds the peers. It numbers the connections of their processes in the order of the settings, as router.LinkID
 // is defined. A peer without an ASP identifier that connects to this server is identified by its point code.
-func (f *File) convertPeers(c *checker, cfg *Config) {
+func (f *File) convertPeers(check *checker, cfg *Config) {
 	pointCodes := map[string]uint32{}
 	for _, exchange := range f.Exchanges {
 		pointCodes[exchange.Name] = exchange.PointCode
@@ -397,23 +401,23 @@
 	for i, peer := range f.Peers {
 		path := fmt.Sprintf("peers[%d]", i)
 		kind, ok := peerKinds[peer.Kind]
-		c.require(ok, path+".kind", "%q is not exchange, client or subscribers", peer.Kind)
+		check.require(ok, path+".kind", "%q is not exchange, client or subscribers", peer.Kind)
 		if kind == router.PeerExchange && peer.PointCode == 0 {
 			peer.PointCode = pointCodes[peer.Name]
 		}
-		c.require(peer.PointCode > 0 && peer.PointCode <= maxPointCode, path+".point_code",
+		check.require(peer.PointCode > 0 && peer.PointCode <= maxPointCode, path+".point_code",
 			"%d is not between 1 and 16383", peer.PointCode)
 		circuits := peer.Circuits.Codes()
-		c.require(peer.Circuits.Count > 0 && len(circuits) == peer.Circuits.Count && peer.Circuits.First > 0, path+".circuits",
+		check.require(peer.Circuits.Count > 0 && len(circuits) == peer.Circuits.Count && peer.Circuits.First > 0, path+".circuits",
 			"%d circuits from %d on do not fit into the codes 1 to 4095", peer.Circuits.Count, peer.Circuits.First)
-		c.checkAddress(path+".dial", peer.Dial, false)
+		check.checkAddress(path+".dial", peer.Dial, false)
 		mode, ok := trafficModes[peer.Mode]
-		c.require(ok, path+".mode", "%q is not override, loadshare or broadcast", peer.Mode)
+		check.require(ok, path+".mode", "%q is not override, loadshare or broadcast", peer.Mode)
 		aspIDs := peer.ASPs
-		c.require(len(aspIDs) == 0 || peer.ASPID == 0 && peer.Dial == "" && kind == router.PeerClient, path+".asps",
+		check.require(len(aspIDs) == 0 || peer.ASPID == 0 && peer.Dial == "" && kind == router.PeerClient, path+".asps",
 			"only clients that connect to this server can have several processes, and asp_id names a single one")
-		c.require(peer.Weight >= 0 && peer.Weight <= 1e6, path+".weight", "%v is not between 0 and 1,000,000", peer.Weight)
-		c.require(peer.RequiredASPs >= 0 && peer.RequiredASPs <= max(1, len(aspIDs)), path+".needed",
+		check.require(peer.Weight >= 0 && peer.Weight <= 1e6, path+".weight", "%v is not between 0 and 1,000,000", peer.Weight)
+		check.require(peer.RequiredASPs >= 0 && peer.RequiredASPs <= max(1, len(aspIDs)), path+".needed",
 			"%d of %d processes cannot be required", peer.RequiredASPs, max(1, len(aspIDs)))
 		association := m3ua.Settings{TAck: time.Duration(f.Timers.Ack), HeartbeatInterval: time.Duration(peer.Heartbeat),
 			ASPID: pointCodes[f.Name]}
@@ -432,7 +436,7 @@
 			}
 			for k, aspID := range aspIDs {
 				_, duplicate := cfg.LinkByASPID[aspID]
-				c.require(!duplicate, path+".asp_id", "%d is used by another process too", aspID)
+				check.require(!duplicate, path+".asp_id", "%d is used by another process too", aspID)
 				cfg.LinkByASPID[aspID] = nextLink + router.LinkID(k)
 			}
 		}
@@ -441,38 +445,39 @@
 			Circuits: circuits, ASPs: slices.Repeat([]m3ua.Settings{association}, len(aspIDs)), Mode: mode,
 			MinActiveASPs: peer.RequiredASPs, Weight: peer.Weight})
 	}
-	c.require(!acceptsConnections || f.Listen != "", "listen", "peers without dial need an address to connect to")
+	check.require(!acceptsConnections || f.Listen != "", "listen",
+		"peers without dial connect to this server, which needs an address for them")
 }
 
 // convertNumbers adds the numbering plan.
-func (f *File) convertNumbers(c *checker, cfg *Config, exchanges map[string]Exchange, classIndexes map[string]int) {
-	c.require(len(f.Numbers) > 0, "numbers", "none")
+func (f *File) convertNumbers(check *checker, cfg *Config, exchanges map[string]Exchange, classIndexes map[string]int) {
+	check.require(len(f.Numbers) > 0, "numbers", "none")
 	for i, number := range f.Numbers {
 		path := fmt.Sprintf("numbers[%d]", i)
 		exchange, ok := exchanges[number.Exchange]
-		c.require(ok, path+".exchange", "%q is not among the exchanges", number.Exchange)
+		check.require(ok, path+".exchange", "%q is not among the exchanges", number.Exchange)
 		class := -1
 		if number.Class != "" {
 			if class, ok = classIndexes[number.Class]; !ok {
-				c.addError(path+".class", "%q is not among the classes", number.Class)
+				check.addError(path+".class", "%q is not among the classes", number.Class)
 			}
 		}
 		cfg.Router.Numbering = append(cfg.Router.Numbering,
 			numbering.Entry{Prefix: number.Prefix, Exchange: exchange.Number, Class: class})
 	}
 	if _, err := numbering.NewTable(cfg.Router.Numbering); err != nil {
-		c.addError("numbers", "%v", strings.TrimPrefix(err.Error(), "numbering: "))
+		check.addError("numbers", "%v", strings.TrimPrefix(err.Error(), "numbering: "))
 	}
 }
 
 // convertEnum adds the settings of the ENUM frontend and its clients.
-func (f *File) convertEnum(c *checker, cfg *Config, classIndexes map[string]int) {
+func (f *File) convertEnum(check *checker, cfg *Config, classIndexes map[string]int) {
 	settings := f.Enum
 	if settings == nil {
 		return
 	}
-	c.checkAddress("enum.listen", settings.Listen, true)
-	c.require(strings.Trim(settings.RoutingPrefix, "0123456789") == "" && settings.RoutingPrefix != "", "enum.routing",
+	check.checkAddress("enum.listen", settings.Listen, true)
+	check.require(strings.Trim(settings.RoutingPrefix, "0123456789") == "" && settings.RoutingPrefix != "", "enum.routing",
 		"%q is not a string of digits", settings.RoutingPrefix)
 	cfg.EnumAddress = settings.Listen
 	routerCfg := &cfg.Router
@@ -489,13 +494,13 @@
 	for i, client := range settings.Clients {
 		path := fmt.Sprintf("enum.askers[%d]", i)
 		class, ok := classIndexes[client.Class]
-		c.require(ok, path+".class", "%q is not among the classes", client.Class)
-		c.require(client.Name != "", path+".name", "must not be empty")
-		c.require(client.Rate >= 0 && client.Leases >= 0, path, "rate and leases must not be negative")
+		check.require(ok, path+".class", "%q is not among the classes", client.Class)
+		check.require(client.Name != "", path+".name", "must not be empty")
+		check.require(client.Rate >= 0 && client.Leases >= 0, path, "rate and leases must not be negative")
 		enumClient := enum.Client{Name: client.Name, QueryRate: client.Rate}
 		for k, network := range client.Networks {
 			prefix, err := netip.ParsePrefix(network)
-			c.require(err == nil, fmt.Sprintf("%s.networks[%d]", path, k),
+			check.require(err == nil, fmt.Sprintf("%s.networks[%d]", path, k),
 				"%q is not a network such as \"127.0.0.0/8\"", network)
 			enumClient.Networks = append(enumClient.Networks, prefix)
 		}
@@ -512,16 +517,16 @@
 const defaultBlockingTarget = 0.01
 
 // convertTraffic adds the settings of the traffic measurement.
-func (f *File) convertTraffic(c *checker, cfg *Config, classIndexes map[string]int) {
+func (f *File) convertTraffic(check *checker, cfg *Config, classIndexes map[string]int) {
 	if cfg.Traffic = f.Traffic; f.Traffic == nil {
 		return
 	}
-	c.require(f.Traffic.Store != "", "traffic.store", "must not be empty")
+	check.require(f.Traffic.Store != "", "traffic.store", "must not be empty")
 	cfg.BlockingTargets = slices.Repeat([]float64{defaultBlockingTarget}, len(f.Classes))
 	for name, target := range f.Traffic.BlockingTargets {
 		index, ok := classIndexes[name]
-		c.require(ok, "traffic.targets", "%q is not among the classes", name)
-		c.require(target > 0 && target < 1, "traffic.targets",
+		check.require(ok, "traffic.targets", "%q is not among the classes", name)
+		check.require(target > 0 && target < 1, "traffic.targets",
 			"%v of %s is not between 0 and 1 (both exclusive)", target, name)
 		if ok {
 			cfg.BlockingTargets[index] = target
@@ -530,14 +535,14 @@
 }
 
 // convertRules adds the parameters of the five rules, which must allow the rules to be kept.
-func (f *File) convertRules(c *checker, cfg *Config) {
+func (f *File) convertRules(check *checker, cfg *Config) {
 	rules := f.Rules
-	c.require(time.Duration(rules.Release) >= minReleaseTime, "rules.release",
+	check.require(time.Duration(rules.Release) >= minReleaseTime, "rules.release",
 		"%v breaks rule 5: no new attempt within %v after a failed one", time.Duration(rules.Release), minReleaseTime)
-	c.require(rules.DrainGrace > 0, "rules.drain_grace", "rule 3 needs a positive grace time")
-	c.require(rules.TipAfter > 0 && rules.Overload > 0 && rules.ColdFrom > 0 && rules.ColdFrom <= 1 && rules.ColdFor > 0, "rules",
+	check.require(rules.DrainGrace > 0, "rules.drain_grace", "rule 3 needs a positive grace time")
+	check.require(rules.TipAfter > 0 && rules.Overload > 0 && rules.ColdFrom > 0 && rules.ColdFrom <= 1 && rules.ColdFor > 0, "rules",
 		"rule 4 needs positive tip_after, overload, cold_from (at most 1) and cold_for")
-	c.require(rules.Attempts >= 0 && rules.Attempts <= 16, "rules.attempts", "%d is not between 0 and 16", rules.Attempts)
+	check.require(rules.Attempts >= 0 && rules.Attempts <= 16, "rules.attempts", "%d is not between 0 and 16", rules.Attempts)
 	routerCfg := &cfg.Router
 	routerCfg.Attempts, routerCfg.Release, routerCfg.DrainGrace = rules.Attempts, time.Duration(rules.Release),
 		time.Duration(rules.DrainGrace)
@@ -548,8 +553,9 @@
 // defaultMaxConnections is enough for 1000 clients that all reconnect while their old connections are still open.
 const defaultMaxConnections = 4096
 
-// defaultTick is the time that the decision module allows between two batches of events. Handing a batch to the goroutine
-// of the event loop and writing its messages take less on any machine that is fit to carry calls.
+// defaultTick is the shortest time between two batches of events for the decision module. It allows two
+// such times for an answer: to hand a batch to the goroutine of the event loop, and to write its messages. Each takes less on a
+// machine that can carry the calls.
 const defaultTick = 5 * time.Millisecond
 
 // defaultMaxQueueBytes bounds the octets that wait to be written to one connection.
@@ -559,7 +565,7 @@
 const nationalNetwork = 2
 
 // convertLimits adds the limits and timers.
-func (f *File) convertLimits(c *checker, cfg *Config) {
+func (f *File) convertLimits(check *checker, cfg *Config) {
 	timers := f.Timers
 	cfg.Router.Tick = time.Duration(timers.Tick)
 	if timers.Tick == 0 {
@@ -568,8 +574,8 @@
 	cfg.Router.Timers = trunk.Timers{T1: time.Duration(timers.T1), T5: time.Duration(timers.T5),
 		T12: time.Duration(timers.T12), T13: time.Duration(timers.T13)}
 	cfg.Router.Recovery, cfg.Router.Network = time.Duration(timers.Recovery), nationalNetwork
-	c.require(timers.T5 == 0 || timers.T1 == 0 || timers.T5 > timers.T1, "timers.t5", "must be longer than t1")
-	c.require(timers.T13 == 0 || timers.T12 == 0 || timers.T13 > timers.T12, "timers.t13", "must be longer than t12")
+	check.require(timers.T5 == 0 || timers.T1 == 0 || timers.T5 > timers.T1, "timers.t5", "must be longer than t1")
+	check.require(timers.T13 == 0 || timers.T12 == 0 || timers.T13 > timers.T12, "timers.t13", "must be longer than t12")
 	cfg.DrainTimeout = time.Duration(timers.Drain)
 	if timers.Drain == 0 {
 		for _, class := range f.Classes {
@@ -580,16 +586,16 @@
 	if cfg.MaxQueueBytes == 0 {
 		cfg.MaxQueueBytes = defaultMaxQueueBytes
 	}
-	c.require(f.Limits.Calls >= 0, "limits.calls", "%d is negative", f.Limits.Calls)
-	c.require(f.Limits.Connections >= 0, "limits.connections", "%d is negative", f.Limits.Connections)
+	check.require(f.Limits.Calls >= 0, "limits.calls", "%d is negative", f.Limits.Calls)
+	check.require(f.Limits.Connections >= 0, "limits.connections", "%d is negative", f.Limits.Connections)
 	cfg.Router.DisableShares = f.Limits.NoShares
 	cfg.Router.MaxCalls, cfg.MaxConnections = f.Limits.Calls, cmp.Or(f.Limits.Connections, defaultMaxConnections)
 	if cfg.MaxMessageBytes == 0 {
 		cfg.MaxMessageBytes = m3ua.DefaultMaxMessage
 	}
-	c.require(cfg.MaxMessageBytes >= 64 && cfg.MaxMessageBytes <= 65536, "limits.message_bytes",
+	check.require(cfg.MaxMessageBytes >= 64 && cfg.MaxMessageBytes <= 65536, "limits.message_bytes",
 		"%d is not between 64 and 65536", cfg.MaxMessageBytes)
-	c.require(cfg.MaxQueueBytes >= cfg.MaxMessageBytes, "limits.queue_bytes",
+	check.require(cfg.MaxQueueBytes >= cfg.MaxMessageBytes, "limits.queue_bytes",
 		"%d is less than the length of one message", cfg.MaxQueueBytes)
 	for _, peer := range cfg.Router.Peers {
 		for i := range peer.ASPs {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -23,7 +23,7 @@
   rules: { attempts: 3, release: '200ms', drain_grace: '1s', tip_after: '3s', overload: 2, cold_from: 0.3, cold_for: '9s' },
 }`
 
-func TestGood(t *testing.T) {
+func TestValidSettings(t *testing.T) {
 	c, err := Evaluate("good.jsonnet", validSettings, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -40,8 +40,8 @@
 	}
 }
 
-// All errors of a file are reported at once, each with file, path and reason.
-func TestFaults(t *testing.T) {
+// Each kind of error is reported with file, path and reason, and all errors of a file are reported at once.
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
 		setting     string // in the valid settings
 		replacement string
