--- a/enum/frontend.go
+++ b/enum/frontend.go
@@ -39,15 +39,17 @@
 
 // Defaults and limits. Rates are per second, UDP sizes in octets.
 const (
-	defaultSuffix     = "e164.arpa."
-	defaultQueryRate  = 200
-	defaultAnswerRate = 100
-	maxDigits         = 15   // E.164
-	maxUDPSize        = 1232 // avoids IP fragmentation (DNS flag day 2020)
-	minUDPSize        = 512
-	maxWaitingQueries = 16                     // queries that wait for the reply to one route lookup
-	maxNetworks       = 4096                   // networks with a rate limiter of their own
-	refusalLifetime   = 500 * time.Millisecond // repeated queries get the same refusal for this long
+	defaultSuffix      = "e164.arpa."
+	defaultQueryRate   = 200
+	defaultAnswerRate  = 100
+	queryBurstDivisor  = 4    // a client may send the queries of 1/4 s at once
+	answerBurstDivisor = 2    // a network may get the responses of 1/2 s at once
+	maxDigits          = 15   // E.164
+	maxUDPSize         = 1232 // avoids IP fragmentation (DNS flag day 2020)
+	minUDPSize         = 512
+	maxWaitingQueries  = 16                     // queries that wait for the reply to one route lookup
+	maxNetworks        = 4096                   // networks with a rate limiter of their own
+	refusalLifetime    = 500 * time.Millisecond // repeated queries get the same refusal for this long
 )
 
 // Effect is an action that the caller carries out.
@@ -80,13 +82,13 @@
 type routeLookup struct {
 	key        lookupKey
 	id         uint64
-	waiting    []waitingQuery
+	waiting    []receivedQuery // for the reply; empty once it has come
 	reply      *router.Reply
 	replyUntil time.Duration // repeated queries get the same reply until then
 }
 
-// waitingQuery is a DNS query and where its response goes.
-type waitingQuery struct {
+// receivedQuery is a DNS query, how it came, and where its response goes.
+type receivedQuery struct {
 	replyTo any
 	query   *dns.Msg
 	tcp     bool
@@ -125,7 +127,7 @@
 			client.QueryRate = defaultQueryRate
 		}
 		f.clients = append(f.clients, &limitedClient{client,
-			rate.NewLimiter(rate.Limit(client.QueryRate), max(1, int(client.QueryRate/4)))})
+			rate.NewLimiter(rate.Limit(client.QueryRate), max(1, int(client.QueryRate/queryBurstDivisor)))})
 	}
 	return f
 }
@@ -159,9 +161,9 @@
 // Query handles a DNS query. Every query gets a response: at once, or when the Router has replied. replyTo is returned in
 // the Respond effect.
 func (f *Frontend) Query(now time.Duration, from netip.Addr, tcp bool, query *dns.Msg, replyTo any) []Effect {
-	waiting := waitingQuery{replyTo: replyTo, query: query, tcp: tcp, from: from.Unmap()}
+	received := receivedQuery{replyTo: replyTo, query: query, tcp: tcp, from: from.Unmap()}
 	respond := func(rcode int, extendedError uint16, text string) []Effect {
-		return []Effect{Respond{replyTo, f.newResponse(waiting, rcode, extendedError, text)}}
+		return []Effect{Respond{replyTo, f.newResponse(received, rcode, extendedError, text)}}
 	}
 	if len(query.Question) != 1 {
 		return respond(dns.RcodeFormatError, 0, "")
@@ -169,12 +171,12 @@
 	if query.Opcode != dns.OpcodeQuery {
 		return respond(dns.RcodeNotImplemented, 0, "")
 	}
-	if !tcp && !f.hasValidCookie(waiting) && !f.networkLimiter(now, waiting.from).AllowN(limiterTime(now), 1) {
-		return f.truncatedResponse(waiting)
+	if !tcp && !f.hasValidCookie(received) && !f.networkLimiter(now, received.from).AllowN(limiterTime(now), 1) {
+		return f.truncatedResponse(received)
 	}
 	question := query.Question[0]
 	number, inDomain := f.ParseNumber(question.Name)
-	client := f.clientAt(waiting.from)
+	client := f.clientAt(received.from)
 	switch {
 	case question.Qclass != dns.ClassINET:
 		return respond(dns.RcodeRefused, dns.ExtendedErrorCodeNotSupported, "class")
@@ -187,11 +189,11 @@
 	case question.Qtype != dns.TypeNAPTR:
 		return respond(dns.RcodeSuccess, 0, "") // NODATA: the name has no records of this type
 	}
-	return f.lookUp(now, client, number, waiting)
+	return f.lookUp(now, client, number, received)
 }
 
 // lookUp starts a route lookup, or adds the query to the one that is open for its number.
-func (f *Frontend) lookUp(now time.Duration, client *limitedClient, number string, waiting waitingQuery) []Effect {
+func (f *Frontend) lookUp(now time.Duration, client *limitedClient, number string, received receivedQuery) []Effect {
 	key := lookupKey{client.Name, number}
 	lookup := f.lookups[key]
 	if lookup != nil && lookup.reply != nil && now >= lookup.replyUntil {
@@ -200,19 +202,19 @@
 	}
 	switch {
 	case lookup != nil && lookup.reply != nil:
-		return []Effect{Respond{waiting.replyTo, f.responseFor(waiting, lookup)}}
+		return []Effect{Respond{received.replyTo, f.responseFor(received, lookup)}}
 	case lookup != nil && len(lookup.waiting) >= maxWaitingQueries:
-		return []Effect{Respond{waiting.replyTo, f.newResponse(waiting, dns.RcodeRefused, dns.ExtendedErrorCodeNotReady,
+		return []Effect{Respond{received.replyTo, f.newResponse(received, dns.RcodeRefused, dns.ExtendedErrorCodeNotReady,
 			"too many repeats")}}
 	case lookup != nil:
-		lookup.waiting = append(lookup.waiting, waiting)
+		lookup.waiting = append(lookup.waiting, received)
 		return nil
 	case !client.limiter.AllowN(limiterTime(now), 1):
-		return []Effect{Respond{waiting.replyTo, f.newResponse(waiting, dns.RcodeRefused, dns.ExtendedErrorCodeNotReady,
+		return []Effect{Respond{received.replyTo, f.newResponse(received, dns.RcodeRefused, dns.ExtendedErrorCodeNotReady,
 			"too many questions")}}
 	}
 	f.lastID++
-	lookup = &routeLookup{key: key, id: f.lastID, waiting: []waitingQuery{waiting}}
+	lookup = &routeLookup{key: key, id: f.lastID, waiting: []receivedQuery{received}}
 	f.lookups[key], f.lookupsByID[lookup.id] = lookup, lookup
 	return []Effect{RouteQuery{lookup.id, client.Name, number}}
 }
@@ -228,8 +230,8 @@
 		lookup.replyUntil = now + refusalLifetime
 	}
 	var effects []Effect
-	for _, waiting := range lookup.waiting {
-		effects = append(effects, Respond{waiting.replyTo, f.responseFor(waiting, lookup)})
+	for _, received := range lookup.waiting {
+		effects = append(effects, Respond{received.replyTo, f.responseFor(received, lookup)})
 	}
 	lookup.waiting = nil
 	return effects
@@ -296,7 +298,7 @@
 			network = netip.Prefix{}
 		}
 		if limiter = f.networkLimiters[network]; limiter == nil {
-			limiter = rate.NewLimiter(rate.Limit(f.settings.AnswerRate), max(1, int(f.settings.AnswerRate/2)))
+			limiter = rate.NewLimiter(rate.Limit(f.settings.AnswerRate), max(1, int(f.settings.AnswerRate/answerBurstDivisor)))
 			f.networkLimiters[network] = limiter
 		}
 	}
@@ -305,33 +307,33 @@
 
 // truncatedResponse answers a query over the rate limit of UDP with an empty response that has the truncation bit set: a
 // genuine client retries over TCP, and the victim of a forged source address gets no more octets than were sent in its name.
-func (f *Frontend) truncatedResponse(waiting waitingQuery) []Effect {
+func (f *Frontend) truncatedResponse(received receivedQuery) []Effect {
 	response := new(dns.Msg)
-	response.SetReply(waiting.query)
+	response.SetReply(received.query)
 	response.Truncated = true
-	return []Effect{Respond{waiting.replyTo, response}}
+	return []Effect{Respond{received.replyTo, response}}
 }
 
 // responseFor returns the response to a query from the Router's reply. Its TTL is 0: a lease is for one call.
-func (f *Frontend) responseFor(waiting waitingQuery, lookup *routeLookup) *dns.Msg {
+func (f *Frontend) responseFor(received receivedQuery, lookup *routeLookup) *dns.Msg {
 	reply := lookup.reply
 	switch {
 	case reply.Result == router.Established:
-		response := f.newResponse(waiting, dns.RcodeSuccess, 0, "")
+		response := f.newResponse(received, dns.RcodeSuccess, 0, "")
 		response.Answer = []dns.RR{&dns.NAPTR{
-			Hdr:   dns.RR_Header{Name: waiting.query.Question[0].Name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET},
+			Hdr:   dns.RR_Header{Name: received.query.Question[0].Name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET},
 			Order: 100, Preference: 10, Flags: "u", Service: "E2U+pstn:tel",
 			Regexp: fmt.Sprintf("!^.*$!tel:+%s;npdi;rn=+%s!", lookup.key.number, reply.RoutingNumber)}}
-		if !waiting.tcp {
-			response.Truncate(udpSizeLimit(waiting.query))
+		if !received.tcp {
+			response.Truncate(udpSizeLimit(received.query))
 		}
 		return response
 	case reply.Cause == isup.CauseUnallocated:
-		return f.newResponse(waiting, dns.RcodeNameError, 0, "")
+		return f.newResponse(received, dns.RcodeNameError, 0, "")
 	case reply.Result == router.Refused:
-		return f.newResponse(waiting, dns.RcodeRefused, dns.ExtendedErrorCodeNotReady, fmt.Sprintf("cause %d", reply.Cause))
+		return f.newResponse(received, dns.RcodeRefused, dns.ExtendedErrorCodeNotReady, fmt.Sprintf("cause %d", reply.Cause))
 	}
-	return f.newResponse(waiting, dns.RcodeServerFailure, dns.ExtendedErrorCodeOther, fmt.Sprintf("cause %d", reply.Cause))
+	return f.newResponse(received, dns.RcodeServerFailure, dns.ExtendedErrorCodeOther, fmt.Sprintf("cause %d", reply.Cause))
 }
 
 // udpSizeLimit returns the maximum size of a response over UDP, in octets.
@@ -343,11 +345,11 @@
 }
 
 // newResponse returns a response without records. If the query has EDNS, it carries the extended error and a cookie.
-func (f *Frontend) newResponse(waiting waitingQuery, rcode int, extendedError uint16, text string) *dns.Msg {
+func (f *Frontend) newResponse(received receivedQuery, rcode int, extendedError uint16, text string) *dns.Msg {
 	response := new(dns.Msg)
-	response.SetRcode(waiting.query, rcode)
+	response.SetRcode(received.query, rcode)
 	response.Authoritative = true
-	if waiting.query.IsEdns0() == nil {
+	if received.query.IsEdns0() == nil {
 		return response
 	}
 	opt := &dns.OPT{Hdr: dns.RR_Header{Name: ".", Rrtype: dns.TypeOPT}}
@@ -355,8 +357,8 @@
 	if extendedError != 0 || text != "" {
 		opt.Option = append(opt.Option, &dns.EDNS0_EDE{InfoCode: extendedError, ExtraText: text})
 	}
-	if client, _, ok := cookiesOf(waiting.query); ok {
-		opt.Option = append(opt.Option, &dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: client + f.serverCookie(client, waiting.from)})
+	if client, _, ok := cookiesOf(received.query); ok {
+		opt.Option = append(opt.Option, &dns.EDNS0_COOKIE{Code: dns.EDNS0COOKIE, Cookie: client + f.serverCookie(client, received.from)})
 	}
 	response.Extra = append(response.Extra, opt)
 	return response
@@ -392,7 +394,7 @@
 
 // hasValidCookie reports whether a query carries a server cookie that was issued to its source address, which is then not
 // forged.
-func (f *Frontend) hasValidCookie(waiting waitingQuery) bool {
-	client, server, ok := cookiesOf(waiting.query)
-	return ok && hmac.Equal([]byte(server), []byte(f.serverCookie(client, waiting.from)))
+func (f *Frontend) hasValidCookie(received receivedQuery) bool {
+	client, server, ok := cookiesOf(received.query)
+	return ok && hmac.Equal([]byte(server), []byte(f.serverCookie(client, received.from)))
 }
--- a/enum/frontend_test.go
+++ b/enum/frontend_test.go
@@ -55,7 +55,8 @@
 	return code
 }
 
-func TestRepeatsAreOneCall(t *testing.T) {
+// All queries of a client for one number get the reply to one route query, until the lease has expired or was used.
+func TestRepeatedQueriesShareOneLookup(t *testing.T) {
 	f := newTestFrontend()
 	first := naptrQuery("5521")
 	effects := f.Query(0, clientAddr, false, first, "first")
@@ -94,7 +95,8 @@
 	}
 }
 
-func TestEachAnswerHasItsCode(t *testing.T) {
+// Each result of a route query, and each query that is answered without one, gives its response code and extended error.
+func TestResponseCodes(t *testing.T) {
 	reply := func(v router.Result, c isup.Cause) *dns.Msg {
 		f := newTestFrontend()
 		q := naptrQuery("5521")
