--- a/feed/feed.go
+++ b/feed/feed.go
@@ -22,10 +22,10 @@
 	Hosts Hosts  `json:"hosts"`
 }
 
-// Hosts is a snapshot of the list of offices, or an update of it.
+// Hosts is what an event carries: all offices (a snapshot), or the offices that have changed (an update).
 type Hosts struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // a snapshot: it replaces the whole list
+	Complete bool     `json:"complete"` // a snapshot: Members are all offices, and any other is gone
 	Members  []Member `json:"members"`
 }
 
@@ -36,22 +36,22 @@
 	Zone    string `json:"locality"`
 	Cell    int    `json:"cell"` // number of the exchange that the office belongs to
 	Phase   Phase  `json:"phase"`
-	UpSince int64  `json:"up_since_ms"` // start time in Unix milliseconds of an office that started late, otherwise 0
+	UpSince int64  `json:"up_since_ms"` // start, in Unix milliseconds, of an office that joined while the platform was running; 0 for others
 }
 
-// Phase is the state of an office.
+// Phase is the phase of an office's life.
 type Phase string
 
-// The states of an office.
+// The phases of an office.
 const (
 	Serving  Phase = "SERVING"
 	Draining Phase = "DRAINING"
 	Deleted  Phase = "DELETED"
 )
 
-// Snapshot is the state of service discovery that the configuration of a node holds for its start.
+// Snapshot holds the events that a node starts with, from its configuration, before it reads the stream.
 type Snapshot struct {
-	Pos     uint64  `json:"pos"` // position in the stream after Entries
+	Pos     uint64  `json:"pos"` // position in the stream after Entries; events up to it are skipped
 	Entries []Event `json:"entries"`
 }
 
@@ -65,7 +65,7 @@
 		switch member.Phase {
 		case Serving, Draining, Deleted:
 		default:
-			return fmt.Errorf("%s.phase: unknown state %.40q", path, member.Phase)
+			return fmt.Errorf("%s.phase: unknown phase %.40q", path, member.Phase)
 		}
 		if member.ID == "" || len(member.ID) > maxValueBytes {
 			return fmt.Errorf("%s.id: invalid value %.40q", path, member.ID)
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestBrokenEvents(t *testing.T) {
+func TestInvalidEvents(t *testing.T) {
 	for _, change := range []string{"SERVING>SLEEPING", `"cell":2>"cell":-2`, `"cell":2>"cell":"x"`, `"id":"s-00c41f7a">"id":""`,
 		`"host_port":"10.1.0.9:5080">"host_port":""`, `}]}}>}]`, `"up_since_ms":0>"up_since_ms":-1`, `"pos":41>"pos":40`} {
 		from, to, _ := strings.Cut(change, ">")
--- a/office/office.go
+++ b/office/office.go
@@ -40,17 +40,18 @@
 	paramDescription = 79
 )
 
-// Causes of a release (Q.850), and sizes of the fixed parts of a message in bytes.
+// Causes of a release (Q.850), with their names there. After them, sizes of the parts of a message, in bytes.
 const (
-	CauseNormal      = 16
-	CauseBusy        = 17
-	CauseNoCircuit   = 34
-	CauseTemporary   = 41
-	CauseResource    = 47
-	CauseTimer       = 102
+	CauseNormal    = 16  // normal call clearing
+	CauseBusy      = 17  // user busy
+	CauseNoCircuit = 34  // no circuit or channel available
+	CauseTemporary = 41  // temporary failure
+	CauseResource  = 47  // resource unavailable, unspecified
+	CauseTimer     = 102 // recovery on timer expiry
+
 	minContentBytes  = 9 // type and call id
 	lengthFieldBytes = 2
-	paramHeaderBytes = 3
+	paramHeaderBytes = 3 // code and length
 )
 
 // Message is one decoded message. Fields whose parameters are absent have their zero value.
@@ -133,7 +134,7 @@
 		m.Class = string(value)
 	case paramTimeLeft:
 		if m.TimeLeftMs, err = strconv.Atoi(string(value)); err != nil || m.TimeLeftMs < 0 {
-			return fmt.Errorf("office: parameter %d: invalid wait time %.40q", code, value)
+			return fmt.Errorf("office: parameter %d: invalid time left %.40q", code, value)
 		}
 	case paramNumber:
 		m.Number = string(value)
--- a/office/office_test.go
+++ b/office/office_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestDescriptionsThatCannotBeRead(t *testing.T) {
+func TestInvalidDescriptions(t *testing.T) {
 	if !ValidDescription([]byte(description)) {
 		t.Fatal("a valid description is rejected")
 	}
--- a/sip/sip.go
+++ b/sip/sip.go
@@ -32,11 +32,11 @@
 // Field is one header field as received; a compact name is expanded.
 type Field struct{ Name, Value string }
 
-// Fault describes a message that cannot be parsed or is too large, and how to answer it.
+// Fault is the error for a message that cannot be parsed or is too large, with what a response to it needs.
 type Fault struct {
 	Status int      // status code of the response
 	Text   string   // description of the fault
-	Head   *Message // the header fields that could be parsed, which the response echoes; nil if there are none
+	Head   *Message // what was parsed of the message, without its body, for HeadOf; nil: nothing
 }
 
 func (f *Fault) Error() string { return fmt.Sprintf("sip: %s (%d)", f.Text, f.Status) }
--- a/sip/sip_test.go
+++ b/sip/sip_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestFaultsNameTheResponse(t *testing.T) {
+func TestFaultStatus(t *testing.T) {
 	for change, status := range map[string]int{
 		"Content-Length: 5>Content-Length: -5":                                 400,
 		"Content-Length: 5>Content-Length: 5x":                                 400,
@@ -70,7 +70,8 @@
 	}
 }
 
-func TestResponseRepeatsTheHead(t *testing.T) {
+// A response repeats the header fields of its request, and a request that was written can be parsed.
+func TestResponseAndRequest(t *testing.T) {
 	var framer Framer
 	framer.Write([]byte(invite))
 	msg, err := framer.Next()
--- a/sip/write.go
+++ b/sip/write.go
@@ -11,16 +11,16 @@
 	487: "Request Terminated", 500: "Server Internal Error", 503: "Service Unavailable", 504: "Server Time-out",
 	513: "Message Too Large"}
 
-// echoedFields are the header fields of a request that its responses repeat (RFC 3261 section 8.2.6).
+// echoedFields are the names of the header fields of a request that its responses repeat (RFC 3261 section 8.2.6).
 var echoedFields = []string{"Via", "From", "To", "Call-ID", "CSeq"}
 
-// Head holds the header fields of a request that its responses repeat.
+// Head holds the header fields of a request that its responses repeat, ready to be written.
 type Head struct {
 	CallID string // value of Call-ID
 	fields []byte // the repeated header fields in wire form
 }
 
-// HeadOf returns the header fields that responses to msg repeat. msg may be nil.
+// HeadOf returns the header fields that responses to msg repeat. msg may be the Head of a Fault; if it is nil, there are none.
 func HeadOf(msg *Message) Head {
 	var head Head
 	if msg == nil {
@@ -37,7 +37,7 @@
 	return head
 }
 
-// Response appends a response to the request that head was taken from. If retryAfter, in seconds, is not 0, it goes into
+// Response appends to buf a response to the request that head was taken from. If retryAfter, in seconds, is not 0, it goes into
 // a Retry-After field.
 func Response(buf []byte, head Head, status, retryAfter int, body []byte) []byte {
 	buf = append(buf, "SIP/2.0 "...)
@@ -52,7 +52,7 @@
 	return appendBody(buf, body)
 }
 
-// Request appends a request that the call server sends about a call. cause is a Q.850 cause for the Reason field
+// Request appends to buf a request that the call server sends about a call. cause is a Q.850 cause for the Reason field
 // (RFC 3326), 0 for none.
 func Request(buf []byte, method, uri, callID string, sequence, cause int) []byte {
 	buf = append(buf, method...)
