--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -100,20 +100,20 @@
 
 // Send starts an attempt at an office.
 func (inst *instance) Send(call uint64, office string, timeout time.Duration) {
-	inst.encoder.Action("assign", inst.number, wire.ID(call), wire.Text("office", office), wire.Int("within_ns", int64(timeout)))
+	inst.encoder.Action("assign", inst.number, wire.CallID(call), wire.Text("office", office), wire.Int("within_ns", int64(timeout)))
 }
 
 // Refuse refuses a call; the caller may try again after the wait.
 func (inst *instance) Refuse(call uint64, wait time.Duration) {
-	inst.encoder.Action("not_now", inst.number, wire.ID(call), wire.Int("cool_down_ns", int64(wait)))
+	inst.encoder.Action("not_now", inst.number, wire.CallID(call), wire.Int("cool_down_ns", int64(wait)))
 }
 
 // Fail ends a call without success.
-func (inst *instance) Fail(call uint64) { inst.encoder.Action("abort", inst.number, wire.ID(call)) }
+func (inst *instance) Fail(call uint64) { inst.encoder.Action("abort", inst.number, wire.CallID(call)) }
 
 // Cancel cancels an attempt.
 func (inst *instance) Cancel(call uint64, attempt int) {
-	inst.encoder.Action("call_off", inst.number, wire.ID(call), wire.Int("seq_no", int64(attempt)))
+	inst.encoder.Action("call_off", inst.number, wire.CallID(call), wire.Int("seq_no", int64(attempt)))
 }
 
 // Probe asks an office for a report.
--- a/internal/wire/tree.go
+++ b/internal/wire/tree.go
@@ -19,8 +19,8 @@
 // requiredClassSettings are the required settings of each class.
 var requiredClassSettings = []string{"name", "worth", "late_share", "target_ns", "deadline_ns"}
 
-// Settings are the settings in a configuration file: those of the decision module, parsed like the fields of a born message,
-// and those of the sockets.
+// Settings are the settings in a configuration file: those of the decision module, which have the names of the fields of a born
+// message, and those of the sockets.
 type Settings struct {
 	logic.Settings
 	ConnectTimeout int64 // nanoseconds
@@ -57,8 +57,9 @@
 	return settings, msg.err
 }
 
-// flatten adds a JSON tree in the form of the fields of the line protocol: names are paths with dots, lists of plain values are
-// joined by commas, and lists of objects have a count and the index of each object in its path.
+// flatten adds a JSON tree in the form of the fields of the line protocol, whose names are paths with dots. A list becomes a field
+// "count" with its length. If all of its values are plain, they also become one field, joined by commas. Objects and lists in it
+// have their index in the path; plain values beside them, and null, are left out.
 func (m *message) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -379,7 +379,8 @@
 	return decoded
 }
 
-// settings returns the settings of an instance from its born message.
+// settings returns the settings of the decision module from the fields of a born message, the line that starts an instance, or
+// from those of a settings file (see flatten).
 func (m *message) settings() logic.Settings {
 	settings := logic.Settings{
 		Me: int(m.integer("my_number", false)), Instances: int(m.integer("instances", false)),
@@ -411,8 +412,8 @@
 	return settings
 }
 
-// pools returns the pools that calls of a class may go to. They are one field with all numbers, or one field for each number
-// and a count.
+// pools returns the numbers of the pools of agents that calls of a class may go to (logic.Class.Pools). They are one field with
+// all numbers, or one field for each number and a count.
 func (m *message) pools(class int) []int {
 	path := "family_info.allowed_pools." + strconv.Itoa(class)
 	text := m.text(path, false)
@@ -467,8 +468,8 @@
 	return err
 }
 
-// ID returns the field with the id of a call.
-func ID(id uint64) string { return "job=" + strconv.FormatUint(id, 10) }
+// CallID returns the field with the id of a call.
+func CallID(id uint64) string { return "job=" + strconv.FormatUint(id, 10) }
 
 // Int returns a field with a number.
 func Int(name string, value int64) string { return name + "=" + strconv.FormatInt(value, 10) }
