--- a/server/dns_test.go
+++ b/server/dns_test.go
@@ -68,7 +68,7 @@
 		})
 		iam := exchange.received[len(exchange.received)-1]
 		if number, err := iam.CalledNumber(); err != nil || number.Digits != "5521" {
-			t.Errorf("%s: the exchange is called %+v, %v", network, number, err)
+			t.Errorf("%s: called number in the IAM to the exchange: %+v, %v", network, number, err)
 		}
 		exchange.send(isup.NewSimple(isup.ACM, iam.CIC))
 		exchange.send(isup.NewSimple(isup.ANM, iam.CIC))
@@ -81,7 +81,7 @@
 }
 
 // Packets that are not DNS messages do no harm: the frontend answers the next query.
-func TestNoDNS(t *testing.T) {
+func TestPacketsThatAreNotDNS(t *testing.T) {
 	s := startEnumServer(t)
 	conn, err := net.Dial("udp", s.EnumAddr().String())
 	if err != nil {
@@ -132,7 +132,7 @@
 			"count: 4 ", "count: 186 ")
 		s := startServerWith(b, settings)
 		exchange := connectBenchPeer(b, s, 102, "b")
-		go func() { (&endpoint{conn: exchange, ownPointCode: 102, remotePointCode: 101}).serveCalls() }()
+		go func() { (&endpoint{conn: exchange, localPointCode: 102, remotePointCode: 101}).serveCalls() }()
 		return s.EnumAddr().String()
 	}
 	for _, target := range []struct {
@@ -190,7 +190,7 @@
 	for b.Loop() {
 		s := startServerWith(b, strings.ReplaceAll(settings, "count: 4 ", "count: 186 "))
 		exchange := connectBenchPeer(b, s, 102, "b")
-		go func() { (&endpoint{conn: exchange, ownPointCode: 102, remotePointCode: 101}).serveCalls() }()
+		go func() { (&endpoint{conn: exchange, localPointCode: 102, remotePointCode: 101}).serveCalls() }()
 		b.ReportMetric(grantedShare(b, s, 5, 20, 40), "alone")
 		flood := make(chan float64)
 		go func() { flood <- grantedShare(b, s, 6, 2000, 4000) }()
--- a/server/library_test.go
+++ b/server/library_test.go
@@ -31,20 +31,20 @@
 	return lines
 }
 
-// TestLibraryEqualsDaemon runs a script against a daemon over loopback, and then applies the recorded inputs to a Router that
-// is used as a library. Each input carries the time of the daemon at which it was applied, timers (InAdvance) among them, so
+// TestLibraryEqualsServer runs a script against a call server over loopback, and then applies the recorded inputs to a Router that
+// is used as a library. Each input carries the time of the call server at which it was applied, timers (InAdvance) among them, so
 // that both see the same times. Decisions, answers and every byte written must be the same.
-func TestLibraryEqualsDaemon(t *testing.T) {
+func TestLibraryEqualsServer(t *testing.T) {
 	cfg, err := config.Evaluate("test.jsonnet", testSettings, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var inputs []router.Input
-	var daemonLines []string
+	var serverLines []string
 	s, err := New(cfg, slog.New(slog.DiscardHandler), WithObserver(func(in router.Input) {
 		in.Bytes = bytes.Clone(in.Bytes)
 		inputs = append(inputs, in)
-	}, func(e []router.Effect) { daemonLines = append(daemonLines, describeEffects(e)...) }))
+	}, func(e []router.Effect) { serverLines = append(serverLines, describeEffects(e)...) }))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +62,10 @@
 		t.Error("removing an input makes no difference: the comparison cannot fail")
 	}
 	decisions := 0
-	for i := range max(len(libraryLines), len(daemonLines)) {
-		if i >= len(libraryLines) || i >= len(daemonLines) || libraryLines[i] != daemonLines[i] {
-			t.Fatalf("line %d of %d and %d differs:\n%s\n%s", i, len(libraryLines), len(daemonLines),
-				lineAt(libraryLines, i), lineAt(daemonLines, i))
+	for i := range max(len(libraryLines), len(serverLines)) {
+		if i >= len(libraryLines) || i >= len(serverLines) || libraryLines[i] != serverLines[i] {
+			t.Fatalf("line %d of %d and %d differs:\n%s\n%s", i, len(libraryLines), len(serverLines),
+				lineAt(libraryLines, i), lineAt(serverLines, i))
 		}
 		if strings.HasPrefix(libraryLines[i], "router.Decision") {
 			decisions++
@@ -89,7 +89,7 @@
 	return lines
 }
 
-// lineAt returns a line, or a text if there are not so many.
+// lineAt returns line i for an error message, or "nothing" if there are fewer lines.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
--- a/server/relay_test.go
+++ b/server/relay_test.go
@@ -13,16 +13,16 @@
 	"finchlatch/m3ua"
 )
 
-// The benchmarks compare the daemon with a relay that only copies bytes between the same two sockets. A scripted counter
+// The benchmarks compare the call server with a relay that only copies bytes between the same two sockets. A scripted counter
 // offers complete calls (IAM, ACM, ANM, REL, RLC), and a scripted exchange answers them at once.
 
 // benchCircuits is the size of a trunk group: enough for 350 calls a second that are released as soon as they are answered.
 const benchCircuits = 186
 
-// endpoint is one end of a benchmark, which sends and receives M3UA messages without an association.
+// endpoint is one end of a benchmark. It sends and receives DATA messages and ignores other messages of M3UA.
 type endpoint struct {
 	conn            net.Conn
-	ownPointCode    uint32
+	localPointCode  uint32
 	remotePointCode uint32
 }
 
@@ -32,7 +32,7 @@
 	if err != nil {
 		panic(err) // all messages are built by the benchmarks
 	}
-	data := m3ua.ProtocolData{OPC: e.ownPointCode, DPC: e.remotePointCode, SI: 5, NI: 2, Data: encoded}
+	data := m3ua.ProtocolData{OPC: e.localPointCode, DPC: e.remotePointCode, SI: m3ua.ServiceISUP, NI: nationalNetwork, Data: encoded}
 	return data.Message().Append(nil)
 }
 
@@ -82,15 +82,15 @@
 	})
 }
 
-// connectCounter connects a counter and an exchange, through the daemon or through a relay, and returns the counter.
-func connectCounter(b *testing.B, daemon bool) *endpoint {
-	counter, exchange := &endpoint{ownPointCode: 2001, remotePointCode: 101},
-		&endpoint{ownPointCode: 102, remotePointCode: 101}
-	if daemon {
+// connectCounter connects a counter and an exchange, through a call server or through a relay, and returns the counter.
+func connectCounter(b *testing.B, throughServer bool) *endpoint {
+	counter, exchange := &endpoint{localPointCode: 2001, remotePointCode: 101},
+		&endpoint{localPointCode: 102, remotePointCode: 101}
+	if throughServer {
 		settings := strings.ReplaceAll(strings.ReplaceAll(testSettings, "count: 4 ", "count: 186 "), "count: 31 ", "count: 186 ")
 		s := startServerWith(b, settings)
-		far, near := connectBenchPeer(b, s, 102, "b"), connectBenchPeer(b, s, 2001, "counters")
-		exchange.conn, counter.conn = far, near
+		exchangeConn, counterConn := connectBenchPeer(b, s, 102, "b"), connectBenchPeer(b, s, 2001, "counters")
+		exchange.conn, counter.conn = exchangeConn, counterConn
 	} else {
 		exchange.conn, counter.conn = startRelay(b)
 	}
@@ -98,7 +98,8 @@
 	return counter
 }
 
-// connectBenchPeer connects a peer that has usable circuits, and returns its connection.
+// connectBenchPeer connects a peer, waits until it has usable circuits, and returns its connection. The helpers of the tests need a
+// testing.T. This one belongs to no test: what they register with its Cleanup never runs, so the benchmark closes the connection.
 func connectBenchPeer(b *testing.B, s *Server, pointCode uint32, name string) net.Conn {
 	t := &testing.T{}
 	p := connectPeer(t, s, pointCode)
@@ -108,8 +109,8 @@
 	return p.conn
 }
 
-// startRelay starts a relay that copies bytes between two connections, and returns the other ends of both.
-func startRelay(b *testing.B) (far, near net.Conn) {
+// startRelay starts a relay that copies bytes between two connections, and returns the ends of the exchange and of the counter.
+func startRelay(b *testing.B) (exchangeConn, counterConn net.Conn) {
 	connect := func() (net.Conn, net.Conn) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -127,11 +128,11 @@
 		b.Cleanup(func() { dialed.Close(); accepted.Close() })
 		return dialed, accepted
 	}
-	near, nearRelay := connect()
-	far, farRelay := connect()
-	go func() { _, _ = io.Copy(farRelay, nearRelay) }()
-	go func() { _, _ = io.Copy(nearRelay, farRelay) }()
-	return far, near
+	counterConn, relayToCounter := connect()
+	exchangeConn, relayToExchange := connect()
+	go func() { _, _ = io.Copy(relayToExchange, relayToCounter) }()
+	go func() { _, _ = io.Copy(relayToCounter, relayToExchange) }()
+	return exchangeConn, counterConn
 }
 
 // offerCalls offers count calls, each on a free circuit, at most window at once and at most rate a second (0: no limit), and
@@ -189,19 +190,19 @@
 	return setUpTimes
 }
 
-// benchRelayAndDaemon runs a benchmark through the relay and through the daemon.
-func benchRelayAndDaemon(b *testing.B, run func(b *testing.B, e *endpoint)) {
+// benchRelayAndServer runs a benchmark through the relay and through a call server, whose benchmarks are named daemon.
+func benchRelayAndServer(b *testing.B, run func(b *testing.B, e *endpoint)) {
 	for _, path := range []struct {
-		name   string
-		daemon bool
+		name          string
+		throughServer bool
 	}{{"relay", false}, {"daemon", true}} {
-		b.Run(path.name, func(b *testing.B) { run(b, connectCounter(b, path.daemon)) })
+		b.Run(path.name, func(b *testing.B) { run(b, connectCounter(b, path.throughServer)) })
 	}
 }
 
 // BenchmarkThroughput measures complete calls, as many at once as there are circuits.
 func BenchmarkThroughput(b *testing.B) {
-	benchRelayAndDaemon(b, func(b *testing.B, e *endpoint) {
+	benchRelayAndServer(b, func(b *testing.B, e *endpoint) {
 		b.ResetTimer()
 		e.offerCalls(b, b.N, benchCircuits, 0)
 		b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
@@ -210,7 +211,7 @@
 
 // BenchmarkSetUpDelay measures the time from IAM to ANM at 350 calls a second.
 func BenchmarkSetUpDelay(b *testing.B) {
-	benchRelayAndDaemon(b, func(b *testing.B, e *endpoint) {
+	benchRelayAndServer(b, func(b *testing.B, e *endpoint) {
 		b.ResetTimer()
 		setUpTimes := e.offerCalls(b, b.N, benchCircuits, 350)
 		b.ReportMetric(float64(setUpTimes.ValueAtQuantile(50))/1e3, "p50-us")
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,6 @@
-// Package server is the daemon around one Router: TCP connections, the clock, logs, the drain, the ENUM frontend and the
-// operator console. One goroutine owns the Router; each connection has a reader and a writer goroutine with bounded queues.
-// The Router makes all decisions about calls.
+// Package server runs a call server: the process around one Router, which makes all decisions about calls. A Server gives it TCP
+// connections, the clock, logs, the drain, the ENUM frontend and the operator console. One goroutine owns the Router; each
+// connection has a reader and a writer goroutine with bounded queues.
 package server
 
 import (
@@ -23,7 +23,7 @@
 	"finchlatch/router"
 )
 
-// Server runs one call server.
+// Server is one call server: a Router with its connections and goroutines.
 type Server struct {
 	cfg            *config.Config
 	log            *slog.Logger
@@ -55,7 +55,7 @@
 // Option changes a Server before it starts.
 type Option func(*Server)
 
-// WithListeners uses open listeners in place of the configured addresses. Either may be nil.
+// WithListeners uses open listeners in place of the configured addresses. For a nil listener the configured address stays in use.
 func WithListeners(signalling, console net.Listener) Option {
 	return func(s *Server) { s.listener, s.console = signalling, console }
 }
@@ -66,7 +66,8 @@
 }
 
 // WithObserver passes every input of the Router and all of its effects to two functions, in order and on the goroutine of
-// the event loop. The functions must not keep the bytes of an input, whose buffer is reused. Either may be nil.
+// the event loop. The functions must not keep the bytes of an input, whose buffer is reused. Nil
+// functions are not called.
 func WithObserver(inputs func(router.Input), effects func([]router.Effect)) Option {
 	return func(s *Server) { s.observeInput, s.observeEffects = inputs, effects }
 }
@@ -255,7 +256,8 @@
 	})
 }
 
-// applyOnLoop applies an input to the Router. It must run on the goroutine of the event loop.
+// applyOnLoop shows an input to the observer and applies it to the Router. It must run on the goroutine of the event loop, such as
+// in the function of a Do.
 func (s *Server) applyOnLoop(input router.Input) int {
 	if s.observeInput != nil {
 		s.observeInput(input)
@@ -263,8 +265,8 @@
 	return s.router.Apply(input)
 }
 
-// Do runs f on the goroutine of the event loop and waits until that is done. f must not change the Router itself: changes go
-// through applyOnLoop, so that an observer sees them.
+// Do runs f on the goroutine of the event loop and waits until that is done. f may read the Router but must not call its methods
+// that change it: an observer (WithObserver) would not see that.
 func (s *Server) Do(f func(r *router.Router, now time.Duration)) error {
 	finished := make(chan struct{})
 	if !s.post(func(now time.Duration) { f(s.router, now); close(finished) }) {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -57,6 +57,9 @@
 	return s
 }
 
+// nationalNetwork is the network indicator of a national network (Q.704).
+const nationalNetwork = 2
+
 // testPeer is the M3UA endpoint of a peer on a TCP connection, driven by the test.
 type testPeer struct {
 	t         *testing.T
@@ -131,7 +134,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	if err := p.assoc.Send(m3ua.ProtocolData{OPC: p.pointCode, DPC: 101, SI: 5, NI: 2, Data: encoded}); err != nil {
+	if err := p.assoc.Send(m3ua.ProtocolData{OPC: p.pointCode, DPC: 101, SI: m3ua.ServiceISUP, NI: nationalNetwork, Data: encoded}); err != nil {
 		p.t.Fatal(err)
 	}
 }
--- a/server/traffic_test.go
+++ b/server/traffic_test.go
@@ -11,7 +11,7 @@
 	"finchlatch/measure"
 )
 
-// The daemon stores what its Router measures: after a drain all of it, and after a crash what was written last. A second run
+// The call server stores what its Router measures: after a drain all of it, and after a crash what was written last. A second run
 // adds its part of the same interval.
 func TestTrafficIsKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traffic.db")
