--- a/internal/wire/tree.go
+++ b/internal/wire/tree.go
@@ -59,7 +59,7 @@
 
 // flatten adds a JSON tree in the form of the fields of the line protocol, whose names are paths with dots. A list becomes a field
 // "count" with its length. If all of its values are plain, they also become one field, joined by commas. Objects and lists in it
-// have their index in the path; plain values beside them, and null, are left out.
+// have their index in the path, and plain values beside them are left out. So is null in an object; in a list it is an empty text.
 func (m *message) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
